--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -216,7 +216,7 @@
 		state.hold()
 		return
 	}
-	state.diagnosis.NoHedge = DeniedEnded
+	state.diagnosis.NoHedge = DeniedCrashes
 	state.nextAt = now + max(state.nextDelay, busyAtMost)
 }
 
--- a/internal/decision/ended.go
+++ b/internal/decision/crash.go
@@ -20,15 +20,15 @@
 // (A request that ends the replicas that run it, sent to ten shards of three replicas by six
 // nodes and twenty times in all, ended 128 to 148 replicas without canaries and refusals.)
 
-// Evidence speaks for a query being what ends the replicas that run it.
-type Evidence struct {
-	// Ended is the number of replicas that ended while they ran it.
-	Ended int
-	// Rounds is the number of times that they ended independently of each other.
-	Rounds int
-	// Blame adds up, over these, the share of it that falls on this query: one, divided by
+// CrashEvidence speaks for a query being what ends the replicas that run it.
+type CrashEvidence struct {
+	// Crashes is the number of replicas that ended while they ran it.
+	Crashes int
+	// Incidents is the number of times that they ended independently of each other.
+	Incidents int
+	// Attribution adds up, over these, the share of it that falls on this query: one, divided by
 	// the number of queries that the replica was running as far as is known.
-	Blame float64
+	Attribution float64
 }
 
 // What convicts a query: replicas ended under it three times, of which once while it ran
@@ -40,21 +40,23 @@
 	convictingBlame  = 2
 )
 
-// Convicts tells whether the query is taken to be what ends the replicas that run it.
-func (e Evidence) Convicts() bool { return e.Rounds >= convictingRounds && e.Blame >= convictingBlame }
+// Conclusive tells whether the query is taken to be what ends the replicas that run it.
+func (e CrashEvidence) Conclusive() bool {
+	return e.Incidents >= convictingRounds && e.Attribution >= convictingBlame
+}
 
-// Lapsed is what is left of the evidence once it is old: another canary convicts again.
-func (e Evidence) Lapsed() Evidence {
-	return Evidence{Ended: e.Ended, Rounds: convictingRounds - 1, Blame: convictingBlame - 1}
+// Decayed is what is left of the evidence once it is old: another canary convicts again.
+func (e CrashEvidence) Decayed() CrashEvidence {
+	return CrashEvidence{Crashes: e.Crashes, Incidents: convictingRounds - 1, Attribution: convictingBlame - 1}
 }
 
-// Suspects tells whether anything speaks against the query.
-func (e Evidence) Suspects() bool { return e.Rounds > 0 }
+// Suspicious tells whether anything speaks against the query.
+func (e CrashEvidence) Suspicious() bool { return e.Incidents > 0 }
 
-// Join returns the stronger of each part of two pieces of evidence.
-func (e Evidence) Join(other Evidence) Evidence {
-	return Evidence{
-		Ended: max(e.Ended, other.Ended), Rounds: max(e.Rounds, other.Rounds), Blame: max(e.Blame, other.Blame),
+// Merge returns the stronger of each part of two pieces of evidence.
+func (e CrashEvidence) Merge(other CrashEvidence) CrashEvidence {
+	return CrashEvidence{
+		Crashes: max(e.Crashes, other.Crashes), Incidents: max(e.Incidents, other.Incidents), Attribution: max(e.Attribution, other.Attribution),
 	}
 }
 
@@ -70,7 +72,7 @@
 	sent int
 	// found is what speaks against the query since it began, together is true once a
 	// replica has ended under what was sent before the query was cautious.
-	found    Evidence
+	found    CrashEvidence
 	together bool
 	// verdictAt is when the query ends as convicted, never while it is not.
 	verdictAt time.Duration
@@ -83,18 +85,18 @@
 
 const noCanary = -1
 
-// Evidence returns what speaks against the query, with what was known before it began;
+// CrashEvidence returns what speaks against the query, with what was known before it began;
 // survived is true when a replica has run it and answered.
-func (q *Query) Evidence() (found Evidence, survived bool) {
-	known := q.plan.Ends.Known
-	found = Evidence{
-		Ended: known.Ended + q.found.Ended, Rounds: known.Rounds + q.found.Rounds, Blame: known.Blame + q.found.Blame,
+func (q *Query) CrashEvidence() (found CrashEvidence, survived bool) {
+	known := q.plan.CrashDetection.Prior
+	found = CrashEvidence{
+		Crashes: known.Crashes + q.found.Crashes, Incidents: known.Incidents + q.found.Incidents, Attribution: known.Attribution + q.found.Attribution,
 	}
 	return found, q.survived
 }
 
 // watchesEnds tells whether replicas that end under the query speak against it.
-func (q *Query) watchesEnds() bool { return q.plan.Ends.Watched && !q.survived }
+func (q *Query) watchesEnds() bool { return q.plan.CrashDetection.Enabled && !q.survived }
 
 // startCautiously holds all shards back but one, as replicas ended under the query before.
 func (q *Query) startCautiously(now time.Duration) {
@@ -109,39 +111,39 @@
 // survived.
 func (q *Query) replicaEnded(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
-	q.found.Ended++
+	q.found.Crashes++
 	if state.canaries&(1<<event.Attempt) != 0 {
-		q.found.Rounds++
-		q.found.Blame += event.Blame
+		q.found.Incidents++
+		q.found.Attribution += event.Attribution
 	} else if !q.together {
 		q.together = true
-		q.found.Rounds++
-		q.found.Blame++
+		q.found.Incidents++
+		q.found.Attribution++
 	}
 	q.cautious = true
 	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
 	if event.Quarantined {
-		q.finish(ReplicasEnded, client.MissingFailed)
+		q.finish(ReplicasCrashed, client.MissingFailed)
 		return
 	}
 	if state.inFlight == 0 {
 		state.hold()
 	}
-	if found, _ := q.Evidence(); found.Convicts() && q.verdictAt == never {
+	if found, _ := q.CrashEvidence(); found.Conclusive() && q.verdictAt == never {
 		q.verdictAt = now + verdictWait
 		q.wakeBy(q.verdictAt)
 	}
 }
 
-// AwaitsVerdict tells whether the query is convicted and waits for other nodes to contest it.
-func (q *Query) AwaitsVerdict() bool { return q.verdictAt != never && !q.finished }
+// AbortPending tells whether the query is convicted and waits for other nodes to contest it.
+func (q *Query) AbortPending() bool { return q.verdictAt != never && !q.finished }
 
 // contested takes in that the ends of all replicas by canaries of this query may have been
 // another's doing: they count as one time less, and another canary decides.
 func (q *Query) contested() {
 	q.verdictAt = never
-	q.found.Rounds--
-	q.found.Blame--
+	q.found.Incidents--
+	q.found.Attribution--
 }
 
 // hold keeps a shard back until a canary is sent there or a replica has survived.
@@ -156,11 +158,11 @@
 // blamed for each other's harm. (With one order for all of them, one of 2,464 requests that
 // were sent beside one that ends replicas was refused in 6 of 100 runs.)
 func (q *Query) nextCanary(now time.Duration) {
-	if !q.cautious || q.finished || q.canaryInFlight() || q.AwaitsVerdict() {
+	if !q.cautious || q.finished || q.canaryInFlight() || q.AbortPending() {
 		return
 	}
 	q.sent++
-	first := int(mix(q.plan.Ends.Seed+uint64(q.sent)) % uint64(len(q.shards)))
+	first := int(mix(q.plan.CrashDetection.Seed+uint64(q.sent)) % uint64(len(q.shards)))
 	for i := range q.shards {
 		shard := (first + i) % len(q.shards)
 		if q.shards[shard].held && q.resume(now, shard) {
--- a/internal/decision/ended_test.go
+++ b/internal/decision/crash_test.go
@@ -11,7 +11,7 @@
 
 func cautiousPlan(shards int, change func(*Plan, *policy.Row)) Plan {
 	return testPlan(shards, func(plan *Plan, row *policy.Row) {
-		plan.Ends.Watched = true
+		plan.CrashDetection.Enabled = true
 		row.Retry.Attempts = 2
 		if change != nil {
 			change(plan, row)
@@ -20,7 +20,7 @@
 }
 
 func ended(at time.Duration, shard, attempt int, blame float64) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: Ended, Blame: blame}}
+	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: blame}}
 }
 
 // TestAQueryThatEndsReplicasEnds: what was sent together counts once, then two canaries at
@@ -35,7 +35,7 @@
 			if action.Kind == Send {
 				canaries = append(canaries, action)
 			}
-			finished = finished || action.Kind == Finish && action.Reason == ReplicasEnded
+			finished = finished || action.Kind == Finish && action.Reason == ReplicasCrashed
 		}
 	}
 	for shard := range 4 {
@@ -49,12 +49,12 @@
 		t.Fatalf("sent after the first canary: %+v, finished %v", canaries, finished)
 	}
 	take(ended(12*ms, canaries[1].Shard, canaries[1].Attempt, 1))
-	if len(canaries) != 2 || finished || !query.AwaitsVerdict() {
+	if len(canaries) != 2 || finished || !query.AbortPending() {
 		t.Fatalf("sent while others may contest it: %+v, finished %v", canaries, finished)
 	}
 	take(timedEvent{12*ms + verdictWait, Event{Kind: TimerFired}})
-	found, survived := query.Evidence()
-	if want := (Evidence{Ended: 6, Rounds: 3, Blame: 3}); found != want || survived || !finished || len(canaries) != 2 {
+	found, survived := query.CrashEvidence()
+	if want := (CrashEvidence{Crashes: 6, Incidents: 3, Attribution: 3}); found != want || survived || !finished || len(canaries) != 2 {
 		t.Errorf("evidence %+v, survived %v, finished %v, %d canaries", found, survived, finished, len(canaries))
 	}
 }
@@ -82,7 +82,7 @@
 		if diff := cmp.Diff([]int{3, 1, 0, 0, 2, 0, 0}, sent); diff != "" {
 			t.Errorf("sent in each step (-want +got):\n%s", diff)
 		}
-		if found, survived := query.Evidence(); found.Ended != 3 || !survived || query.Answered() != 2 {
+		if found, survived := query.CrashEvidence(); found.Crashes != 3 || !survived || query.Answered() != 2 {
 			t.Errorf("evidence %+v, survived %v, %d answered", found, survived, query.Answered())
 		}
 	})
@@ -92,22 +92,22 @@
 		query.Step(2*ms, Event{Kind: Replied, Shard: 1, Outcome: Success})
 		sent := 0
 		for _, shard := range []int{0, 2} {
-			for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Ended, Blame: 1}) {
+			for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1}) {
 				if action.Kind == Send {
 					sent++
 				}
 			}
 		}
-		if found, survived := query.Evidence(); sent != 2 || found.Ended != 0 || !survived {
+		if found, survived := query.CrashEvidence(); sent != 2 || found.Crashes != 0 || !survived {
 			t.Errorf("%d repeats, evidence %+v, survived %v", sent, found, survived)
 		}
 	})
 	t.Run("a replica's own failure", func(t *testing.T) {
 		query := New(cautiousPlan(2, nil))
 		query.Step(0, Event{Kind: Started})
-		query.Step(3*ms, Event{Kind: Replied, Shard: 0, Outcome: Ended, Blame: 1})
+		query.Step(3*ms, Event{Kind: Replied, Shard: 0, Outcome: Crashed, Attribution: 1})
 		query.Step(4*ms, Event{Kind: Replied, Shard: 1, Outcome: Failed, Survived: true})
-		if _, survived := query.Evidence(); !survived {
+		if _, survived := query.CrashEvidence(); !survived {
 			t.Error("the answer does not clear the query")
 		}
 	})
@@ -116,7 +116,7 @@
 // TestASuspectBeginsWithACanary: and asks the other shards once a replica has survived it.
 func TestASuspectBeginsWithACanary(t *testing.T) {
 	suspected := func(plan *Plan, _ *policy.Row) {
-		plan.Ends.Known = Evidence{Ended: 4, Rounds: 1, Blame: 1}
+		plan.CrashDetection.Prior = CrashEvidence{Crashes: 4, Incidents: 1, Attribution: 1}
 	}
 	query := New(cautiousPlan(3, suspected))
 	canary := query.Step(0, Event{Kind: Started})[0]
@@ -138,7 +138,7 @@
 // tells nothing.
 func TestACanaryThatDoesNotRunIsFollowedByAnother(t *testing.T) {
 	for _, outcome := range []Outcome{Shed, Unreached, Failed, Reset} {
-		query := New(cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.Ends.Known.Rounds = 1 }))
+		query := New(cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
 		canary := query.Step(0, Event{Kind: Started})[0]
 		sent := 0
 		for _, action := range query.Step(2*ms, Event{Kind: Replied, Shard: canary.Shard, Outcome: outcome}) {
@@ -158,24 +158,24 @@
 	query := New(cautiousPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
-		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Ended, Blame: 0.5})
+		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 0.5})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: 1, Outcome: Ended, Blame: 0.4})
+		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
 	}
-	if found, _ := query.Evidence(); found.Rounds != 3 || query.finished {
+	if found, _ := query.CrashEvidence(); found.Incidents != 3 || query.finished {
 		t.Errorf("evidence %+v, finished %v", found, query.finished)
 	}
 }
 
 // TestEndsAreFailuresWithoutALimit: the other programs do not watch for them.
 func TestEndsAreFailuresWithoutALimit(t *testing.T) {
-	plan := cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.Ends.Watched = false })
+	plan := cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Enabled = false })
 	query := New(plan)
 	query.Step(0, Event{Kind: Started})
 	sent := 0
 	for shard := range 2 {
-		for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Ended, Blame: 1}) {
+		for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1}) {
 			if action.Kind == Send {
 				sent++
 			}
@@ -191,21 +191,21 @@
 	query := New(cautiousPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
-		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Ended, Blame: 1})
+		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: query.shards[query.canary].sent - 1, Outcome: Ended, Blame: 1})
+		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: query.shards[query.canary].sent - 1, Outcome: Crashed, Attribution: 1})
 	}
-	if !query.AwaitsVerdict() {
+	if !query.AbortPending() {
 		t.Fatal("not convicted")
 	}
 	sent := 0
-	for _, action := range query.Step(6*ms+verdictWait, Event{Kind: Contested}) {
+	for _, action := range query.Step(6*ms+verdictWait, Event{Kind: EvidenceDisputed}) {
 		if action.Kind == Send {
 			sent++
 		}
 	}
-	if sent != 1 || query.AwaitsVerdict() || query.finished {
+	if sent != 1 || query.AbortPending() || query.finished {
 		t.Errorf("%d sent, finished %v", sent, query.finished)
 	}
 }
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -33,9 +33,9 @@
 	// Unaccepted: the replica reset a new connection before a byte was sent, as it does
 	// with connections over its limit.
 	Unaccepted
-	// Ended: the replica's process ended while it ran the sub-request: its connection
+	// Crashed: the replica's process ended while it ran the sub-request: its connection
 	// broke, and it accepts no other.
-	Ended
+	Crashed
 )
 
 // outcomeNames are the names of the outcomes in logs and metrics.
@@ -52,7 +52,7 @@
 	Elsewhere:       "elsewhere",
 	Reset:           "reset",
 	Unaccepted:      "unaccepted",
-	Ended:           "ended",
+	Crashed:         "ended",
 }
 
 // String returns the name of an outcome.
@@ -96,8 +96,8 @@
 	TimeOver
 	// Dispatched reports to which replica a Send went, by its HedgeDelay.
 	Dispatched
-	// Contested reports that what convicts the query may have been another's doing.
-	Contested
+	// EvidenceDisputed reports that what convicts the query may have been another's doing.
+	EvidenceDisputed
 )
 
 // Event is one input of Query.Step. Shard, Attempt and Outcome belong to
@@ -123,9 +123,9 @@
 	// Survived is true when the replica has run the sub-request and answered, if only with
 	// a failure.
 	Survived bool
-	// Blame belongs to Ended: the share of it that falls on this query, 1 when the replica
+	// Attribution belongs to Ended: the share of it that falls on this query, 1 when the replica
 	// was running no other that is known.
-	Blame float64
+	Attribution float64
 	// Quarantined belongs to Ended: another node has found the query to end replicas.
 	Quarantined bool
 }
@@ -226,6 +226,6 @@
 	CallerGaveUp
 	// SnapshotLost: a shard's replicas no longer hold the pinned snapshot.
 	SnapshotLost
-	// ReplicasEnded: the query is taken to be what ends the replicas that run it.
-	ReplicasEnded
+	// ReplicasCrashed: the query is taken to be what ends the replicas that run it.
+	ReplicasCrashed
 )
--- a/internal/decision/plan.go
+++ b/internal/decision/plan.go
@@ -50,16 +50,16 @@
 	// NoHedges is true while the replicas have more to do than they bear: hedges
 	// would add to that.
 	NoHedges bool
-	// Ends says how replicas that end under the query speak against it.
-	Ends EndsPlan
+	// CrashDetection says how replicas that end under the query speak against it.
+	CrashDetection CrashDetection
 }
 
-// EndsPlan is what is decided by when replicas end while they run a query (see caution).
-type EndsPlan struct {
-	// Watched is false when ends of replicas are failures like others.
-	Watched bool
-	// Known is what spoke against the query before; with any, it begins with a canary.
-	Known Evidence
+// CrashDetection is what is decided by when replicas end while they run a query (see caution).
+type CrashDetection struct {
+	// Enabled is false when ends of replicas are failures like others.
+	Enabled bool
+	// Prior is what spoke against the query before; with any, it begins with a canary.
+	Prior CrashEvidence
 	// Seed draws the shards of the canaries.
 	Seed uint64
 }
@@ -91,8 +91,8 @@
 	DeniedTime HedgeDenial = "time"
 	// DeniedAttempts: the policy's attempts were used up.
 	DeniedAttempts HedgeDenial = "attempts"
-	// DeniedEnded: replicas ended while they ran the query.
-	DeniedEnded HedgeDenial = "ended"
+	// DeniedCrashes: replicas ended while they ran the query.
+	DeniedCrashes HedgeDenial = "ended"
 	// DeniedReplicas: no other replica was fit to be asked.
 	DeniedReplicas HedgeDenial = "replicas"
 )
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -104,7 +104,7 @@
 		q.finish(DeadlineReached, client.MissingTimeout)
 	case Dispatched:
 		q.dispatched(now, event)
-	case Contested:
+	case EvidenceDisputed:
 		q.contested()
 	}
 	q.nextCanary(now)
@@ -127,7 +127,7 @@
 			budget.Deposit()
 		}
 	}
-	if q.plan.Ends.Watched && q.plan.Ends.Known.Suspects() {
+	if q.plan.CrashDetection.Enabled && q.plan.CrashDetection.Prior.Suspicious() {
 		q.startCautiously(now)
 		return
 	}
@@ -168,7 +168,7 @@
 	if event.Outcome == NoReplica && event.Busy && q.postpone(now, state, event.Shard) {
 		return
 	}
-	if event.Outcome == Ended && q.watchesEnds() {
+	if event.Outcome == Crashed && q.watchesEnds() {
 		q.replicaEnded(now, event)
 		return
 	}
@@ -245,8 +245,8 @@
 	switch {
 	case q.finished:
 	case now >= q.verdictAt:
-		q.finish(ReplicasEnded, client.MissingFailed)
-	case q.AwaitsVerdict() && now < q.plan.Deadline: // though no shard can answer any more
+		q.finish(ReplicasCrashed, client.MissingFailed)
+	case q.AbortPending() && now < q.plan.Deadline: // though no shard can answer any more
 		q.setTimer()
 	case q.settled == len(q.shards):
 		q.finish(q.settledReason(), client.MissingFailed)
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -40,9 +40,9 @@
 			t.Error(err)
 		}
 	}})
-	evidence := decision.Evidence{Ended: 1 << 20, Rounds: 1 << 20, Blame: 1 << 20}
+	evidence := decision.CrashEvidence{Crashes: 1 << 20, Incidents: 1 << 20, Attribution: 1 << 20}
 	for replica := range 8 {
-		evidence.Rounds++
+		evidence.Incidents++
 		list.Note(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
 	}
 	list.Convict(message)
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -120,11 +120,11 @@
 		found.RefuseFor = known.until.Sub(l.config.Now())
 		return found
 	}
-	if found.Evidence.Convicts() {
+	if found.Evidence.Conclusive() {
 		found.RefuseFor = max(0, known.convictedAt.Add(verdictDue).Sub(l.config.Now()))
 	}
-	if found.Evidence.Convicts() && found.RefuseFor == 0 {
-		found.Evidence = found.Evidence.Lapsed() // it was contested
+	if found.Evidence.Conclusive() && found.RefuseFor == 0 {
+		found.Evidence = found.Evidence.Decayed() // it was contested
 	}
 	return found
 }
@@ -164,7 +164,7 @@
 func (l *List) lapse(known *entry) {
 	known.quarantined, known.stored, known.own = false, false, false
 	known.record.RefuseMilliseconds = 0
-	known.record.setEvidence(known.record.Evidence().Lapsed())
+	known.record.setEvidence(known.record.Evidence().Decayed())
 	known.until = l.config.Now().Add(l.config.For)
 	l.log("quarantine is over; the request will be tried on one replica", &known.record)
 }
@@ -179,7 +179,7 @@
 // Note takes in that replicas ended while they ran a request that none has survived, unless
 // one has answered it of late: the evidence is all there is by now. canary names the replica that ended last, if it was tried
 // there alone.
-func (l *List) Note(message *upstream.Message, route Route, canary string, evidence decision.Evidence) {
+func (l *List) Note(message *upstream.Message, route Route, canary string, evidence decision.CrashEvidence) {
 	if l == nil || l.answered.recently(message, l.config.Now()) {
 		return
 	}
@@ -196,7 +196,7 @@
 	if known == nil || known.quarantined || known.record.Ended < min(toldFrom, route.Shards) || (known.told && !changed) {
 		return
 	}
-	if evidence.Convicts() || l.told.AllowN(l.config.Now(), 1) {
+	if evidence.Conclusive() || l.told.AllowN(l.config.Now(), 1) {
 		known.told = true
 		l.config.Tell(known.record)
 	}
@@ -316,9 +316,9 @@
 		return false, known
 	}
 	changed = changed || record.Rounds > known.record.Rounds || record.RefuseMilliseconds > 0
-	known.record.setEvidence(known.record.Evidence().Join(record.Evidence()))
+	known.record.setEvidence(known.record.Evidence().Merge(record.Evidence()))
 	known.record.addCanaries(record.Canaries)
-	if known.record.Evidence().Convicts() && (changed || known.convictedAt.IsZero()) {
+	if known.record.Evidence().Conclusive() && (changed || known.convictedAt.IsZero()) {
 		known.convictedAt = l.config.Now()
 	}
 	known.until = l.config.Now().Add(suspectFor)
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -71,8 +71,8 @@
 var testRoute = Route{Name: "r", Shards: 10}
 
 var (
-	suspected = decision.Evidence{Ended: 4, Rounds: 1, Blame: 1}
-	convicted = decision.Evidence{Ended: 6, Rounds: 3, Blame: 3}
+	suspected = decision.CrashEvidence{Crashes: 4, Incidents: 1, Attribution: 1}
+	convicted = decision.CrashEvidence{Crashes: 6, Incidents: 3, Attribution: 3}
 )
 
 func newTestList(change func(*Config)) (*List, *clock, *[]Record) {
@@ -124,12 +124,12 @@
 	}
 	now.now = now.now.Add(DefaultFor)
 	got := list.Suspicion(message(nil))
-	if got.RefuseFor != 0 || !got.Evidence.Suspects() || got.Evidence.Convicts() {
+	if got.RefuseFor != 0 || !got.Evidence.Suspicious() || got.Evidence.Conclusive() {
 		t.Fatalf("after its time: %+v", got)
 	}
 	again := got.Evidence
-	again.Rounds, again.Blame = again.Rounds+1, again.Blame+1
-	if !again.Convicts() {
+	again.Incidents, again.Attribution = again.Incidents+1, again.Attribution+1
+	if !again.Conclusive() {
 		t.Error("another end does not convict it again")
 	}
 	list.Answered(message(nil))
@@ -259,7 +259,7 @@
 		t.Error("contested by a request that was not tried at the last one")
 	}
 	now.now = now.now.Add(verdictDue)
-	if got := list.Suspicion(message(nil)); got.RefuseFor != 0 || got.Evidence.Convicts() || !got.Evidence.Suspects() {
+	if got := list.Suspicion(message(nil)); got.RefuseFor != 0 || got.Evidence.Conclusive() || !got.Evidence.Suspicious() {
 		t.Errorf("without a verdict: %+v", got)
 	}
 }
@@ -308,7 +308,7 @@
 func TestOtherNodesAreToldOfTwoEndsUnderOneRequest(t *testing.T) {
 	for _, test := range []struct{ ended, told int }{{1, 0}, {2, 1}} {
 		list, _, told := newTestList(nil)
-		list.Note(message(nil), Route{Name: "r", Shards: 4}, "", decision.Evidence{Ended: test.ended, Rounds: 1, Blame: 1})
+		list.Note(message(nil), Route{Name: "r", Shards: 4}, "", decision.CrashEvidence{Crashes: test.ended, Incidents: 1, Attribution: 1})
 		if len(*told) != test.told {
 			t.Errorf("%d ended: told %d times", test.ended, len(*told))
 		}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -76,7 +76,7 @@
 // Suspicion is what is known of a request that comes.
 type Suspicion struct {
 	// Evidence is what speaks against it; zero for nothing.
-	Evidence decision.Evidence
+	Evidence decision.CrashEvidence
 	// RefuseFor is for how long it is still quarantined; 0 when it is not.
 	RefuseFor time.Duration
 }
@@ -107,12 +107,12 @@
 }
 
 // Evidence is what speaks against the request.
-func (r *Record) Evidence() decision.Evidence {
-	return decision.Evidence{Ended: r.Ended, Rounds: r.Rounds, Blame: r.Blame}
+func (r *Record) Evidence() decision.CrashEvidence {
+	return decision.CrashEvidence{Crashes: r.Ended, Incidents: r.Rounds, Attribution: r.Blame}
 }
 
-func (r *Record) setEvidence(found decision.Evidence) {
-	r.Ended, r.Rounds, r.Blame = found.Ended, found.Rounds, found.Blame
+func (r *Record) setEvidence(found decision.CrashEvidence) {
+	r.Ended, r.Rounds, r.Blame = found.Crashes, found.Incidents, found.Attribution
 }
 
 // The bounds of what names a request, in bytes: a record fits into a datagram.
--- a/internal/query/ended.go
+++ b/internal/query/ended.go
@@ -9,11 +9,11 @@
 
 // endsPlan says how replicas that end under a request speak against it, beside what is known
 // of it already.
-func (s *Service) endsPlan(forwarding *Forwarding, known decision.Evidence) decision.EndsPlan {
+func (s *Service) endsPlan(forwarding *Forwarding, known decision.CrashEvidence) decision.CrashDetection {
 	if s.options.Quarantine == nil {
-		return decision.EndsPlan{}
+		return decision.CrashDetection{}
 	}
-	return decision.EndsPlan{Watched: true, Known: known, Seed: xxhash.Sum64String(forwarding.Message.ID)}
+	return decision.CrashDetection{Enabled: true, Prior: known, Seed: xxhash.Sum64String(forwarding.Message.ID)}
 }
 
 // isQuarantined tells whether another node has found meanwhile that the request ends replicas.
@@ -24,14 +24,14 @@
 // isContested tells whether the request is convicted by ends of replicas that may all have
 // been another request's doing.
 func (r *forwardRun) isContested() bool {
-	return r.core.AwaitsVerdict() && r.service.options.Quarantine.Contested(r.forwarding.Message)
+	return r.core.AbortPending() && r.service.options.Quarantine.Contested(r.forwarding.Message)
 }
 
 // noteEnded tells the quarantine, while the request still runs, that a replica ended under
 // it: its caller may try it at another node as soon as it is answered. canary names the
 // replica if it was a canary's.
 func (r *forwardRun) noteEnded(canary string) {
-	if evidence, survived := r.core.Evidence(); !survived {
+	if evidence, survived := r.core.CrashEvidence(); !survived {
 		route := quarantine.Route{Name: r.forwarding.Route.Name, Shards: len(r.shards)}
 		r.service.options.Quarantine.Note(r.forwarding.Message, route, canary, evidence)
 	}
@@ -40,9 +40,9 @@
 // concludeEnds tells the quarantine what has come of the request.
 func (r *forwardRun) concludeEnds() {
 	list := r.service.options.Quarantine
-	if _, survived := r.core.Evidence(); survived {
+	if _, survived := r.core.CrashEvidence(); survived {
 		list.Answered(r.forwarding.Message)
-	} else if r.reason == decision.ReplicasEnded {
+	} else if r.reason == decision.ReplicasCrashed {
 		list.Convict(r.forwarding.Message)
 	}
 }
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -191,13 +191,13 @@
 
 func (s *Service) newForwardRun(
 	forwarding *Forwarding, groups []string, terms replica.Terms, deadline time.Duration, overloaded bool,
-	known decision.Evidence,
+	known decision.CrashEvidence,
 ) *forwardRun {
 	route := forwarding.Route
 	plan := decision.Plan{
 		Shards: s.forwardShards(route, groups, terms.Usual), Policy: route.Policy, Deadline: deadline,
 		LeastShards: route.LeastShards, RunsOnce: !route.Repeatable, NoHedges: overloaded,
-		Ends: s.endsPlan(forwarding, known),
+		CrashDetection: s.endsPlan(forwarding, known),
 	}
 	if !route.Scattered() {
 		plan.OfferBy = time.Duration(offerShare * float64(route.Objective))
@@ -258,7 +258,7 @@
 	if r.reason == decision.CallerGaveUp {
 		return answer, failure.New(failure.Canceled, "the caller gave up")
 	}
-	if r.reason == decision.ReplicasEnded {
+	if r.reason == decision.ReplicasCrashed {
 		return answer, failure.New(failure.Quarantined, "replicas end by running this request").WithNotRun(false)
 	}
 	if !r.forwarding.Route.Scattered() {
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -174,12 +174,12 @@
 		case WokenByResult:
 			finished = r.step(r.take(result))
 			r.noteHalf()
-			if r.onEnded != nil && result.Result.Outcome == decision.Ended {
+			if r.onEnded != nil && result.Result.Outcome == decision.Crashed {
 				r.onEnded(r.shards[result.Shard].attempts[result.Attempt].canaryOf())
 			}
 		case WokenByTimer:
 			if r.contested != nil && r.contested() {
-				finished = r.step(decision.Event{Kind: decision.Contested})
+				finished = r.step(decision.Event{Kind: decision.EvidenceDisputed})
 			}
 			finished = finished || r.step(decision.Event{Kind: decision.TimerFired})
 		case WokenByCaller:
@@ -225,9 +225,9 @@
 		Kind: decision.Replied, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
-		Survived: result.Result.Part != nil, Blame: result.Result.Blame,
+		Survived: result.Result.Part != nil, Attribution: result.Result.Blame,
 	}
-	if outcome == decision.Ended && r.quarantined != nil {
+	if outcome == decision.Crashed && r.quarantined != nil {
 		event.Quarantined = r.quarantined()
 	}
 	if outcome == decision.SnapshotNotHeld {
--- a/internal/replica/forward_message.go
+++ b/internal/replica/forward_message.go
@@ -141,7 +141,7 @@
 	running := handle.inFlight.Load() // before the others that break with it have ended
 	result := classifyReply(reply, err, scattered)
 	if handle.upstream.HasEnded(ctx, err) {
-		result.Outcome = decision.Ended
+		result.Outcome = decision.Crashed
 		result.Blame = 1 / float64(max(1, running))
 	}
 	if result.Outcome == decision.Elsewhere {
@@ -216,7 +216,7 @@
 	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
 		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
 	}
-	if result.Outcome == decision.Reset || result.Outcome == decision.Ended {
+	if result.Outcome == decision.Reset || result.Outcome == decision.Crashed {
 		ended.Outcome = decision.Failed // it may be a fault of the replica, and others may have none
 	}
 	if errors.Is(result.Err, syscall.ECONNRESET) {
