--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -90,7 +90,7 @@
 func (q *Query) retryLater(now time.Duration, event Event) bool {
 	state := &q.shards[event.Shard]
 	wait := min(unsentWait<<min(state.unsent, unsentWaitDoubles), unsentWaitAtMost)
-	if event.Outcome == Unreached && state.unsent == 0 {
+	if event.Outcome == ConnectFailed && state.unsent == 0 {
 		wait = 0 // most likely that process has ended, and others have not
 	}
 	if !q.mayAttempt(now+wait, event.Shard) {
@@ -123,7 +123,7 @@
 
 func (o Outcome) missing() client.MissingReason {
 	switch o {
-	case Shed, Draining, Elsewhere:
+	case Shed, Draining, Misdirected:
 		return client.MissingShed
 	case SnapshotNotHeld:
 		return client.MissingSnapshot
@@ -131,7 +131,7 @@
 		return client.MissingInvalidReply
 	case NoReplica:
 		return client.MissingNoReplica
-	case DeadlinePassed:
+	case DeadlineExceeded:
 		return client.MissingTimeout
 	default:
 		return client.MissingFailed
@@ -139,7 +139,7 @@
 }
 
 func (q *Query) mayRetry(now time.Duration, shard int, outcome Outcome) bool {
-	if outcome == DeadlinePassed || !q.mayAttempt(now, shard) {
+	if outcome == DeadlineExceeded || !q.mayAttempt(now, shard) {
 		return false
 	}
 	if q.plan.RunsOnce && !outcome.provesNotRun() {
--- a/internal/decision/crash_test.go
+++ b/internal/decision/crash_test.go
@@ -137,7 +137,7 @@
 // TestACanaryThatDoesNotRunIsFollowedByAnother: one that is rejected, or reaches nobody,
 // tells nothing.
 func TestACanaryThatDoesNotRunIsFollowedByAnother(t *testing.T) {
-	for _, outcome := range []Outcome{Shed, Unreached, Failed, Reset} {
+	for _, outcome := range []Outcome{Shed, ConnectFailed, Failed, ResetAfterWrite} {
 		query := New(cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
 		canary := query.Step(0, Event{Kind: Started})[0]
 		sent := 0
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -21,18 +21,18 @@
 	Invalid
 	// NoReplica: no usable replica was left to send to; nothing was sent.
 	NoReplica
-	// DeadlinePassed: the replica refused because the time was over.
-	DeadlinePassed
-	// Unreached: no byte was sent, as no connection came up.
-	Unreached
-	// Elsewhere: another process answers at the address; it did not run it.
-	Elsewhere
-	// Reset: a new connection was reset after the request was written, before any
+	// DeadlineExceeded: the replica refused because the time was over.
+	DeadlineExceeded
+	// ConnectFailed: no byte was sent, as no connection came up.
+	ConnectFailed
+	// Misdirected: another process answers at the address; it did not run it.
+	Misdirected
+	// ResetAfterWrite: a new connection was reset after the request was written, before any
 	// answer. The replica may have read and run it.
-	Reset
-	// Unaccepted: the replica reset a new connection before a byte was sent, as it does
+	ResetAfterWrite
+	// ResetBeforeWrite: the replica reset a new connection before a byte was sent, as it does
 	// with connections over its limit.
-	Unaccepted
+	ResetBeforeWrite
 	// Crashed: the replica's process ended while it ran the sub-request: its connection
 	// broke, and it accepts no other.
 	Crashed
@@ -40,32 +40,32 @@
 
 // outcomeNames are the names of the outcomes in logs and metrics.
 var outcomeNames = [...]string{
-	Success:         "success",
-	Failed:          "failed",
-	Shed:            "shed",
-	Draining:        "draining",
-	SnapshotNotHeld: "snapshot_not_held",
-	Invalid:         "invalid",
-	NoReplica:       "no_replica",
-	DeadlinePassed:  "deadline_passed",
-	Unreached:       "unreached",
-	Elsewhere:       "elsewhere",
-	Reset:           "reset",
-	Unaccepted:      "unaccepted",
-	Crashed:         "ended",
+	Success:          "success",
+	Failed:           "failed",
+	Shed:             "shed",
+	Draining:         "draining",
+	SnapshotNotHeld:  "snapshot_not_held",
+	Invalid:          "invalid",
+	NoReplica:        "no_replica",
+	DeadlineExceeded: "deadline_passed",
+	ConnectFailed:    "unreached",
+	Misdirected:      "elsewhere",
+	ResetAfterWrite:  "reset",
+	ResetBeforeWrite: "unaccepted",
+	Crashed:          "ended",
 }
 
 // String returns the name of an outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Outcomes is the number of outcomes.
-const Outcomes = len(outcomeNames)
+// NumOutcomes is the number of outcomes.
+const NumOutcomes = len(outcomeNames)
 
 // provesNotRun is true for the outcomes after which the replica certainly has
 // not run the sub-request and never will.
 func (o Outcome) provesNotRun() bool {
 	switch o {
-	case Shed, Draining, SnapshotNotHeld, NoReplica, DeadlinePassed, Unreached, Elsewhere, Unaccepted:
+	case Shed, Draining, SnapshotNotHeld, NoReplica, DeadlineExceeded, ConnectFailed, Misdirected, ResetBeforeWrite:
 		return true
 	default:
 		return false
@@ -77,7 +77,7 @@
 // other outcome draws on both, as what may have arrived counts as arrived. (Resets of
 // new connections were taken for not sent: 2,039 repeats in 10 s where the budget allows
 // 404, with replicas that reset 0.6 of what they have read.)
-func (o Outcome) NotSent() bool { return o == Unreached || o == Unaccepted }
+func (o Outcome) NotSent() bool { return o == ConnectFailed || o == ResetBeforeWrite }
 
 // EventKind tells the events apart.
 type EventKind uint8
@@ -146,8 +146,8 @@
 	CauseRejection
 	// CauseReset: the new connection of the one before was reset after it was written.
 	CauseReset
-	// CauseUnreached: the one before was not sent.
-	CauseUnreached
+	// CauseNotSent: the one before was not sent.
+	CauseNotSent
 )
 
 // causeNames are the names of the causes in logs and metrics.
@@ -157,24 +157,24 @@
 	CauseFailure:   "failure",
 	CauseRejection: "rejection",
 	CauseReset:     "reset",
-	CauseUnreached: "unreached",
+	CauseNotSent:   "unreached",
 }
 
 // String returns the name of a cause.
 func (c Cause) String() string { return causeNames[c] }
 
-// Causes is the number of causes.
-const Causes = len(causeNames)
+// NumCauses is the number of causes.
+const NumCauses = len(causeNames)
 
 // repeatCause is the cause of the sub-request that follows an outcome.
 func (o Outcome) repeatCause() Cause {
 	switch o {
-	case Shed, Draining, SnapshotNotHeld, Elsewhere:
+	case Shed, Draining, SnapshotNotHeld, Misdirected:
 		return CauseRejection
-	case Reset:
+	case ResetAfterWrite:
 		return CauseReset
-	case Unreached, Unaccepted:
-		return CauseUnreached
+	case ConnectFailed, ResetBeforeWrite:
+		return CauseNotSent
 	default:
 		return CauseFailure
 	}
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -125,7 +125,7 @@
 		{
 			name: "an attempt that reached no replica does not count", shards: 1, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unreached), reply(2*ms, 0, 1, Unreached), fired(42 * ms),
+				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), fired(42 * ms),
 				reply(43*ms, 0, 2, Failed), reply(44*ms, 0, 3, Failed),
 			},
 			want: []string{
@@ -143,8 +143,8 @@
 				row.Retry.Attempts = 1
 			},
 			events: []timedEvent{
-				reply(3*ms, 0, 0, Unaccepted), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(23 * ms),
-				reply(25*ms, 0, 1, Unaccepted), fired(65 * ms), reply(90*ms, 0, 2, Success),
+				reply(3*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(23 * ms),
+				reply(25*ms, 0, 1, ResetBeforeWrite), fired(65 * ms), reply(90*ms, 0, 2, Success),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms", "3ms timer 23ms",
@@ -165,7 +165,7 @@
 		{
 			name: "an answer does not wait for a shard whose replicas are gone", shards: 3, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unreached), reply(2*ms, 0, 1, Unreached), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
+				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -176,8 +176,8 @@
 		{
 			name: "it waits for one whose replicas accept no connection", shards: 3, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unaccepted), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
-				reply(22*ms, 0, 1, Unaccepted), fired(50 * ms),
+				reply(1*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
+				reply(22*ms, 0, 1, ResetBeforeWrite), fired(50 * ms),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms", "1ms timer 21ms",
@@ -191,7 +191,7 @@
 				plan.Shards[0].Budget = NewTokenBudget(0, 1)
 				plan.Shards[1].Budget = NewTokenBudget(0, 0)
 			},
-			events: []timedEvent{reply(3*ms, 0, 0, Reset), reply(4*ms, 1, 0, Reset), reply(5*ms, 0, 1, Reset)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite), reply(4*ms, 1, 0, ResetAfterWrite), reply(5*ms, 0, 1, ResetAfterWrite)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms finish 0",
 			},
@@ -200,7 +200,7 @@
 		{
 			name: "a reset of what was written uses an attempt up", shards: 1,
 			change: func(_ *Plan, row *policy.Row) { row.Retry.Attempts = 2 },
-			events: []timedEvent{reply(3*ms, 0, 0, Reset), reply(5*ms, 0, 1, Reset)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite), reply(5*ms, 0, 1, ResetAfterWrite)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms finish 0",
 			},
@@ -209,7 +209,7 @@
 		{
 			name: "what may run once is tried again where no connection was accepted", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Unaccepted), fired(23 * ms), reply(30*ms, 0, 1, Success)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetBeforeWrite), fired(23 * ms), reply(30*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms timer 23ms", "23ms send 0/1 in 77ms", "23ms timer 100ms", "30ms finish 0",
 			},
@@ -218,7 +218,7 @@
 		{
 			name: "what may run once is not tried again after a reset", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Reset)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "3ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
@@ -232,7 +232,7 @@
 		{
 			name: "what may run once is tried again after a proof that it has not run", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Elsewhere), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
+			events: []timedEvent{reply(3*ms, 0, 0, Misdirected), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms send 0/2 in 95ms", "9ms finish 0",
 			},
@@ -266,7 +266,7 @@
 	}
 	feed(Event{Kind: Started})
 	for !finished && sent < 100 {
-		feed(Event{Kind: Replied, Attempt: sent - 1, Outcome: Unreached})
+		feed(Event{Kind: Replied, Attempt: sent - 1, Outcome: ConnectFailed})
 		if !finished {
 			at = wake
 			feed(Event{Kind: TimerFired})
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -280,7 +280,7 @@
 func (s *shardState) noteGone(event Event) {
 	switch {
 	case event.Outcome == NoReplica: // nothing was tried
-	case event.Outcome == Unreached && !event.Busy:
+	case event.Outcome == ConnectFailed && !event.Busy:
 		s.gone++
 	default:
 		s.gone = 0
--- a/internal/lab/experiment/backend.go
+++ b/internal/lab/experiment/backend.go
@@ -92,7 +92,7 @@
 		request := b.queue[0]
 		b.queue = b.queue[1:]
 		if b.run.engine.Now() >= request.deadline {
-			b.answer(request, decision.DeadlinePassed)
+			b.answer(request, decision.DeadlineExceeded)
 			continue
 		}
 		b.serve(request)
--- a/internal/query/metrics.go
+++ b/internal/query/metrics.go
@@ -17,7 +17,7 @@
 	latency  prometheus.Histogram
 	restarts prometheus.Counter
 	// sent counts sub-requests by their cause.
-	sent [decision.Causes]prometheus.Counter
+	sent [decision.NumCauses]prometheus.Counter
 }
 
 func newServiceMetrics(registerer prometheus.Registerer) serviceMetrics {
--- a/internal/replica/forward_message.go
+++ b/internal/replica/forward_message.go
@@ -144,7 +144,7 @@
 		result.Outcome = decision.Crashed
 		result.Blame = 1 / float64(max(1, running))
 	}
-	if result.Outcome == decision.Elsewhere {
+	if result.Outcome == decision.Misdirected {
 		p.displace(handle)
 	}
 	p.learnReply(ctx, handle, result, started, terms)
@@ -164,15 +164,15 @@
 func classifyReply(reply *upstream.Reply, err error, scattered bool) SearchResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
-		return SearchResult{Outcome: decision.Unaccepted, NotRun: true, Err: err}
+		return SearchResult{Outcome: decision.ResetBeforeWrite, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrNotSent):
-		return SearchResult{Outcome: decision.Unreached, NotRun: true, Err: err}
+		return SearchResult{Outcome: decision.ConnectFailed, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrReset):
-		return SearchResult{Outcome: decision.Reset, Err: err}
+		return SearchResult{Outcome: decision.ResetAfterWrite, Err: err}
 	case err != nil:
 		return SearchResult{Outcome: decision.Failed, Err: err}
 	case reply.Elsewhere:
-		return SearchResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("another process is at the address")}
+		return SearchResult{Outcome: decision.Misdirected, NotRun: true, Err: eris.New("another process is at the address")}
 	case reply.NotRun:
 		return SearchResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
 	case reply.Signature == "":
@@ -213,10 +213,10 @@
 		terms.Usual.record(handle.distance, elapsed)
 	}
 	ended := Ended{Outcome: result.Outcome, GivenUp: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
-	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
+	if result.Outcome == decision.ConnectFailed && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
 		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
 	}
-	if result.Outcome == decision.Reset || result.Outcome == decision.Crashed {
+	if result.Outcome == decision.ResetAfterWrite || result.Outcome == decision.Crashed {
 		ended.Outcome = decision.Failed // it may be a fault of the replica, and others may have none
 	}
 	if errors.Is(result.Err, syscall.ECONNRESET) {
--- a/internal/replica/forward_server.go
+++ b/internal/replica/forward_server.go
@@ -71,10 +71,10 @@
 
 // refusalReasons is the inverse of refusalOutcome.
 var refusalReasons = map[decision.Outcome]backendapi.RefusalReason{
-	decision.Shed:            backendapi.RefusedShed,
-	decision.Draining:        backendapi.RefusedDraining,
-	decision.SnapshotNotHeld: backendapi.RefusedSnapshotNotHeld,
-	decision.DeadlinePassed:  backendapi.RefusedDeadlinePassed,
+	decision.Shed:             backendapi.RefusedShed,
+	decision.Draining:         backendapi.RefusedDraining,
+	decision.SnapshotNotHeld:  backendapi.RefusedSnapshotNotHeld,
+	decision.DeadlineExceeded: backendapi.RefusedDeadlinePassed,
 }
 
 func (s *ForwardServer) call(ctx context.Context, handle *Handle, request backendapi.CallRequest) (peer.ForwardReply, error) {
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -83,7 +83,7 @@
 		{"its own 500", signed(500), decision.Failed, decision.Failed, false, true},
 		{"its own 404", signed(404), decision.Success, decision.Failed, false, true},
 		{"unsigned 503", unsigned(503, false), decision.Invalid, decision.Invalid, false, false},
-		{"another process", unsigned(421, false), decision.Elsewhere, decision.Elsewhere, true, false},
+		{"another process", unsigned(421, false), decision.Misdirected, decision.Misdirected, true, false},
 		{"breaks off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, decision.Failed, decision.Failed, false, false},
 	}
 	for _, test := range cases {
@@ -115,7 +115,7 @@
 	pool := messagePool(t, board, nil)
 	acquired := pool.AcquireFor(testGroup, allTerms(), nil)
 	got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
-	if got.Outcome != decision.Unreached || !got.NotRun {
+	if got.Outcome != decision.ConnectFailed || !got.NotRun {
 		t.Errorf("outcome %v, not run %v", got.Outcome, got.NotRun)
 	}
 }
@@ -338,7 +338,7 @@
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
+		v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.ConnectFailed, Err: err}, v.now, v.terms)
 	}
 	if near.Candidate(v.now).Ejected {
 		t.Error("ejected for this node's own limit")
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -46,7 +46,7 @@
 type poolMetrics struct {
 	// chosen counts sub-requests of messages by the distance of the replica.
 	chosen      [topology.OtherRegion + 1]struct{ first, further prometheus.Counter }
-	outcomes    [decision.Outcomes]prometheus.Counter
+	outcomes    [decision.NumOutcomes]prometheus.Counter
 	calls       *prometheus.CounterVec
 	connections prometheus.Gauge
 	opened      prometheus.Counter
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -55,7 +55,7 @@
 		{"shed", refused(http.StatusTooManyRequests, backendapi.RefusedShed, true), decision.Shed, true},
 		{"draining", refused(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), decision.Draining, true},
 		{"snapshot not held", refused(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), decision.SnapshotNotHeld, true},
-		{"deadline passed", refused(http.StatusServiceUnavailable, backendapi.RefusedDeadlinePassed, true), decision.DeadlinePassed, true},
+		{"deadline passed", refused(http.StatusServiceUnavailable, backendapi.RefusedDeadlinePassed, true), decision.DeadlineExceeded, true},
 		{"refusal that ran", refused(http.StatusTooManyRequests, backendapi.RefusedShed, false), decision.Failed, false},
 		{"refusal with a strange status", refused(http.StatusBadGateway, backendapi.RefusedShed, true), decision.Failed, false},
 		{"503 without a refusal", write503, decision.Failed, false},
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -135,7 +135,7 @@
 	case backendapi.RefusedSnapshotNotHeld:
 		return decision.SnapshotNotHeld
 	case backendapi.RefusedDeadlinePassed:
-		return decision.DeadlinePassed
+		return decision.DeadlineExceeded
 	default:
 		return decision.Failed
 	}
