--- a/internal/decision/crash_test.go
+++ b/internal/decision/crash_test.go
@@ -20,7 +20,7 @@
 }
 
 func ended(at time.Duration, shard, attempt int, blame float64) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: blame}}
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: blame}}
 }
 
 // TestAQueryThatEndsReplicasEnds: what was sent together counts once, then two canaries at
@@ -89,10 +89,10 @@
 	t.Run("one of the first", func(t *testing.T) {
 		query := New(cautiousPlan(3, nil))
 		query.Step(0, Event{Kind: Started})
-		query.Step(2*ms, Event{Kind: Replied, Shard: 1, Outcome: Success})
+		query.Step(2*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Success})
 		sent := 0
 		for _, shard := range []int{0, 2} {
-			for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1}) {
+			for _, action := range query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 1}) {
 				if action.Kind == Send {
 					sent++
 				}
@@ -105,8 +105,8 @@
 	t.Run("a replica's own failure", func(t *testing.T) {
 		query := New(cautiousPlan(2, nil))
 		query.Step(0, Event{Kind: Started})
-		query.Step(3*ms, Event{Kind: Replied, Shard: 0, Outcome: Crashed, Attribution: 1})
-		query.Step(4*ms, Event{Kind: Replied, Shard: 1, Outcome: Failed, Survived: true})
+		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: 0, Outcome: Crashed, Attribution: 1})
+		query.Step(4*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Failed, Survived: true})
 		if _, survived := query.CrashEvidence(); !survived {
 			t.Error("the answer does not clear the query")
 		}
@@ -124,7 +124,7 @@
 		t.Fatalf("actions at the start: %+v", query.actions)
 	}
 	sent := 0
-	for _, action := range query.Step(5*ms, Event{Kind: Replied, Shard: canary.Shard, Outcome: Success}) {
+	for _, action := range query.Step(5*ms, Event{Kind: AttemptCompleted, Shard: canary.Shard, Outcome: Success}) {
 		if action.Kind == Send {
 			sent++
 		}
@@ -141,7 +141,7 @@
 		query := New(cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
 		canary := query.Step(0, Event{Kind: Started})[0]
 		sent := 0
-		for _, action := range query.Step(2*ms, Event{Kind: Replied, Shard: canary.Shard, Outcome: outcome}) {
+		for _, action := range query.Step(2*ms, Event{Kind: AttemptCompleted, Shard: canary.Shard, Outcome: outcome}) {
 			if action.Kind == Send {
 				sent++
 			}
@@ -158,10 +158,10 @@
 	query := New(cautiousPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
-		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 0.5})
+		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 0.5})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
+		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canary, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
 	}
 	if found, _ := query.CrashEvidence(); found.Incidents != 3 || query.finished {
 		t.Errorf("evidence %+v, finished %v", found, query.finished)
@@ -175,7 +175,7 @@
 	query.Step(0, Event{Kind: Started})
 	sent := 0
 	for shard := range 2 {
-		for _, action := range query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1}) {
+		for _, action := range query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 1}) {
 			if action.Kind == Send {
 				sent++
 			}
@@ -191,10 +191,10 @@
 	query := New(cautiousPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
-		query.Step(3*ms, Event{Kind: Replied, Shard: shard, Outcome: Crashed, Attribution: 1})
+		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 1})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: Replied, Shard: query.canary, Attempt: query.shards[query.canary].sent - 1, Outcome: Crashed, Attribution: 1})
+		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canary, Attempt: query.shards[query.canary].sent - 1, Outcome: Crashed, Attribution: 1})
 	}
 	if !query.AbortPending() {
 		t.Fatal("not convicted")
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -86,14 +86,14 @@
 const (
 	// Started begins the query.
 	Started EventKind = iota
-	// Replied reports the outcome of one sub-request.
-	Replied
+	// AttemptCompleted reports the outcome of one sub-request.
+	AttemptCompleted
 	// TimerFired reports that the time of the last SetTimer has come.
 	TimerFired
-	// GaveUp reports that the caller no longer waits.
-	GaveUp
-	// TimeOver reports that the query must end now, though its deadline has not come.
-	TimeOver
+	// Canceled reports that the caller no longer waits.
+	Canceled
+	// Interrupted reports that the query must end now, though its deadline has not come.
+	Interrupted
 	// Dispatched reports to which replica a Send went, by its HedgeDelay.
 	Dispatched
 	// EvidenceDisputed reports that what convicts the query may have been another's doing.
@@ -222,8 +222,8 @@
 	CompleteEnough
 	// DeadlineReached: the time is over.
 	DeadlineReached
-	// CallerGaveUp: nobody waits for the answer.
-	CallerGaveUp
+	// CallerCanceled: nobody waits for the answer.
+	CallerCanceled
 	// SnapshotLost: a shard's replicas no longer hold the pinned snapshot.
 	SnapshotLost
 	// ReplicasCrashed: the query is taken to be what ends the replicas that run it.
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -20,7 +20,7 @@
 }
 
 func busy(at time.Duration, shard, attempt int) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: NoReplica, Busy: true}}
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: NoReplica, Busy: true}}
 }
 
 func fired(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
@@ -155,7 +155,7 @@
 		},
 		{
 			name: "ends when its time is over before the deadline", shards: 3, change: answerBy,
-			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: TimeOver}}},
+			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: Interrupted}}},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
 				"20ms cancel 1/0", "20ms cancel 2/0", "20ms finish 2",
@@ -266,7 +266,7 @@
 	}
 	feed(Event{Kind: Started})
 	for !finished && sent < 100 {
-		feed(Event{Kind: Replied, Attempt: sent - 1, Outcome: ConnectFailed})
+		feed(Event{Kind: AttemptCompleted, Attempt: sent - 1, Outcome: ConnectFailed})
 		if !finished {
 			at = wake
 			feed(Event{Kind: TimerFired})
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -91,16 +91,16 @@
 	switch event.Kind {
 	case Started:
 		q.start(now)
-	case Replied:
+	case AttemptCompleted:
 		q.replied(now, event)
 	case TimerFired:
 		q.timerAt = never
 		if !q.isOver(now) {
 			q.fire(now)
 		}
-	case GaveUp:
-		q.finish(CallerGaveUp, client.MissingTimeout)
-	case TimeOver:
+	case Canceled:
+		q.finish(CallerCanceled, client.MissingTimeout)
+	case Interrupted:
 		q.finish(DeadlineReached, client.MissingTimeout)
 	case Dispatched:
 		q.dispatched(now, event)
--- a/internal/decision/query_test.go
+++ b/internal/decision/query_test.go
@@ -42,7 +42,7 @@
 }
 
 func reply(at time.Duration, shard, attempt int, outcome Outcome) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: outcome}}
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: outcome}}
 }
 
 func trace(query *Query, events []timedEvent) []string {
@@ -95,7 +95,7 @@
 		}
 	}
 	timer := func(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
-	lost := Event{Kind: Replied, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
+	lost := Event{Kind: AttemptCompleted, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
 	cases := []struct {
 		name   string
 		shards int
@@ -191,7 +191,7 @@
 		},
 		{
 			name: "caller gives up", shards: 1,
-			events: []timedEvent{{5 * ms, Event{Kind: GaveUp}}, reply(6*ms, 0, 0, Success)},
+			events: []timedEvent{{5 * ms, Event{Kind: Canceled}}, reply(6*ms, 0, 0, Success)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "5ms cancel 0/0", "5ms finish 3"},
 			status: []ShardStatus{{Reason: client.MissingTimeout}},
 		},
@@ -272,7 +272,7 @@
 		query := New(plan)
 		query.Step(0, Event{Kind: Started})
 		for shard := range shards {
-			query.Step(ms, Event{Kind: Replied, Shard: shard, Outcome: Success})
+			query.Step(ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Success})
 		}
 	}
 }
--- a/internal/decision/unsent_test.go
+++ b/internal/decision/unsent_test.go
@@ -21,7 +21,7 @@
 	if query.shards[0].sent != 2 {
 		t.Fatalf("%d sub-requests, want a hedge beside the first", query.shards[0].sent)
 	}
-	query.Step(12*ms, Event{Kind: Replied, Shard: 0, Attempt: 1, Outcome: ConnectFailed})
+	query.Step(12*ms, Event{Kind: AttemptCompleted, Shard: 0, Attempt: 1, Outcome: ConnectFailed})
 	for _, action := range query.Step(12*ms, Event{Kind: TimerFired}) {
 		if action.Kind == SetTimer && action.At <= 12*ms {
 			t.Errorf("the timer is set to %v at 12ms", action.At)
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -84,7 +84,7 @@
 	}
 	d.close(request, replica.Ended{Outcome: outcome, RetryAfter: retryAfter(outcome)})
 	request.query.step(decision.Event{
-		Kind: decision.Replied, Shard: request.shard, Attempt: request.number, Outcome: outcome,
+		Kind: decision.AttemptCompleted, Shard: request.shard, Attempt: request.number, Outcome: outcome,
 	})
 }
 
@@ -104,7 +104,7 @@
 	}
 	d.cancel(request)
 	request.query.step(decision.Event{
-		Kind: decision.Replied, Shard: request.shard, Attempt: request.number, Outcome: decision.Failed,
+		Kind: decision.AttemptCompleted, Shard: request.shard, Attempt: request.number, Outcome: decision.Failed,
 	})
 }
 
--- a/internal/lab/experiment/query.go
+++ b/internal/lab/experiment/query.go
@@ -80,7 +80,7 @@
 		case decision.Send:
 			if !q.send(action) {
 				unsent = append(unsent, decision.Event{
-					Kind: decision.Replied, Shard: action.Shard, Attempt: action.Attempt, Outcome: decision.NoReplica,
+					Kind: decision.AttemptCompleted, Shard: action.Shard, Attempt: action.Attempt, Outcome: decision.NoReplica,
 				})
 			}
 		case decision.Cancel:
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -255,7 +255,7 @@
 	if answer.Late || r.core.Answered() < len(r.shards) {
 		answer.Trace = r.trace()
 	}
-	if r.reason == decision.CallerGaveUp {
+	if r.reason == decision.CallerCanceled {
 		return answer, failure.New(failure.Canceled, "the caller gave up")
 	}
 	if r.reason == decision.ReplicasCrashed {
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -195,10 +195,10 @@
 // leave describes the end of a request's context.
 func (r *run) leave(ctx context.Context) decision.Event {
 	if errors.Is(context.Cause(ctx), ErrStopping) {
-		return decision.Event{Kind: decision.TimeOver}
+		return decision.Event{Kind: decision.Interrupted}
 	}
 	r.abandoned = true
-	return decision.Event{Kind: decision.GaveUp}
+	return decision.Event{Kind: decision.Canceled}
 }
 
 // noteHalf notes when half of the shards have answered.
@@ -222,7 +222,7 @@
 	ended.rejected = outcome == decision.Shed
 	ended.cancel()
 	event := decision.Event{
-		Kind: decision.Replied, Shard: result.Shard, Attempt: result.Attempt,
+		Kind: decision.AttemptCompleted, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
 		Survived: result.Result.Part != nil, Attribution: result.Result.Blame,
@@ -307,7 +307,7 @@
 			shard.attempts = append(shard.attempts, attempt{cancel: func() {}, ended: decision.NoReplica.String()})
 		}
 		return append(arisen, decision.Event{
-			Kind: decision.Replied, Shard: action.Shard, Attempt: action.Attempt,
+			Kind: decision.AttemptCompleted, Shard: action.Shard, Attempt: action.Attempt,
 			Outcome: decision.NoReplica, Busy: acquired.Busy,
 		})
 	}
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -279,7 +279,7 @@
 	nothing := coverage.Asked > 0 && coverage.Answered == 0
 	least := max(request.row.Completeness.Least, request.query.LeastCoverage)
 	switch {
-	case last.reason == decision.CallerGaveUp:
+	case last.reason == decision.CallerCanceled:
 		return failure.New(failure.Canceled, "the caller gave up").WithNotRun(notRun)
 	case last.reason == decision.SnapshotLost:
 		return failure.New(failure.SnapshotLost, fmt.Sprintf("snapshot %d was retired", last.snapshot.ID)).WithNotRun(notRun)
