--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if !q.mayHedge(state) {
-		state.diagnosis.NoHedge = q.whyNoHedge(state)
+		state.diagnosis.HedgeDenial = q.whyNoHedge(state)
 		return
 	}
 	state.nextAt = now + event.HedgeDelay
@@ -34,7 +34,7 @@
 
 // mayHedge is true while another attempt beside those in flight is allowed.
 func (q *Query) mayHedge(state *shardState) bool {
-	return !q.plan.RunsOnce && !q.plan.NoHedges && !state.hedgeOff && state.attempts < q.attemptLimit() && state.sent < maxAttempts
+	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgeOff && state.attempts < q.attemptLimit() && state.sent < maxAttempts
 }
 
 // whyNoHedge explains mayHedge.
@@ -43,7 +43,7 @@
 	case q.plan.NoHedges:
 		return DeniedOverload
 	case state.hedgeOff:
-		return DeniedReplicas
+		return DeniedNoReplica
 	default:
 		return DeniedAttempts
 	}
@@ -63,11 +63,11 @@
 func (q *Query) postpone(now time.Duration, state *shardState, shard int) bool {
 	state.sent--
 	state.attempts--
-	wait := min(max(q.plan.Shards[shard].Expected/busyShare, busyAtLeast), busyAtMost)
+	wait := min(max(q.plan.Shards[shard].ExpectedLatency/busyShare, busyAtLeast), busyAtMost)
 	if state.inFlight == 0 && !q.mayAttempt(now+wait, shard) {
 		return false
 	}
-	if q.plan.OfferBy > 0 && len(q.shards) == 1 && state.attempts == 0 && now+wait > q.plan.OfferBy {
+	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+wait > q.plan.DispatchDeadline {
 		return false
 	}
 	state.nextAt = now + wait
@@ -142,7 +142,7 @@
 	if outcome == DeadlineExceeded || !q.mayAttempt(now, shard) {
 		return false
 	}
-	if q.plan.RunsOnce && !outcome.provesNotRun() {
+	if q.plan.AtMostOnce && !outcome.provesNotRun() {
 		return false
 	}
 	return q.withdraw(shard)
@@ -152,13 +152,13 @@
 	if q.shards[shard].attempts >= q.attemptLimit() || q.shards[shard].sent >= maxAttempts {
 		return false
 	}
-	return now+q.plan.Shards[shard].Expected < min(q.plan.Deadline, q.graceAt, q.answerBy(now))
+	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceAt, q.answerBy(now))
 }
 
 // answerBy is when the query ends if no more shards answer.
 func (q *Query) answerBy(now time.Duration) time.Duration {
-	if q.mayAnswer() && now < q.plan.AnswerBy {
-		return q.plan.AnswerBy
+	if q.mayAnswer() && now < q.plan.SoftDeadline {
+		return q.plan.SoftDeadline
 	}
 	return never
 }
@@ -192,11 +192,11 @@
 		}
 		switch {
 		case !q.mayAttempt(now, i):
-			state.diagnosis.NoHedge = DeniedTime
+			state.diagnosis.HedgeDenial = DeniedDeadline
 		case q.withdrawHedge(i):
 			q.send(now, i, CauseHedge)
 		default:
-			state.diagnosis.NoHedge = DeniedBudget
+			state.diagnosis.HedgeDenial = DeniedBudget
 			state.nextAt = now + state.nextDelay // the budget may be better off then
 		}
 	}
@@ -216,7 +216,7 @@
 		state.hold()
 		return
 	}
-	state.diagnosis.NoHedge = DeniedCrashes
+	state.diagnosis.HedgeDenial = DeniedCrashes
 	state.nextAt = now + max(state.nextDelay, busyAtMost)
 }
 
--- a/internal/decision/crash.go
+++ b/internal/decision/crash.go
@@ -209,7 +209,7 @@
 	switch {
 	case state.attempts == 0 && state.sent < maxAttempts:
 		q.send(now, shard, CauseFirst)
-	case !q.plan.RunsOnce && q.mayAttempt(now, shard) && q.withdraw(shard):
+	case !q.plan.AtMostOnce && q.mayAttempt(now, shard) && q.withdraw(shard):
 		q.send(now, shard, CauseFailure)
 	default:
 		q.settleShard(shard)
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -10,8 +10,8 @@
 
 // answerBy makes a plan that answers after 50 ms with two of its shards.
 func answerBy(plan *Plan, row *policy.Row) {
-	plan.AnswerBy = 50 * ms
-	plan.LeastShards = min(2, len(plan.Shards))
+	plan.SoftDeadline = 50 * ms
+	plan.MinShards = min(2, len(plan.Shards))
 	row.Retry.Attempts = 2
 }
 
@@ -79,7 +79,7 @@
 			name: "sends no hedge that could not answer in time", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				answerBy(plan, row)
-				plan.Shards[2].Expected = 20 * ms
+				plan.Shards[2].ExpectedLatency = 20 * ms
 			},
 			events: []timedEvent{
 				dispatched(0, 2, 0, 35*ms), reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), fired(35 * ms),
@@ -103,7 +103,7 @@
 		},
 		{
 			name: "a request of one shard that cannot be offered soon ends without having run", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.OfferBy = 5 * ms },
+			change: func(plan *Plan, _ *policy.Row) { plan.DispatchDeadline = 5 * ms },
 			events: []timedEvent{busy(0, 0, 0), fired(2 * ms), busy(2*ms, 0, 0), fired(4 * ms), busy(4*ms, 0, 0)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "0s timer 2ms", "2ms send 0/0 in 98ms", "2ms timer 100ms",
@@ -138,7 +138,7 @@
 			name: "a connection that was not accepted is tried again later, whatever the budget", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				answerBy(plan, row)
-				plan.LeastShards = 3
+				plan.MinShards = 3
 				plan.Shards[0].Budget = NewTokenBudget(0, 0)
 				row.Retry.Attempts = 1
 			},
@@ -208,7 +208,7 @@
 		},
 		{
 			name: "what may run once is tried again where no connection was accepted", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, ResetBeforeWrite), fired(23 * ms), reply(30*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms timer 23ms", "23ms send 0/1 in 77ms", "23ms timer 100ms", "30ms finish 0",
@@ -217,21 +217,21 @@
 		},
 		{
 			name: "what may run once is not tried again after a reset", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "3ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
 			name: "what may run once is not hedged, nor tried again after an unclear end", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{dispatched(0, 0, 0, 10*ms), reply(30*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "30ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
 			name: "what may run once is tried again after a proof that it has not run", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, Misdirected), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms send 0/2 in 95ms", "9ms finish 0",
--- a/internal/decision/plan.go
+++ b/internal/decision/plan.go
@@ -11,16 +11,16 @@
 type ShardPlan struct {
 	Index string
 	// Shard counts from 0 to Shards-1 inside its index.
-	Shard  int
-	Shards int
+	Shard      int
+	ShardCount int
 	// Group names the replicas that hold the shard.
 	Group string
 	// HedgeDelay is the wait after which a second replica is asked; 0 means
 	// that no hedge is sent.
 	HedgeDelay time.Duration
-	// Expected is the usual time of a reply, 0 if unknown. An attempt that
+	// ExpectedLatency is the usual time of a reply, 0 if unknown. An attempt that
 	// could not answer before the deadline is not sent.
-	Expected time.Duration
+	ExpectedLatency time.Duration
 	// Budget grants hedges and retries to this shard's replicas; nil grants
 	// none.
 	Budget Budget
@@ -32,21 +32,21 @@
 	Policy *policy.Row
 	// Deadline is counted from the query's start.
 	Deadline time.Duration
-	// AnswerBy, counted from the query's start, is the time from which on the
+	// SoftDeadline, counted from the query's start, is the time from which on the
 	// query ends as soon as LeastShards have answered: by then waiting for the
 	// rest costs more than they add. 0 means that it always waits for the rest.
-	AnswerBy time.Duration
-	// LeastShards is the number of shards without which there is no answer; the
+	SoftDeadline time.Duration
+	// MinShards is the number of shards without which there is no answer; the
 	// query ends at once when it can no longer be reached. 0 means that any
 	// number is an answer.
-	LeastShards int
-	// OfferBy, counted from the query's start, is the time by which a query of
+	MinShards int
+	// DispatchDeadline, counted from the query's start, is the time by which a query of
 	// one shard must have been sent to a replica, or ends without having run: a
 	// caller that is told soon can come back in time. 0 means that it waits.
-	OfferBy time.Duration
-	// RunsOnce is true when no sub-request may run twice: there are no hedges,
+	DispatchDeadline time.Duration
+	// AtMostOnce is true when no sub-request may run twice: there are no hedges,
 	// and another attempt is made only after proof that none has run.
-	RunsOnce bool
+	AtMostOnce bool
 	// NoHedges is true while the replicas have more to do than they bear: hedges
 	// would add to that.
 	NoHedges bool
@@ -74,8 +74,8 @@
 type ShardDiagnosis struct {
 	// AnsweredAt counts from the query's start; 0 means that it has not answered.
 	AnsweredAt time.Duration
-	// NoHedge is why a hedge that was due was not sent, the last time.
-	NoHedge HedgeDenial
+	// HedgeDenial is why a hedge that was due was not sent, the last time.
+	HedgeDenial HedgeDenial
 }
 
 // HedgeDenial is why a hedge was not sent.
@@ -87,12 +87,12 @@
 	DeniedBudget HedgeDenial = "budget"
 	// DeniedOverload: the replicas had more to do than they bear.
 	DeniedOverload HedgeDenial = "overload"
-	// DeniedTime: it could not have answered in time.
-	DeniedTime HedgeDenial = "time"
+	// DeniedDeadline: it could not have answered in time.
+	DeniedDeadline HedgeDenial = "time"
 	// DeniedAttempts: the policy's attempts were used up.
 	DeniedAttempts HedgeDenial = "attempts"
 	// DeniedCrashes: replicas ended while they ran the query.
 	DeniedCrashes HedgeDenial = "ended"
-	// DeniedReplicas: no other replica was fit to be asked.
-	DeniedReplicas HedgeDenial = "replicas"
+	// DeniedNoReplica: no other replica was fit to be asked.
+	DeniedNoReplica HedgeDenial = "replicas"
 )
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -195,7 +195,7 @@
 	q.otherSnapshot = q.otherSnapshot || event.OtherSnapshot
 	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
 	if event.Outcome == NoReplica {
-		state.diagnosis.NoHedge = DeniedReplicas
+		state.diagnosis.HedgeDenial = DeniedNoReplica
 		state.hedgeOff = true
 		state.nextAt = never
 	}
@@ -268,7 +268,7 @@
 // isOver is true when the time has come to end, whatever has answered: nothing
 // is sent any more then.
 func (q *Query) isOver(now time.Duration) bool {
-	answerNow := q.mayAnswer() && now >= q.plan.AnswerBy
+	answerNow := q.mayAnswer() && now >= q.plan.SoftDeadline
 	return now >= q.plan.Deadline || now >= q.graceAt || answerNow
 }
 
@@ -303,13 +303,13 @@
 // outOfReach is true when too few shards can still answer.
 func (q *Query) outOfReach() bool {
 	lost := q.settled - q.answered
-	return q.plan.LeastShards > 0 && len(q.shards)-lost < q.plan.LeastShards
+	return q.plan.MinShards > 0 && len(q.shards)-lost < q.plan.MinShards
 }
 
 // mayAnswer is true when the plan names a time to answer and enough shards
 // have answered.
 func (q *Query) mayAnswer() bool {
-	return q.plan.AnswerBy > 0 && q.answered > 0 && q.answered >= q.plan.LeastShards
+	return q.plan.SoftDeadline > 0 && q.answered > 0 && q.answered >= q.plan.MinShards
 }
 
 func (q *Query) settledReason() FinishReason {
@@ -325,7 +325,7 @@
 func (q *Query) setTimer() {
 	next := min(q.plan.Deadline, q.graceAt, q.verdictAt)
 	if q.mayAnswer() {
-		next = min(next, q.plan.AnswerBy)
+		next = min(next, q.plan.SoftDeadline)
 	}
 	if q.timerAt == never {
 		for i := range q.shards {
--- a/internal/decision/query_test.go
+++ b/internal/decision/query_test.go
@@ -27,7 +27,7 @@
 	plan := Plan{Policy: row, Deadline: 100 * ms}
 	for i := range shards {
 		plan.Shards = append(plan.Shards, ShardPlan{
-			Index: "cards", Shard: i, Shards: shards, Group: fmt.Sprint("g", i), Budget: NewTokenBudget(0, 2),
+			Index: "cards", Shard: i, ShardCount: shards, Group: fmt.Sprint("g", i), Budget: NewTokenBudget(0, 2),
 		})
 	}
 	if change != nil {
@@ -139,7 +139,7 @@
 			change: func(plan *Plan, row *policy.Row) {
 				hedged(plan, row)
 				plan.Shards[0].Budget = &lateBudget{refusals: 1}
-				plan.Shards[0].Expected = 75 * ms
+				plan.Shards[0].ExpectedLatency = 75 * ms
 			},
 			events: []timedEvent{timer(10 * ms), timer(20 * ms), timer(30 * ms), timer(100 * ms)},
 			want: []string{
@@ -158,7 +158,7 @@
 		},
 		{
 			name: "no retry that could not answer in time", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.Shards[0].Expected = 20 * ms },
+			change: func(plan *Plan, _ *policy.Row) { plan.Shards[0].ExpectedLatency = 20 * ms },
 			events: []timedEvent{reply(80*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "80ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -12,17 +12,17 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// Selected is which shards of a snapshot a query asks. Together, Asked and
+// ShardSelection is which shards of a snapshot a query asks. Together, Asked and
 // NotAsked name each shard of the searched indexes once.
-type Selected struct {
+type ShardSelection struct {
 	Asked    []ShardPlan
 	NotAsked []client.ShardReport
 }
 
 // SelectShards applies a policy's shard selection. The same query ID gives
 // the same choice. Hedge delays and budgets are left for the caller to fill.
-func SelectShards(snapshot *catalogue.Snapshot, row *policy.Row, query *client.Query, queryID string) Selected {
-	selected := Selected{Asked: make([]ShardPlan, 0, snapshot.Shards())}
+func SelectShards(snapshot *catalogue.Snapshot, row *policy.Row, query *client.Query, queryID string) ShardSelection {
+	selected := ShardSelection{Asked: make([]ShardPlan, 0, snapshot.Shards())}
 	for i := range snapshot.Indexes {
 		index := &snapshot.Indexes[i]
 		if len(query.Indexes) > 0 && !slices.Contains(query.Indexes, index.Name) {
@@ -36,7 +36,7 @@
 	return selected
 }
 
-func (s *Selected) addIndex(index *catalogue.Index, row *policy.Row, query *client.Query) {
+func (s *ShardSelection) addIndex(index *catalogue.Index, row *policy.Row, query *client.Query) {
 	shards := len(index.Groups)
 	skipped := indexWeight(row, index.Name) == 0
 	keyed := query.Card != "" && row.Shards.Selection != policy.SelectBroadcast && shards > 0
@@ -51,12 +51,12 @@
 		case keyed && shard != holder:
 			s.leaveOut(index.Name, shard, client.NotAskedKey)
 		default:
-			s.Asked = append(s.Asked, ShardPlan{Index: index.Name, Shard: shard, Shards: shards, Group: group})
+			s.Asked = append(s.Asked, ShardPlan{Index: index.Name, Shard: shard, ShardCount: shards, Group: group})
 		}
 	}
 }
 
-func (s *Selected) leaveOut(index string, shard int, reason client.MissingReason) {
+func (s *ShardSelection) leaveOut(index string, shard int, reason client.MissingReason) {
 	s.NotAsked = append(s.NotAsked, client.ShardReport{Index: index, Shard: shard, Reason: reason})
 }
 
@@ -71,7 +71,7 @@
 // sample keeps a weighted share of the asked shards: each draws an
 // exponential variate of its weight from a hash, and the least are kept
 // (Efraimidis and Spirakis, 2006).
-func (s *Selected) sample(row *policy.Row, queryID string) {
+func (s *ShardSelection) sample(row *policy.Row, queryID string) {
 	keep := int(math.Ceil(row.Shards.Fraction * float64(len(s.Asked))))
 	if keep >= len(s.Asked) {
 		return
--- a/internal/lab/experiment/query.go
+++ b/internal/lab/experiment/query.go
@@ -63,7 +63,7 @@
 func (q *query) plan() decision.Plan {
 	shards := make([]decision.ShardPlan, len(q.shards))
 	for i := range shards {
-		shards[i] = decision.ShardPlan{Shard: i, Shards: len(shards), Group: strconv.Itoa(i)}
+		shards[i] = decision.ShardPlan{Shard: i, ShardCount: len(shards), Group: strconv.Itoa(i)}
 		q.daemon.router.plan(i, &shards[i], q.row)
 	}
 	return decision.Plan{Shards: shards, Policy: q.row, Deadline: time.Duration(q.row.Wait.Timeout)}
--- a/internal/query/coverage.go
+++ b/internal/query/coverage.go
@@ -10,7 +10,7 @@
 
 // buildCoverage states what was searched. A shard counts as answered only
 // when the core has seen its whole, checked reply.
-func buildCoverage(snapshot *catalogue.Snapshot, query *client.Query, selected decision.Selected, status func(int) decision.ShardStatus) client.Coverage {
+func buildCoverage(snapshot *catalogue.Snapshot, query *client.Query, selected decision.ShardSelection, status func(int) decision.ShardStatus) client.Coverage {
 	coverage := client.Coverage{Indexes: []client.IndexCoverage{}}
 	places := make(map[string]int, len(snapshot.Indexes))
 	for i := range snapshot.Indexes {
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -196,13 +196,13 @@
 	route := forwarding.Route
 	plan := decision.Plan{
 		Shards: s.forwardShards(route, groups, terms.Usual), Policy: route.Policy, Deadline: deadline,
-		LeastShards: route.LeastShards, RunsOnce: !route.Repeatable, NoHedges: overloaded,
+		MinShards: route.LeastShards, AtMostOnce: !route.Repeatable, NoHedges: overloaded,
 		CrashDetection: s.endsPlan(forwarding, known),
 	}
 	if !route.Scattered() {
-		plan.OfferBy = time.Duration(offerShare * float64(route.Objective))
+		plan.DispatchDeadline = time.Duration(offerShare * float64(route.Objective))
 	} else {
-		plan.AnswerBy = time.Duration(answerShare * float64(route.Objective))
+		plan.SoftDeadline = time.Duration(answerShare * float64(route.Objective))
 	}
 	forward := &forwardRun{forwarding: forwarding, terms: terms}
 	forward.run = s.newRun(plan, forward)
@@ -216,8 +216,8 @@
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
-			Index: route.Name, Shard: i, Shards: len(groups), Group: group,
-			Budget: s.options.Pool.BudgetOf(group, route.Policy), Expected: expected,
+			Index: route.Name, Shard: i, ShardCount: len(groups), Group: group,
+			Budget: s.options.Pool.BudgetOf(group, route.Policy), ExpectedLatency: expected,
 		}
 	}
 	return shards
@@ -226,8 +226,8 @@
 func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.Acquired {
 	r.terms.Canary = canary
 	acquired := r.service.options.Pool.AcquireFor(shard.Group, &r.terms, tried)
-	if acquired.Handle != nil && r.plan.AnswerBy > 0 {
-		left := r.plan.AnswerBy - r.elapsed()
+	if acquired.Handle != nil && r.plan.SoftDeadline > 0 {
+		left := r.plan.SoftDeadline - r.elapsed()
 		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.LateAtMost())
 	}
 	return acquired
@@ -265,9 +265,9 @@
 		return r.concludePlain(answer)
 	}
 	answered := r.core.Answered()
-	if answered == 0 || answered < r.plan.LeastShards {
+	if answered == 0 || answered < r.plan.MinShards {
 		return answer, r.refusal(fmt.Sprintf("%d of %d shards answered, %d are needed",
-			answered, len(r.shards), max(1, r.plan.LeastShards)))
+			answered, len(r.shards), max(1, r.plan.MinShards)))
 	}
 	parts := make([][]byte, 0, answered)
 	for i := range r.shards {
@@ -317,13 +317,13 @@
 	var traced []ShardTrace
 	for i := range r.shards {
 		shard, status, diagnosis := &r.shards[i], r.core.Status(i), r.core.Diagnosis(i)
-		inTime := r.plan.AnswerBy == 0 || diagnosis.AnsweredAt <= r.plan.AnswerBy
+		inTime := r.plan.SoftDeadline == 0 || diagnosis.AnsweredAt <= r.plan.SoftDeadline
 		if status.Answered && len(shard.attempts) == 1 && inTime {
 			continue
 		}
 		described := ShardTrace{
 			Group: r.plan.Shards[i].Group, Reason: string(status.Reason),
-			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), NoHedge: diagnosis.NoHedge,
+			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), NoHedge: diagnosis.HedgeDenial,
 		}
 		if shard.err != nil {
 			described.Error = shard.err.Error()
@@ -374,7 +374,7 @@
 	}
 	onTime := r.sentBy(time.Duration(delayShare * float64(objective)))
 	ended.Objective = objective
-	ended.Strained = onTime < max(1, r.plan.LeastShards) || half > time.Duration(strainShare*float64(objective))
+	ended.Strained = onTime < max(1, r.plan.MinShards) || half > time.Duration(strainShare*float64(objective))
 	return ended
 }
 
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -82,7 +82,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			plan := decision.Plan{
-				Shards: make([]decision.ShardPlan, len(test.shards)), LeastShards: test.least, Policy: &policy.Row{},
+				Shards: make([]decision.ShardPlan, len(test.shards)), MinShards: test.least, Policy: &policy.Row{},
 			}
 			under := &forwardRun{
 				run:        &run{plan: plan, core: decision.New(plan), shards: test.shards},
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -16,7 +16,7 @@
 	*run
 	request  *request
 	snapshot *catalogue.Snapshot
-	selected decision.Selected
+	selected decision.ShardSelection
 }
 
 // newSearchRun plans a run; deadline is the time left from now on.
@@ -48,7 +48,7 @@
 	query := &r.request.query
 	return &backendapi.SearchRequest{
 		QueryID: r.request.id, Attempt: action.Attempt, Snapshot: r.snapshot.ID,
-		Index: plan.Index, Shard: plan.Shard, Shards: plan.Shards,
+		Index: plan.Index, Shard: plan.Shard, Shards: plan.ShardCount,
 		Phrase: query.Phrase, Card: query.Card, Order: query.Order, Limit: query.Limit,
 		TimeoutMilliseconds: max(1, action.Timeout.Milliseconds()),
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -68,7 +68,7 @@
 			shard.HedgeDelay = max(usual, time.Duration(row.Wait.HedgeFloor))
 		}
 	}
-	shard.Expected = g.LatencyQuantile(expectedQuantile)
+	shard.ExpectedLatency = g.LatencyQuantile(expectedQuantile)
 }
 
 // AllEjected is true when no replica of a group is left that is not ejected, of those
