--- a/internal/decision/choice.go
+++ b/internal/decision/choice.go
@@ -24,17 +24,17 @@
 	// BackingOff is true until the time to come back that the replica named
 	// when it last refused for load.
 	BackingOff bool
-	// Silent is true while it holds requests and has answered none for longer
+	// Unresponsive is true while it holds requests and has answered none for longer
 	// than is usual.
-	Silent bool
-	Tried  bool
-	// Barred is true when the request must not go there: it is bound to other regions.
-	Barred bool
+	Unresponsive bool
+	Tried        bool
+	// Excluded is true when the request must not go there: it is bound to other regions.
+	Excluded bool
 	// ConnectionAvailable is false when the connection budget is used up.
 	ConnectionAvailable bool
 }
 
-func (c *Candidate) usable() bool { return !c.Tried && !c.Barred && c.ConnectionAvailable }
+func (c *Candidate) usable() bool { return !c.Tried && !c.Excluded && c.ConnectionAvailable }
 
 // NoCandidate is what ChooseReplica returns when none can be used.
 const NoCandidate = -1
@@ -49,10 +49,10 @@
 	return chooseUpTo(passEjected, candidates, weights, random)
 }
 
-// ChooseAnother picks as ChooseReplica does for a hedge or a retry, which is
+// ChooseAlternate picks as ChooseReplica does for a hedge or a retry, which is
 // not sent to replicas that refuse or are ejected: it would most likely be
 // wasted, and multiply the load of an outage.
-func ChooseAnother(candidates []Candidate, weights policy.Replicas, random uint64) int {
+func ChooseAlternate(candidates []Candidate, weights policy.Replicas, random uint64) int {
 	return chooseUpTo(passSilent, candidates, weights, random)
 }
 
@@ -112,9 +112,9 @@
 	}
 	switch p {
 	case passRoom:
-		return !c.Ejected && !c.BackingOff && !c.Silent && c.InFlight < c.Limit
+		return !c.Ejected && !c.BackingOff && !c.Unresponsive && c.InFlight < c.Limit
 	case passSaturated:
-		return !c.Ejected && !c.BackingOff && !c.Silent
+		return !c.Ejected && !c.BackingOff && !c.Unresponsive
 	case passSilent:
 		return !c.Ejected && !c.BackingOff
 	case passBackingOff:
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -295,7 +295,7 @@
 	weights := policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}
 	room := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true}
 	saturated, silent, backing := room, room, room
-	saturated.InFlight, silent.Silent, backing.BackingOff = 2, true, true
+	saturated.InFlight, silent.Unresponsive, backing.BackingOff = 2, true, true
 	for _, test := range []struct {
 		name       string
 		candidates []Candidate
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -123,7 +123,7 @@
 	cold := with(near, func(c *Candidate) { c.Warmth = 0 })
 	backing := with(near, func(c *Candidate) { c.BackingOff = true })
 	busy := with(near, func(c *Candidate) { c.ReportedLoad = 9 })
-	barred := with(near, func(c *Candidate) { c.Barred = true })
+	barred := with(near, func(c *Candidate) { c.Excluded = true })
 	cases := []struct {
 		name       string
 		candidates []Candidate
@@ -177,7 +177,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			candidate := near
 			test.change(&candidate)
-			if got := ChooseAnother([]Candidate{candidate}, weights, 0); got != test.want {
+			if got := ChooseAlternate([]Candidate{candidate}, weights, 0); got != test.want {
 				t.Errorf("chose %d, want %d", got, test.want)
 			}
 		})
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -130,7 +130,7 @@
 	}
 	pick := decision.ChooseReplica
 	if len(tried) > 0 {
-		pick = decision.ChooseAnother
+		pick = decision.ChooseAlternate
 	}
 	chosen := pick(candidates, row.Replicas, r.daemon.run.engine.Random().Uint64())
 	if chosen == decision.NoCandidate {
--- a/internal/replica/forward_message.go
+++ b/internal/replica/forward_message.go
@@ -71,7 +71,7 @@
 	}
 	choose := decision.ChooseReplica
 	if len(tried) > 0 {
-		choose = decision.ChooseAnother
+		choose = decision.ChooseAlternate
 	}
 	now := p.options.Now()
 	busy, exhausted := false, true
@@ -80,7 +80,7 @@
 		if terms.Canary {
 			candidate.Limit = 1
 		}
-		untried := !candidate.Barred && !slices.Contains(tried, handle)
+		untried := !candidate.Excluded && !slices.Contains(tried, handle)
 		busy = busy || (untried && !candidate.ConnectionAvailable)
 		exhausted = exhausted && !untried
 		return candidate
@@ -116,10 +116,10 @@
 	usual := terms.Usual.At(h.distance)
 	candidate.LatencyEWMA = time.Duration(h.speed.slowness(age) / h.losses.kept(age) * float64(usual))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
-	candidate.Barred = !h.mayTake(terms, now)
+	candidate.Excluded = !h.mayTake(terms, now)
 	candidate.Warmth = 1 // the replica's own speed tells whether it is slow
 	candidate.Ejected = candidate.Ejected || h.vanished.Load()
-	candidate.Silent = h.silence.lasts(age, h.inFlight.Load()) > terms.lateAfter(h)
+	candidate.Unresponsive = h.silence.lasts(age, h.inFlight.Load()) > terms.lateAfter(h)
 	return candidate
 }
 
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -75,7 +75,7 @@
 // that the request may go to.
 func AllEjected(candidates []decision.Candidate) bool {
 	for i := range candidates {
-		if !candidates[i].Ejected && !candidates[i].Barred {
+		if !candidates[i].Ejected && !candidates[i].Excluded {
 			return false
 		}
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -308,7 +308,7 @@
 // there is none.
 func (p *Pool) Acquire(groupName string, weights policy.Replicas, tried []*Handle) *Handle {
 	if len(tried) > 0 {
-		return p.acquire(groupName, weights, tried, decision.ChooseAnother)
+		return p.acquire(groupName, weights, tried, decision.ChooseAlternate)
 	}
 	return p.acquire(groupName, weights, tried, decision.ChooseReplica)
 }
@@ -389,7 +389,7 @@
 			handle.Begin()
 			return handle
 		}
-		candidates[chosen].Barred = true // another request has taken its place meanwhile
+		candidates[chosen].Excluded = true // another request has taken its place meanwhile
 	}
 }
 
