--- a/internal/decision/budget.go
+++ b/internal/decision/budget.go
@@ -49,8 +49,8 @@
 	DeniedHedges  int64 `json:"denied_hedges"`
 }
 
-// Plus adds up what two budgets say.
-func (u BudgetUsage) Plus(other BudgetUsage) BudgetUsage {
+// Add adds up what two budgets say.
+func (u BudgetUsage) Add(other BudgetUsage) BudgetUsage {
 	return BudgetUsage{
 		Tokens: u.Tokens + other.Tokens, Burst: u.Burst + other.Burst,
 		FirstAttempts: u.FirstAttempts + other.FirstAttempts,
@@ -65,23 +65,23 @@
 // Denied counts the demands that were denied.
 func (u BudgetUsage) Denied() int64 { return u.DeniedRetries + u.DeniedHedges }
 
-// Spent tells whether not even a retry would be granted now.
-func (u BudgetUsage) Spent() bool { return u.Tokens < 1 }
+// Exhausted tells whether not even a retry would be granted now.
+func (u BudgetUsage) Exhausted() bool { return u.Tokens < 1 }
 
 // NewTokenBudget makes a full bucket: ratio tokens are earned by each first
 // attempt, and at most burst are saved up.
 func NewTokenBudget(ratio, burst float64) *TokenBudget {
-	return NewReservingBudget(ratio, burst, hedgeReserve)
+	return NewTokenBudgetWithReserve(ratio, burst, hedgeReserve)
 }
 
-// NewReservingBudget is NewTokenBudget with the share of the burst that hedges
+// NewTokenBudgetWithReserve is NewTokenBudget with the share of the burst that hedges
 // leave to retries.
-func NewReservingBudget(ratio, burst, reserve float64) *TokenBudget {
-	return NewFilledBudget(ratio, burst, burst, reserve)
+func NewTokenBudgetWithReserve(ratio, burst, reserve float64) *TokenBudget {
+	return NewTokenBudgetWithBalance(ratio, burst, burst, reserve)
 }
 
-// NewFilledBudget is NewReservingBudget with only so many tokens saved up at first.
-func NewFilledBudget(ratio, burst, saved, reserve float64) *TokenBudget {
+// NewTokenBudgetWithBalance is NewReservingBudget with only so many tokens saved up at first.
+func NewTokenBudgetWithBalance(ratio, burst, saved, reserve float64) *TokenBudget {
 	budget := &TokenBudget{reserve: reserve}
 	budget.Configure(ratio, burst)
 	budget.units.Store(int64(math.Round(saved * tokenScale)))
--- a/internal/decision/budget_test.go
+++ b/internal/decision/budget_test.go
@@ -5,7 +5,7 @@
 // TestAPartUnderOneTokenIsEarned: a node whose part of a slack is under one
 // token has none at its start, and saves up one from its own requests.
 func TestAPartUnderOneTokenIsEarned(t *testing.T) {
-	budget := NewReservingBudget(0.2, 0.4, 0.2)
+	budget := NewTokenBudgetWithReserve(0.2, 0.4, 0.2)
 	if budget.Withdraw() {
 		t.Fatal("a retry from less than one token")
 	}
@@ -25,7 +25,7 @@
 
 // TestABudgetTellsWhatWasAsked of it, and what it has left.
 func TestABudgetTellsWhatWasAsked(t *testing.T) {
-	budget := NewFilledBudget(0.5, 10, 4, 0.2)
+	budget := NewTokenBudgetWithBalance(0.5, 10, 4, 0.2)
 	budget.Deposit()
 	budget.Deposit() // 5 tokens; hedges leave 2
 	for budget.WithdrawHedge() {
@@ -37,11 +37,11 @@
 	if got != want {
 		t.Errorf("usage %+v, want %+v", got, want)
 	}
-	if !got.Spent() || got.Granted() != 5 || got.Denied() != 2 {
-		t.Errorf("spent %t, %d granted, %d denied", got.Spent(), got.Granted(), got.Denied())
+	if !got.Exhausted() || got.Granted() != 5 || got.Denied() != 2 {
+		t.Errorf("spent %t, %d granted, %d denied", got.Exhausted(), got.Granted(), got.Denied())
 	}
 	doubled := BudgetUsage{Tokens: 0, Burst: 20, FirstAttempts: 4, Retries: 4, Hedges: 6, DeniedRetries: 2, DeniedHedges: 2}
-	if sum := got.Plus(got); sum != doubled {
+	if sum := got.Add(got); sum != doubled {
 		t.Errorf("sum %+v, want %+v", sum, doubled)
 	}
 }
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -278,7 +278,7 @@
 }
 
 func TestReservingBudget(t *testing.T) {
-	budget := NewReservingBudget(0, 10, 0.2)
+	budget := NewTokenBudgetWithReserve(0, 10, 0.2)
 	hedges, retries := 0, 0
 	for budget.WithdrawHedge() {
 		hedges++
--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if b.groups[group] == nil {
-		b.groups[group] = decision.NewFilledBudget(earnedShare*terms.ratio, b.burst(), b.start(), retryReserve)
+		b.groups[group] = decision.NewTokenBudgetWithBalance(earnedShare*terms.ratio, b.burst(), b.start(), retryReserve)
 	}
 	return b.groups[group]
 }
--- a/internal/edge/budgetusage.go
+++ b/internal/edge/budgetusage.go
@@ -70,8 +70,8 @@
 	var sum decision.BudgetUsage
 	spent := 0
 	c.budgets.each(func(group string, usage decision.BudgetUsage) {
-		sum = sum.Plus(usage)
-		if usage.Spent() && c.budgets.isCurrent(group) {
+		sum = sum.Add(usage)
+		if usage.Exhausted() && c.budgets.isCurrent(group) {
 			spent++
 		}
 	})
--- a/internal/inspect/budget.go
+++ b/internal/inspect/budget.go
@@ -24,7 +24,7 @@
 	sums := make(map[string]decision.BudgetUsage)
 	for _, node := range nodes {
 		for _, one := range node.Budgets {
-			sums[one.Group] = sums[one.Group].Plus(one.BudgetUsage)
+			sums[one.Group] = sums[one.Group].Add(one.BudgetUsage)
 		}
 	}
 	added := make([]Budget, 0, len(sums))
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -119,7 +119,7 @@
 	if status := first.get(t, pathSystem, &got); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
-	if diff := cmp.Diff([]Budget{{"denied", denied}, {"much used", used.Plus(used)}}, got.Budgets); diff != "" {
+	if diff := cmp.Diff([]Budget{{"denied", denied}, {"much used", used.Add(used)}}, got.Budgets); diff != "" {
 		t.Errorf("budgets (-want +got):\n%s", diff)
 	}
 }
--- a/internal/query/budget_virtual_test.go
+++ b/internal/query/budget_virtual_test.go
@@ -247,7 +247,7 @@
 func newBudgetNode(t *testing.T, network *budgetNetwork, board *blackboard.Board, zone string, terms budgetTerms) *query.Service {
 	budgets := make(map[string]*decision.TokenBudget)
 	for shard := range virtualShards {
-		budgets[fmt.Sprint("shard-", shard)] = decision.NewReservingBudget(budgetShare*terms.ratio, budgetShare*terms.slack/budgetNodes, 0.2)
+		budgets[fmt.Sprint("shard-", shard)] = decision.NewTokenBudgetWithReserve(budgetShare*terms.ratio, budgetShare*terms.slack/budgetNodes, 0.2)
 	}
 	pool := replica.NewPool(replica.PoolOptions{
 		Board: board, Self: topology.Place{Region: zone, Zone: zone}, Codec: misdirectedCodec{},
--- a/internal/query/crash_network_test.go
+++ b/internal/query/crash_network_test.go
@@ -156,7 +156,7 @@
 		zone := virtualZones[i%len(virtualZones)]
 		budgets := make(map[string]*decision.TokenBudget)
 		for shard := range virtualShards {
-			budgets[fmt.Sprint("shard-", shard)] = decision.NewReservingBudget(
+			budgets[fmt.Sprint("shard-", shard)] = decision.NewTokenBudgetWithReserve(
 				budgetShare*usualTerms.ratio, budgetShare*usualTerms.slack/float64(nodes), 0.2)
 		}
 		pool := replica.NewPool(replica.PoolOptions{
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -148,7 +148,7 @@
 		route := virtualRoute(board, network, attempts)
 		budgets := make(map[string]*decision.TokenBudget)
 		for _, shard := range route.Shards {
-			budgets[shard] = decision.NewReservingBudget(virtualRatio, virtualSlack, 0.2)
+			budgets[shard] = decision.NewTokenBudgetWithReserve(virtualRatio, virtualSlack, 0.2)
 		}
 		pool := replica.NewPool(replica.PoolOptions{
 			Board: board, Self: topology.Place{Region: "near", Zone: "near"}, Codec: benchCodec{},
