--- a/internal/decision/cold.go
+++ b/internal/decision/cold.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ColdBound is how many requests a cold replica may receive in a second from all
+// ColdRateLimit is how many requests a cold replica may receive in a second from all
 // nodes: the rate that it bears, times the overage, and the slack besides.
-type ColdBound struct{ Overage, Slack float64 }
+type ColdRateLimit struct{ Overage, Slack float64 }
 
 // coldUse is the part of the bound that is used. Nodes that see each other come or go at
 // different times divide it differently for a while: two divisions that have nothing in
@@ -13,18 +13,18 @@
 
 // Rate returns the number of requests that all nodes together send to a cold replica in
 // any one second, 0 when the rate that it bears is not stated.
-func (b ColdBound) Rate(borne float64) int {
+func (b ColdRateLimit) Rate(borne float64) int {
 	if borne <= 0 {
 		return 0
 	}
 	return max(1, int(coldUse*(borne*max(1, b.Overage)+b.Slack)))
 }
 
-// ColdShare returns how many of a cold replica's requests a second are this node's. The
+// ColdRateShare returns how many of a cold replica's requests a second are this node's. The
 // nodes that share divide them by the hash of their IDs and the replica's zone, without a
 // message: where there are more nodes than requests, some have none, and those that have
 // one have it for all replicas of a zone, so that they can serve whole queries.
-func ColdShare(rate int, self string, sharing []string, zone string) int {
+func ColdRateShare(rate int, self string, sharing []string, zone string) int {
 	if len(sharing) == 0 {
 		return 0
 	}
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -7,12 +7,12 @@
 
 func TestColdRate(t *testing.T) {
 	cases := []struct {
-		bound ColdBound
+		bound ColdRateLimit
 		borne float64
 		want  int
 	}{
-		{ColdBound{Overage: 1.5, Slack: 5}, 8, 8}, {ColdBound{Overage: 1.5, Slack: 5}, 0, 0}, {ColdBound{}, 8, 4},
-		{ColdBound{Overage: 1.5, Slack: 5}, 100, 77}, {ColdBound{}, 0.5, 1},
+		{ColdRateLimit{Overage: 1.5, Slack: 5}, 8, 8}, {ColdRateLimit{Overage: 1.5, Slack: 5}, 0, 0}, {ColdRateLimit{}, 8, 4},
+		{ColdRateLimit{Overage: 1.5, Slack: 5}, 100, 77}, {ColdRateLimit{}, 0.5, 1},
 	}
 	for _, test := range cases {
 		if got := test.bound.Rate(test.borne); got != test.want {
@@ -24,7 +24,7 @@
 // TestColdSharesAddUp: whatever the number of nodes, and nothing for those that are not
 // among them; two divisions that have no node in common stay inside the bound.
 func TestColdSharesAddUp(t *testing.T) {
-	bound := ColdBound{Overage: 1.5, Slack: 5}
+	bound := ColdRateLimit{Overage: 1.5, Slack: 5}
 	const borne = 8
 	rate := bound.Rate(borne)
 	for _, count := range []int{1, 3, 8, 12, 50} {
@@ -36,7 +36,7 @@
 			}
 			sum, without := 0, 0
 			for _, id := range sharing {
-				share := ColdShare(rate, id, sharing, "z")
+				share := ColdRateShare(rate, id, sharing, "z")
 				sum += share
 				if share == 0 {
 					without++
@@ -45,7 +45,7 @@
 			if sum != rate || (count <= rate && without > 0) {
 				t.Errorf("%d nodes: %d of %d given out, %d nodes without", count, sum, rate, without)
 			}
-			if got := ColdShare(rate, "other", sharing, "z"); got != 0 {
+			if got := ColdRateShare(rate, "other", sharing, "z"); got != 0 {
 				t.Errorf("a node that does not share has %d", got)
 			}
 			halves += sum
@@ -54,7 +54,7 @@
 			t.Errorf("two divisions give out %d, the bound is %g", halves, most)
 		}
 	}
-	if got := ColdShare(rate, "n", nil, "z"); got != 0 {
+	if got := ColdRateShare(rate, "n", nil, "z"); got != 0 {
 		t.Errorf("%d before any node is known", got)
 	}
 }
@@ -65,7 +65,7 @@
 	sharing := []string{"a", "b", "c", "d", "e", "f"}
 	differ := false
 	for _, id := range sharing {
-		first, second := ColdShare(2, id, sharing, "z1"), ColdShare(2, id, sharing, "z2")
+		first, second := ColdRateShare(2, id, sharing, "z1"), ColdRateShare(2, id, sharing, "z2")
 		differ = differ || first != second
 	}
 	if !differ {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -210,7 +210,7 @@
 		}),
 		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, Steady: n.meter.Steady,
 		VanishedFor: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
-		ColdBound:   decision.ColdBound{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
+		ColdBound:   decision.ColdRateLimit{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
 	n.addNewsMetrics(registerer)
 	n.registry = registry.New(registry.Config{
--- a/internal/follower/cold_test.go
+++ b/internal/follower/cold_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	state, board := newTestState(t)
 	state.options.Now = func() time.Time { return *now }
-	state.options.ColdBound = decision.ColdBound{Overage: 1.5, Slack: 5}
+	state.options.ColdBound = decision.ColdRateLimit{Overage: 1.5, Slack: 5}
 	state.put(tableAt(t, 1, 1))
 	return state, board
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -104,7 +104,7 @@
 	// when no other is left.
 	VanishedFor time.Duration
 	// ColdBound is what a cold replica may receive from all nodes.
-	ColdBound decision.ColdBound
+	ColdBound decision.ColdRateLimit
 	// Logger and Now may be left out. Now has to count a suspension of the machine.
 	Logger *slog.Logger
 	Now    func() time.Time
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -27,7 +27,7 @@
 	if v.members == nil {
 		return 0
 	}
-	return decision.ColdShare(replica.ColdRate, v.members.Self.ID, v.sharing(), replica.Place.Zone)
+	return decision.ColdRateShare(replica.ColdRate, v.members.Self.ID, v.sharing(), replica.Place.Zone)
 }
 
 // sameSharing tells whether the same nodes divide what cold replicas take.
