--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -229,7 +229,7 @@
 func describe(route *routing.Route) Route {
 	return Route{
 		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
-		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Least, TopRecords: route.TopRecords,
+		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		Timeout: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), Objective: route.Objective.Milliseconds(),
 		Shards: len(route.Shards), Shares: route.Shares, Regions: route.Regions,
 	}
--- a/internal/operator/details.go
+++ b/internal/operator/details.go
@@ -31,7 +31,7 @@
 	fields.row("retry.budget_burst", row.Retry.BudgetBurst)
 	fields.row("completeness.target", row.Completeness.Target)
 	fields.row("completeness.grace", row.Completeness.Grace)
-	fields.row("completeness.least", row.Completeness.Least)
+	fields.row("completeness.least", row.Completeness.Min)
 	fields.row("limits.concurrency", row.Limits.Concurrency)
 	fields.row("limits.hits", row.Limits.Hits)
 	fields.end()
--- a/internal/operator/policies.go
+++ b/internal/operator/policies.go
@@ -61,7 +61,7 @@
 	policies := newGrid(to, "POLICY", "PRIORITY", "TIMEOUT", "HEDGE", "ATTEMPTS", "TARGET", "GRACE", "LEAST", "CONCURRENCY", "REVISION")
 	for _, row := range table.Policies {
 		policies.row(row.Name, row.Priority, row.Wait.Timeout, row.Wait.HedgeQuantile, row.Retry.Attempts,
-			row.Completeness.Target, row.Completeness.Grace, row.Completeness.Least, row.Limits.Concurrency, row.Revision)
+			row.Completeness.Target, row.Completeness.Grace, row.Completeness.Min, row.Limits.Concurrency, row.Revision)
 	}
 	policies.end()
 	fmt.Fprintln(to)
--- a/internal/policy/default.go
+++ b/internal/policy/default.go
@@ -24,7 +24,7 @@
 			HedgeFloor:    Duration(5 * time.Millisecond),
 		},
 		Retry:        Retry{Attempts: 3, BudgetRatio: 0.07, BudgetBurst: 50},
-		Completeness: Completeness{Target: 1, Grace: Duration(0), Least: 0},
+		Completeness: Completeness{Target: 1, Grace: Duration(0), Min: 0},
 		Limits:       Limits{Concurrency: 256, Hits: 1000},
 		Priority:     client.PriorityNormal,
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -88,9 +88,9 @@
 	Target float64 `json:"target" yaml:"target" validate:"gt=0,lte=1"`
 	// Grace is how long to wait for the rest once Target is reached.
 	Grace Duration `json:"grace" yaml:"grace" validate:"gte=0"`
-	// Least is the share below which the answer is an error; a query may ask
+	// Min is the share below which the answer is an error; a query may ask
 	// for more, not for less.
-	Least float64 `json:"least" yaml:"least" validate:"gte=0,lte=1"`
+	Min float64 `json:"least" yaml:"least" validate:"gte=0,lte=1"`
 }
 
 // Limits bound what queries of one policy hold at one daemon.
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -135,8 +135,8 @@
 		return invalid("policy", row.Name, "completeness.grace", row.Completeness.Grace,
 			fmt.Sprintf("must not be over wait.timeout (%s)", row.Wait.Timeout))
 	}
-	if row.Completeness.Least > row.Completeness.Target {
-		return invalid("policy", row.Name, "completeness.least", row.Completeness.Least,
+	if row.Completeness.Min > row.Completeness.Target {
+		return invalid("policy", row.Name, "completeness.least", row.Completeness.Min,
 			fmt.Sprintf("must not be over completeness.target (%g)", row.Completeness.Target))
 	}
 	return nil
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -50,7 +50,7 @@
 		{"hedge without attempts", row(func(r *policy.Row) { r.Retry.Attempts = 1 }), `needs at least 2 attempts`},
 		{"floor over timeout", row(func(r *policy.Row) { r.Wait.HedgeFloor = r.Wait.Timeout + 1 }), `must not be over wait.timeout`},
 		{"grace over timeout", row(func(r *policy.Row) { r.Completeness.Grace = r.Wait.Timeout + 1 }), `completeness.grace`},
-		{"least over target", row(func(r *policy.Row) { r.Completeness.Target, r.Completeness.Least = 0.5, 0.6 }), `completeness.least = 0.6`},
+		{"least over target", row(func(r *policy.Row) { r.Completeness.Target, r.Completeness.Min = 0.5, 0.6 }), `completeness.least = 0.6`},
 		{"priority", row(func(r *policy.Row) { r.Priority = "urgent" }), `priority = urgent: must be one of critical, high, normal, batch`},
 		{"concurrency", row(func(r *policy.Row) { r.Limits.Concurrency = 0 }), `limits.concurrency = 0: must be at least 1`},
 		{"policy twice", func(x *policy.Table) { x.Policies = append(x.Policies, x.Policies[0]) }, `another policy has this name`},
--- a/internal/query/lone_replica_virtual_test.go
+++ b/internal/query/lone_replica_virtual_test.go
@@ -30,7 +30,7 @@
 	}
 	board.Replicas.Publish(&topology.Replicas{Groups: lone})
 	route.LeastShards = len(route.Shards)
-	route.Policy.Completeness.Least = 1
+	route.Policy.Completeness.Min = 1
 }
 
 // TestALoneReplicaIsAskedAgainAfterItRejected: a twentieth of the requests for a shard is
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -277,7 +277,7 @@
 func refuseAnswer(request *request, last *searchRun, total runCounts, coverage client.Coverage) error {
 	notRun := total.proven == total.dispatched
 	nothing := coverage.Asked > 0 && coverage.Answered == 0
-	least := max(request.row.Completeness.Least, request.query.LeastCoverage)
+	least := max(request.row.Completeness.Min, request.query.LeastCoverage)
 	switch {
 	case last.reason == decision.CallerCanceled:
 		return failure.New(failure.Canceled, "the caller gave up").WithNotRun(notRun)
--- a/internal/query/service_test.go
+++ b/internal/query/service_test.go
@@ -84,7 +84,7 @@
 		},
 		{
 			name: "policy's least coverage unmet", shard: []respond{broken}, kind: failure.InsufficientCoverage,
-			change: func(row *policy.Row, _ *client.Query) { row.Completeness.Least = 0.9 },
+			change: func(row *policy.Row, _ *client.Query) { row.Completeness.Min = 0.9 },
 		},
 		{
 			name: "query's least coverage unmet", shard: []respond{broken}, kind: failure.InsufficientCoverage,
--- a/internal/routing/row.go
+++ b/internal/routing/row.go
@@ -42,7 +42,7 @@
 	row.Replicas = policy.Replicas{ZoneWeight: zoneWeight, RegionWeight: regionWeight, FarWeight: farWeight}
 	row.Wait = policy.Wait{Timeout: policy.Duration(terms.Timeout)}
 	row.Retry.Attempts = min(max(1, terms.Attempts), mostAttempts)
-	row.Completeness = policy.Completeness{Target: 1, Least: terms.LeastShare}
+	row.Completeness = policy.Completeness{Target: 1, Min: terms.LeastShare}
 	row.Limits.Concurrency = mostConcurrent
 	row.Priority = priorities[min(max(0, terms.Rank), len(priorities)-1)]
 	return &row
