--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -10,8 +10,8 @@
 
 // answerBy makes a plan that answers after 50 ms with two of its shards.
 func answerBy(plan *Plan, row *policy.Row) {
-	plan.AnswerBy = 50 * ms
-	plan.LeastShards = min(2, len(plan.Shards))
+	plan.SoftDeadline = 50 * ms
+	plan.MinShards = min(2, len(plan.Shards))
 	row.Retry.Attempts = 2
 }
 
@@ -20,7 +20,7 @@
 }
 
 func busy(at time.Duration, shard, attempt int) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: NoReplica, Busy: true}}
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: NoReplica, Busy: true}}
 }
 
 func fired(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
@@ -79,7 +79,7 @@
 			name: "sends no hedge that could not answer in time", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				answerBy(plan, row)
-				plan.Shards[2].Expected = 20 * ms
+				plan.Shards[2].ExpectedLatency = 20 * ms
 			},
 			events: []timedEvent{
 				dispatched(0, 2, 0, 35*ms), reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), fired(35 * ms),
@@ -103,7 +103,7 @@
 		},
 		{
 			name: "a request of one shard that cannot be offered soon ends without having run", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.OfferBy = 5 * ms },
+			change: func(plan *Plan, _ *policy.Row) { plan.DispatchDeadline = 5 * ms },
 			events: []timedEvent{busy(0, 0, 0), fired(2 * ms), busy(2*ms, 0, 0), fired(4 * ms), busy(4*ms, 0, 0)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "0s timer 2ms", "2ms send 0/0 in 98ms", "2ms timer 100ms",
@@ -125,7 +125,7 @@
 		{
 			name: "an attempt that reached no replica does not count", shards: 1, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unreached), reply(2*ms, 0, 1, Unreached), fired(42 * ms),
+				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), fired(42 * ms),
 				reply(43*ms, 0, 2, Failed), reply(44*ms, 0, 3, Failed),
 			},
 			want: []string{
@@ -138,13 +138,13 @@
 			name: "a connection that was not accepted is tried again later, whatever the budget", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				answerBy(plan, row)
-				plan.LeastShards = 3
+				plan.MinShards = 3
 				plan.Shards[0].Budget = NewTokenBudget(0, 0)
 				row.Retry.Attempts = 1
 			},
 			events: []timedEvent{
-				reply(3*ms, 0, 0, Unaccepted), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(23 * ms),
-				reply(25*ms, 0, 1, Unaccepted), fired(65 * ms), reply(90*ms, 0, 2, Success),
+				reply(3*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(23 * ms),
+				reply(25*ms, 0, 1, ResetBeforeWrite), fired(65 * ms), reply(90*ms, 0, 2, Success),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms", "3ms timer 23ms",
@@ -155,7 +155,7 @@
 		},
 		{
 			name: "ends when its time is over before the deadline", shards: 3, change: answerBy,
-			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: TimeOver}}},
+			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: Interrupted}}},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
 				"20ms cancel 1/0", "20ms cancel 2/0", "20ms finish 2",
@@ -165,7 +165,7 @@
 		{
 			name: "an answer does not wait for a shard whose replicas are gone", shards: 3, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unreached), reply(2*ms, 0, 1, Unreached), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
+				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -176,8 +176,8 @@
 		{
 			name: "it waits for one whose replicas accept no connection", shards: 3, change: answerBy,
 			events: []timedEvent{
-				reply(1*ms, 0, 0, Unaccepted), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
-				reply(22*ms, 0, 1, Unaccepted), fired(50 * ms),
+				reply(1*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
+				reply(22*ms, 0, 1, ResetBeforeWrite), fired(50 * ms),
 			},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms", "1ms timer 21ms",
@@ -191,7 +191,7 @@
 				plan.Shards[0].Budget = NewTokenBudget(0, 1)
 				plan.Shards[1].Budget = NewTokenBudget(0, 0)
 			},
-			events: []timedEvent{reply(3*ms, 0, 0, Reset), reply(4*ms, 1, 0, Reset), reply(5*ms, 0, 1, Reset)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite), reply(4*ms, 1, 0, ResetAfterWrite), reply(5*ms, 0, 1, ResetAfterWrite)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms finish 0",
 			},
@@ -200,7 +200,7 @@
 		{
 			name: "a reset of what was written uses an attempt up", shards: 1,
 			change: func(_ *Plan, row *policy.Row) { row.Retry.Attempts = 2 },
-			events: []timedEvent{reply(3*ms, 0, 0, Reset), reply(5*ms, 0, 1, Reset)},
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite), reply(5*ms, 0, 1, ResetAfterWrite)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms finish 0",
 			},
@@ -208,8 +208,8 @@
 		},
 		{
 			name: "what may run once is tried again where no connection was accepted", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Unaccepted), fired(23 * ms), reply(30*ms, 0, 1, Success)},
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
+			events: []timedEvent{reply(3*ms, 0, 0, ResetBeforeWrite), fired(23 * ms), reply(30*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms timer 23ms", "23ms send 0/1 in 77ms", "23ms timer 100ms", "30ms finish 0",
 			},
@@ -217,22 +217,22 @@
 		},
 		{
 			name: "what may run once is not tried again after a reset", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Reset)},
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
+			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "3ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
 			name: "what may run once is not hedged, nor tried again after an unclear end", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{dispatched(0, 0, 0, 10*ms), reply(30*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "30ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
 			name: "what may run once is tried again after a proof that it has not run", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.RunsOnce = true },
-			events: []timedEvent{reply(3*ms, 0, 0, Elsewhere), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
+			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
+			events: []timedEvent{reply(3*ms, 0, 0, Misdirected), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "3ms send 0/1 in 97ms", "5ms send 0/2 in 95ms", "9ms finish 0",
 			},
@@ -266,7 +266,7 @@
 	}
 	feed(Event{Kind: Started})
 	for !finished && sent < 100 {
-		feed(Event{Kind: Replied, Attempt: sent - 1, Outcome: Unreached})
+		feed(Event{Kind: AttemptCompleted, Attempt: sent - 1, Outcome: ConnectFailed})
 		if !finished {
 			at = wake
 			feed(Event{Kind: TimerFired})
@@ -278,7 +278,7 @@
 }
 
 func TestReservingBudget(t *testing.T) {
-	budget := NewReservingBudget(0, 10, 0.2)
+	budget := NewTokenBudgetWithReserve(0, 10, 0.2)
 	hedges, retries := 0, 0
 	for budget.WithdrawHedge() {
 		hedges++
@@ -295,7 +295,7 @@
 	weights := policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}
 	room := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true}
 	saturated, silent, backing := room, room, room
-	saturated.InFlight, silent.Silent, backing.BackingOff = 2, true, true
+	saturated.InFlight, silent.Unresponsive, backing.BackingOff = 2, true, true
 	for _, test := range []struct {
 		name       string
 		candidates []Candidate
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -91,20 +91,20 @@
 	switch event.Kind {
 	case Started:
 		q.start(now)
-	case Replied:
+	case AttemptCompleted:
 		q.replied(now, event)
 	case TimerFired:
 		q.timerAt = never
 		if !q.isOver(now) {
 			q.fire(now)
 		}
-	case GaveUp:
-		q.finish(CallerGaveUp, client.MissingTimeout)
-	case TimeOver:
+	case Canceled:
+		q.finish(CallerCanceled, client.MissingTimeout)
+	case Interrupted:
 		q.finish(DeadlineReached, client.MissingTimeout)
 	case Dispatched:
 		q.dispatched(now, event)
-	case Contested:
+	case EvidenceDisputed:
 		q.contested()
 	}
 	q.nextCanary(now)
@@ -127,7 +127,7 @@
 			budget.Deposit()
 		}
 	}
-	if q.plan.Ends.Watched && q.plan.Ends.Known.Suspects() {
+	if q.plan.CrashDetection.Enabled && q.plan.CrashDetection.Prior.Suspicious() {
 		q.startCautiously(now)
 		return
 	}
@@ -168,7 +168,7 @@
 	if event.Outcome == NoReplica && event.Busy && q.postpone(now, state, event.Shard) {
 		return
 	}
-	if event.Outcome == Ended && q.watchesEnds() {
+	if event.Outcome == Crashed && q.watchesEnds() {
 		q.replicaEnded(now, event)
 		return
 	}
@@ -195,7 +195,7 @@
 	q.otherSnapshot = q.otherSnapshot || event.OtherSnapshot
 	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
 	if event.Outcome == NoReplica {
-		state.diagnosis.NoHedge = DeniedReplicas
+		state.diagnosis.HedgeDenial = DeniedNoReplica
 		state.hedgeOff = true
 		state.nextAt = never
 	}
@@ -245,8 +245,8 @@
 	switch {
 	case q.finished:
 	case now >= q.verdictAt:
-		q.finish(ReplicasEnded, client.MissingFailed)
-	case q.AwaitsVerdict() && now < q.plan.Deadline: // though no shard can answer any more
+		q.finish(ReplicasCrashed, client.MissingFailed)
+	case q.AbortPending() && now < q.plan.Deadline: // though no shard can answer any more
 		q.setTimer()
 	case q.settled == len(q.shards):
 		q.finish(q.settledReason(), client.MissingFailed)
@@ -268,7 +268,7 @@
 // isOver is true when the time has come to end, whatever has answered: nothing
 // is sent any more then.
 func (q *Query) isOver(now time.Duration) bool {
-	answerNow := q.mayAnswer() && now >= q.plan.AnswerBy
+	answerNow := q.mayAnswer() && now >= q.plan.SoftDeadline
 	return now >= q.plan.Deadline || now >= q.graceAt || answerNow
 }
 
@@ -280,7 +280,7 @@
 func (s *shardState) noteGone(event Event) {
 	switch {
 	case event.Outcome == NoReplica: // nothing was tried
-	case event.Outcome == Unreached && !event.Busy:
+	case event.Outcome == ConnectFailed && !event.Busy:
 		s.gone++
 	default:
 		s.gone = 0
@@ -303,13 +303,13 @@
 // outOfReach is true when too few shards can still answer.
 func (q *Query) outOfReach() bool {
 	lost := q.settled - q.answered
-	return q.plan.LeastShards > 0 && len(q.shards)-lost < q.plan.LeastShards
+	return q.plan.MinShards > 0 && len(q.shards)-lost < q.plan.MinShards
 }
 
 // mayAnswer is true when the plan names a time to answer and enough shards
 // have answered.
 func (q *Query) mayAnswer() bool {
-	return q.plan.AnswerBy > 0 && q.answered > 0 && q.answered >= q.plan.LeastShards
+	return q.plan.SoftDeadline > 0 && q.answered > 0 && q.answered >= q.plan.MinShards
 }
 
 func (q *Query) settledReason() FinishReason {
@@ -325,7 +325,7 @@
 func (q *Query) setTimer() {
 	next := min(q.plan.Deadline, q.graceAt, q.verdictAt)
 	if q.mayAnswer() {
-		next = min(next, q.plan.AnswerBy)
+		next = min(next, q.plan.SoftDeadline)
 	}
 	if q.timerAt == never {
 		for i := range q.shards {
--- a/internal/decision/query_test.go
+++ b/internal/decision/query_test.go
@@ -27,7 +27,7 @@
 	plan := Plan{Policy: row, Deadline: 100 * ms}
 	for i := range shards {
 		plan.Shards = append(plan.Shards, ShardPlan{
-			Index: "cards", Shard: i, Shards: shards, Group: fmt.Sprint("g", i), Budget: NewTokenBudget(0, 2),
+			Index: "cards", Shard: i, ShardCount: shards, Group: fmt.Sprint("g", i), Budget: NewTokenBudget(0, 2),
 		})
 	}
 	if change != nil {
@@ -42,7 +42,7 @@
 }
 
 func reply(at time.Duration, shard, attempt int, outcome Outcome) timedEvent {
-	return timedEvent{at, Event{Kind: Replied, Shard: shard, Attempt: attempt, Outcome: outcome}}
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: outcome}}
 }
 
 func trace(query *Query, events []timedEvent) []string {
@@ -95,7 +95,7 @@
 		}
 	}
 	timer := func(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
-	lost := Event{Kind: Replied, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
+	lost := Event{Kind: AttemptCompleted, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
 	cases := []struct {
 		name   string
 		shards int
@@ -139,7 +139,7 @@
 			change: func(plan *Plan, row *policy.Row) {
 				hedged(plan, row)
 				plan.Shards[0].Budget = &lateBudget{refusals: 1}
-				plan.Shards[0].Expected = 75 * ms
+				plan.Shards[0].ExpectedLatency = 75 * ms
 			},
 			events: []timedEvent{timer(10 * ms), timer(20 * ms), timer(30 * ms), timer(100 * ms)},
 			want: []string{
@@ -158,7 +158,7 @@
 		},
 		{
 			name: "no retry that could not answer in time", shards: 1,
-			change: func(plan *Plan, _ *policy.Row) { plan.Shards[0].Expected = 20 * ms },
+			change: func(plan *Plan, _ *policy.Row) { plan.Shards[0].ExpectedLatency = 20 * ms },
 			events: []timedEvent{reply(80*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "80ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
@@ -191,7 +191,7 @@
 		},
 		{
 			name: "caller gives up", shards: 1,
-			events: []timedEvent{{5 * ms, Event{Kind: GaveUp}}, reply(6*ms, 0, 0, Success)},
+			events: []timedEvent{{5 * ms, Event{Kind: Canceled}}, reply(6*ms, 0, 0, Success)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "5ms cancel 0/0", "5ms finish 3"},
 			status: []ShardStatus{{Reason: client.MissingTimeout}},
 		},
@@ -272,7 +272,7 @@
 		query := New(plan)
 		query.Step(0, Event{Kind: Started})
 		for shard := range shards {
-			query.Step(ms, Event{Kind: Replied, Shard: shard, Outcome: Success})
+			query.Step(ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Success})
 		}
 	}
 }
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -174,12 +174,12 @@
 		case WokenByResult:
 			finished = r.step(r.take(result))
 			r.noteHalf()
-			if r.onEnded != nil && result.Result.Outcome == decision.Ended {
+			if r.onEnded != nil && result.Result.Outcome == decision.Crashed {
 				r.onEnded(r.shards[result.Shard].attempts[result.Attempt].canaryOf())
 			}
 		case WokenByTimer:
 			if r.contested != nil && r.contested() {
-				finished = r.step(decision.Event{Kind: decision.Contested})
+				finished = r.step(decision.Event{Kind: decision.EvidenceDisputed})
 			}
 			finished = finished || r.step(decision.Event{Kind: decision.TimerFired})
 		case WokenByCaller:
@@ -195,10 +195,10 @@
 // leave describes the end of a request's context.
 func (r *run) leave(ctx context.Context) decision.Event {
 	if errors.Is(context.Cause(ctx), ErrStopping) {
-		return decision.Event{Kind: decision.TimeOver}
+		return decision.Event{Kind: decision.Interrupted}
 	}
 	r.abandoned = true
-	return decision.Event{Kind: decision.GaveUp}
+	return decision.Event{Kind: decision.Canceled}
 }
 
 // noteHalf notes when half of the shards have answered.
@@ -222,12 +222,12 @@
 	ended.rejected = outcome == decision.Shed
 	ended.cancel()
 	event := decision.Event{
-		Kind: decision.Replied, Shard: result.Shard, Attempt: result.Attempt,
+		Kind: decision.AttemptCompleted, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
-		Survived: result.Result.Part != nil, Blame: result.Result.Blame,
+		Survived: result.Result.Part != nil, Attribution: result.Result.Blame,
 	}
-	if outcome == decision.Ended && r.quarantined != nil {
+	if outcome == decision.Crashed && r.quarantined != nil {
 		event.Quarantined = r.quarantined()
 	}
 	if outcome == decision.SnapshotNotHeld {
@@ -307,7 +307,7 @@
 			shard.attempts = append(shard.attempts, attempt{cancel: func() {}, ended: decision.NoReplica.String()})
 		}
 		return append(arisen, decision.Event{
-			Kind: decision.Replied, Shard: action.Shard, Attempt: action.Attempt,
+			Kind: decision.AttemptCompleted, Shard: action.Shard, Attempt: action.Attempt,
 			Outcome: decision.NoReplica, Busy: acquired.Busy,
 		})
 	}
--- a/internal/replica/forward_message.go
+++ b/internal/replica/forward_message.go
@@ -71,7 +71,7 @@
 	}
 	choose := decision.ChooseReplica
 	if len(tried) > 0 {
-		choose = decision.ChooseAnother
+		choose = decision.ChooseAlternate
 	}
 	now := p.options.Now()
 	busy, exhausted := false, true
@@ -80,7 +80,7 @@
 		if terms.Canary {
 			candidate.Limit = 1
 		}
-		untried := !candidate.Barred && !slices.Contains(tried, handle)
+		untried := !candidate.Excluded && !slices.Contains(tried, handle)
 		busy = busy || (untried && !candidate.ConnectionAvailable)
 		exhausted = exhausted && !untried
 		return candidate
@@ -116,10 +116,10 @@
 	usual := terms.Usual.At(h.distance)
 	candidate.LatencyEWMA = time.Duration(h.speed.slowness(age) / h.losses.kept(age) * float64(usual))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
-	candidate.Barred = !h.mayTake(terms, now)
+	candidate.Excluded = !h.mayTake(terms, now)
 	candidate.Warmth = 1 // the replica's own speed tells whether it is slow
 	candidate.Ejected = candidate.Ejected || h.vanished.Load()
-	candidate.Silent = h.silence.lasts(age, h.inFlight.Load()) > terms.lateAfter(h)
+	candidate.Unresponsive = h.silence.lasts(age, h.inFlight.Load()) > terms.lateAfter(h)
 	return candidate
 }
 
@@ -141,10 +141,10 @@
 	running := handle.inFlight.Load() // before the others that break with it have ended
 	result := classifyReply(reply, err, scattered)
 	if handle.upstream.HasEnded(ctx, err) {
-		result.Outcome = decision.Ended
+		result.Outcome = decision.Crashed
 		result.Blame = 1 / float64(max(1, running))
 	}
-	if result.Outcome == decision.Elsewhere {
+	if result.Outcome == decision.Misdirected {
 		p.displace(handle)
 	}
 	p.learnReply(ctx, handle, result, started, terms)
@@ -164,15 +164,15 @@
 func classifyReply(reply *upstream.Reply, err error, scattered bool) SearchResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
-		return SearchResult{Outcome: decision.Unaccepted, NotRun: true, Err: err}
+		return SearchResult{Outcome: decision.ResetBeforeWrite, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrNotSent):
-		return SearchResult{Outcome: decision.Unreached, NotRun: true, Err: err}
+		return SearchResult{Outcome: decision.ConnectFailed, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrReset):
-		return SearchResult{Outcome: decision.Reset, Err: err}
+		return SearchResult{Outcome: decision.ResetAfterWrite, Err: err}
 	case err != nil:
 		return SearchResult{Outcome: decision.Failed, Err: err}
 	case reply.Elsewhere:
-		return SearchResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("another process is at the address")}
+		return SearchResult{Outcome: decision.Misdirected, NotRun: true, Err: eris.New("another process is at the address")}
 	case reply.NotRun:
 		return SearchResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
 	case reply.Signature == "":
@@ -213,10 +213,10 @@
 		terms.Usual.record(handle.distance, elapsed)
 	}
 	ended := Ended{Outcome: result.Outcome, GivenUp: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
-	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
+	if result.Outcome == decision.ConnectFailed && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
 		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
 	}
-	if result.Outcome == decision.Reset || result.Outcome == decision.Ended {
+	if result.Outcome == decision.ResetAfterWrite || result.Outcome == decision.Crashed {
 		ended.Outcome = decision.Failed // it may be a fault of the replica, and others may have none
 	}
 	if errors.Is(result.Err, syscall.ECONNRESET) {
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -68,14 +68,14 @@
 			shard.HedgeDelay = max(usual, time.Duration(row.Wait.HedgeFloor))
 		}
 	}
-	shard.Expected = g.LatencyQuantile(expectedQuantile)
+	shard.ExpectedLatency = g.LatencyQuantile(expectedQuantile)
 }
 
 // AllEjected is true when no replica of a group is left that is not ejected, of those
 // that the request may go to.
 func AllEjected(candidates []decision.Candidate) bool {
 	for i := range candidates {
-		if !candidates[i].Ejected && !candidates[i].Barred {
+		if !candidates[i].Ejected && !candidates[i].Excluded {
 			return false
 		}
 	}
