--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -43,7 +43,7 @@
 
 // Store is the store that a node reads and writes.
 type Store interface {
-	follower.Source
+	follower.Store
 	registry.Store
 }
 
@@ -200,17 +200,17 @@
 		Admission: admission.New(admission.Options{Registerer: registerer}), Lost: n.meter.Lost,
 	})
 	n.follower = follower.New(follower.Options{
-		Source: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
+		Store: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
 		Regions: n.settings.Regions, Self: n.self, Logger: n.logger, EntryNodes: n.settings.Bounds.EntryNodes(),
-		Peers: n.announcer, News: n.settings.Bounds.News(),
-		Others: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
-		Relays: relay.New(relay.Config{
+		Announcer: n.announcer, MaxStaleness: n.settings.Bounds.News(),
+		PeerSnapshots: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
+		RelayClient: relay.New(relay.Config{
 			HTTP: relayClient(), Wait: relayWait, Slack: relaySlack,
 			Suspected: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
-		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, Steady: n.meter.Steady,
-		VanishedFor: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
-		ColdBound:   decision.ColdBound{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
+		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.Steady,
+		VanishedRetention: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
+		ColdBound:         decision.ColdBound{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
 	n.addNewsMetrics(registerer)
 	n.registry = registry.New(registry.Config{
@@ -238,13 +238,13 @@
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "doorpondd_requests_awaited_news_total", Help: "Requests that waited until what is known of the store was confirmed.",
 		}, func() float64 {
-			all, _ := n.follower.Waits()
+			all, _ := n.follower.WaitCounts()
 			return float64(all)
 		}),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "doorpondd_requests_awaited_news_in_vain_total", Help: "Requests that were refused after they had waited so.",
 		}, func() float64 {
-			_, vain := n.follower.Waits()
+			_, vain := n.follower.WaitCounts()
 			return float64(vain)
 		}),
 	)
@@ -301,7 +301,7 @@
 
 // storeEra is the store's era as far as this node knows.
 func (n *Node) storeEra() int64 {
-	revision, _ := n.follower.Known()
+	revision, _ := n.follower.AppliedRevision()
 	return store.EraOf(revision)
 }
 
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -35,7 +35,7 @@
 		}
 		if nodes := n.board.Nodes.Load(); nodes != nil && n.guards(nodes) {
 			if silent := n.silent(ctx, n.guarded(nodes)); len(silent) > 0 {
-				n.follower.SuspectSilent(silent)
+				n.follower.SuspectUnresponsive(silent)
 			}
 		}
 	}
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -50,7 +50,7 @@
 // addServers gives each listener its server.
 func (n *Node) addServers() {
 	n.server = n.newServer(ingress.New(ingress.Options{
-		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, Await: n.follower.Await, Logger: n.logger,
+		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, Await: n.follower.WaitUntilFresh, Logger: n.logger,
 	}))
 	n.open.Follow(n.server)
 	requests, answerNow := context.WithCancelCause(context.Background())
@@ -71,7 +71,7 @@
 	mux.Handle(handover.Path, handover.Handler(n.follower.Snapshot))
 	mux.Handle("/v1/", inspect.New(inspect.Config{
 		Board: n.board, Node: n.self, Measured: n.queries.Measured, Loaded: n.loaded, Budgets: n.budgets.usage,
-		Client: stateClient(), Quarantined: n.quarantine.Records, Release: n.release, Known: n.follower.Known,
+		Client: stateClient(), Quarantined: n.quarantine.Records, Release: n.release, Known: n.follower.AppliedRevision,
 	}))
 	return mux
 }
--- a/internal/follower/attend.go
+++ b/internal/follower/event_loop.go
@@ -29,7 +29,7 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-		case news := <-f.options.Peers.Received():
+		case news := <-f.options.Announcer.Received():
 			f.told(news)
 		case found := <-f.suspected:
 			f.suspect(found)
@@ -44,7 +44,7 @@
 func (f *Follower) noteUnanswered(asked time.Time) {
 	patience := f.options.share(askShare)
 	unanswered := f.options.Now().Add(-patience)
-	if !asked.IsZero() && !unanswered.Before(asked) && f.options.Steady(patience) {
+	if !asked.IsZero() && !unanswered.Before(asked) && f.options.RanWithoutPause(patience) {
 		f.validity.tried(unanswered)
 	}
 }
@@ -74,7 +74,7 @@
 			if !f.options.Now().Before(until) {
 				return
 			}
-		case news := <-f.options.Peers.Received():
+		case news := <-f.options.Announcer.Received():
 			f.told(news)
 			if f.staleness.confirmed > f.staleness.known {
 				timer.Stop()
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -77,7 +77,7 @@
 	board := &blackboard.Board{}
 	made := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, Regions: map[string]string{"z1": "r1"},
-		Self: topology.Node{ID: "self"}, News: 3 * time.Second, VanishedFor: time.Second, EntryNodes: 2,
+		Self: topology.Node{ID: "self"}, MaxStaleness: 3 * time.Second, VanishedRetention: time.Second, EntryNodes: 2,
 	})
 	return made.state, board
 }
@@ -271,8 +271,8 @@
 	t.Helper()
 	board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
 	made := New(Options{
-		Source: source, Peers: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-		Self: topology.Node{ID: "self"}, News: news, VanishedFor: time.Second,
+		Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
 	})
 	run(t, made)
 	return board, peers
@@ -378,9 +378,9 @@
 	source.put(tableAt(t, 4, 1))
 	board := &blackboard.Board{}
 	made := New(Options{
-		Source: source, Peers: peers, Relays: relays,
+		Store: source, Announcer: peers, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2,
-		Self: topology.Node{ID: "self"}, News: news, VanishedFor: time.Second,
+		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
 	})
 	run(t, made)
 	return board
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -34,26 +34,26 @@
 	Replica(key string, value []byte) (topology.Replica, error)
 }
 
-// Source is the part of the store that a Follower reads.
-type Source interface {
+// Store is the part of the store that a Follower reads.
+type Store interface {
 	store.Reader
 	store.StaleReader
 	store.Watcher
 }
 
-// Peers spreads announcements among the nodes.
-type Peers interface {
+// Announcer spreads announcements among the nodes.
+type Announcer interface {
 	Send(news announce.Announcement)
 	Received() <-chan announce.Announcement
 }
 
-// Relays let this node watch another one in place of the store.
-type Relays interface {
+// RelayClient let this node watch another one in place of the store.
+type RelayClient interface {
 	Watch(ctx context.Context, node netip.AddrPort, fromRevision int64, deliver func(store.WatchBatch) error) error
 }
 
-// Others hand over what they know of the store.
-type Others interface {
+// SnapshotReader hand over what they know of the store.
+type SnapshotReader interface {
 	Read(ctx context.Context) (handover.Snapshot, error)
 }
 
@@ -78,12 +78,12 @@
 
 // Options are what a Follower needs.
 type Options struct {
-	Source Source
-	Peers  Peers
-	// Others are asked while the store serves them and not this node.
-	Others Others
-	// Relays may be left out: then this node watches the store itself.
-	Relays Relays
+	Store     Store
+	Announcer Announcer
+	// PeerSnapshots are asked while the store serves them and not this node.
+	PeerSnapshots SnapshotReader
+	// RelayClient may be left out: then this node watches the store itself.
+	RelayClient RelayClient
 	// Unreachable returns those of some nodes, by their state addresses, that cannot be
 	// reached; nil means that it is not known.
 	Unreachable func(ctx context.Context, nodes []netip.AddrPort) []netip.AddrPort
@@ -97,20 +97,20 @@
 	Self    topology.Node
 	// EntryNodes is how many nodes of each zone callers are led to.
 	EntryNodes int
-	// News is the time within which what the store says must have been acted
+	// MaxStaleness is the time within which what the store says must have been acted
 	// on. How often it is asked and how long it is waited for follow from it.
-	News time.Duration
-	// VanishedFor is how long a replica whose entry is gone may still be asked
+	MaxStaleness time.Duration
+	// VanishedRetention is how long a replica whose entry is gone may still be asked
 	// when no other is left.
-	VanishedFor time.Duration
+	VanishedRetention time.Duration
 	// ColdBound is what a cold replica may receive from all nodes.
 	ColdBound decision.ColdBound
 	// Logger and Now may be left out. Now has to count a suspension of the machine.
 	Logger *slog.Logger
 	Now    func() time.Time
-	// Steady tells whether the process has run for some time without a pause; nil means
+	// RanWithoutPause tells whether the process has run for some time without a pause; nil means
 	// always.
-	Steady func(lasting time.Duration) bool
+	RanWithoutPause func(lasting time.Duration) bool
 }
 
 // The parts of the time for news.
@@ -137,7 +137,7 @@
 	adoptShare = 0.3
 )
 
-func (o *Options) share(of float64) time.Duration { return time.Duration(of * float64(o.News)) }
+func (o *Options) share(of float64) time.Duration { return time.Duration(of * float64(o.MaxStaleness)) }
 
 // Follower follows the store; Run starts it.
 type Follower struct {
@@ -225,8 +225,8 @@
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	if options.Steady == nil {
-		options.Steady = func(time.Duration) bool { return true }
+	if options.RanWithoutPause == nil {
+		options.RanWithoutPause = func(time.Duration) bool { return true }
 	}
 	if options.Quarantine == nil {
 		options.Quarantine = noQuarantine{}
@@ -354,7 +354,7 @@
 type reading func(ctx context.Context) ([]store.KeyValue, int64, error)
 
 func (f *Follower) readAll(ctx context.Context) ([]store.KeyValue, int64, error) {
-	return f.options.Source.List(ctx, "", 0)
+	return f.options.Store.List(ctx, "", 0)
 }
 
 // list makes a reading within the node's patience.
@@ -368,7 +368,7 @@
 	f.ask(func() { values, revision, err = read(bounded) })
 	if err != nil {
 		f.noteUnreachable(began)
-		f.patience = min(2*f.patience, f.options.News)
+		f.patience = min(2*f.patience, f.options.MaxStaleness)
 		return nil, 0, err
 	}
 	f.patience = f.options.share(askShare)
@@ -380,7 +380,7 @@
 	now := f.options.Now()
 	f.claimed(now.Add(-news.Age()), news.Revision)
 	if f.confirm(now, now.Add(-news.Age()), news.Revision) {
-		f.options.Peers.Send(news)
+		f.options.Announcer.Send(news)
 	}
 }
 
@@ -427,7 +427,7 @@
 	f.know(revision)
 	f.feedOthers()
 	if f.confirm(now, now, revision) {
-		f.options.Peers.Send(announce.Announcement{Revision: revision})
+		f.options.Announcer.Send(announce.Announcement{Revision: revision})
 	}
 }
 
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -83,8 +83,8 @@
 			board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
 			const news = 10 * time.Second
 			made := New(Options{
-				Source: source, Peers: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-				Self: topology.Node{ID: "self"}, News: news, VanishedFor: news / 50,
+				Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+				Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: news / 50,
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
@@ -137,8 +137,8 @@
 	source.put(tableAt(t, 3, 3))
 	board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
 	made := New(Options{
-		Source: source, Peers: peers, Others: others, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-		Self: topology.Node{ID: "self"}, News: 400 * time.Millisecond, VanishedFor: time.Second,
+		Store: source, Announcer: peers, PeerSnapshots: others, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+		Self: topology.Node{ID: "self"}, MaxStaleness: 400 * time.Millisecond, VanishedRetention: time.Second,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/follower/begin.go
+++ b/internal/follower/initial_sync.go
@@ -45,7 +45,7 @@
 }
 
 func (f *Follower) readStale(ctx context.Context) ([]store.KeyValue, int64, error) {
-	return f.options.Source.ListStale(ctx, "")
+	return f.options.Store.ListStale(ctx, "")
 }
 
 func (f *Follower) hasConfiguration(values []store.KeyValue) bool {
@@ -64,7 +64,7 @@
 // awaitOthers waits for other nodes of this zone, where none is known, and reads who
 // has recorded itself. Changes that come meanwhile are told by the watch that follows.
 func (f *Follower) awaitOthers(ctx context.Context) {
-	if f.options.Relays == nil || f.knowsZone() {
+	if f.options.RelayClient == nil || f.knowsZone() {
 		return
 	}
 	f.attend(func() { sleep(ctx, startPause) })
@@ -72,7 +72,7 @@
 	defer cancel()
 	var values []store.KeyValue
 	var err error
-	f.ask(func() { values, _, err = f.options.Source.List(bounded, f.options.Keys.Nodes, 0) })
+	f.ask(func() { values, _, err = f.options.Store.List(bounded, f.options.Keys.Nodes, 0) })
 	if err != nil {
 		f.options.Logger.Info("the other nodes are not known yet; watching the store", "error", err.Error())
 		return
--- a/internal/follower/begin_test.go
+++ b/internal/follower/initial_sync_test.go
@@ -139,7 +139,7 @@
 func TestWhoWatchesForAZoneIsEager(t *testing.T) {
 	for self, want := range map[string]time.Duration{"self-first": shortestPause, "z": 36 * time.Second} {
 		f := New(Options{
-			Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, News: time.Minute,
+			Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, MaxStaleness: time.Minute,
 			Self: topology.Node{ID: self, Place: topology.Place{Zone: "z2"}},
 		})
 		for i, id := range []string{"a", "b", "c", "self-first", "z"} {
--- a/internal/follower/others.go
+++ b/internal/follower/peers.go
@@ -47,14 +47,14 @@
 func (f *Follower) askOthers(ctx context.Context) {
 	asked := f.options.Now()
 	current := f.staleness.known >= f.staleness.confirmed && asked.Before(f.staleness.checkAt(0))
-	if f.options.Others == nil || current {
+	if f.options.PeerSnapshots == nil || current {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, f.options.share(askShare))
 	defer cancel()
 	var handed handover.Snapshot
 	var err error
-	f.attend(func() { handed, err = f.options.Others.Read(bounded) })
+	f.attend(func() { handed, err = f.options.PeerSnapshots.Read(bounded) })
 	if err != nil || handed.Revision < f.staleness.known {
 		return // the next attempt asks another one
 	}
@@ -82,9 +82,9 @@
 	return handover.Snapshot{Revision: held.revision, AgeMilliseconds: max(0, age), Values: held.values}, true
 }
 
-// Known returns the store's revision up to which all is known, and when that was confirmed;
+// AppliedRevision returns the store's revision up to which all is known, and when that was confirmed;
 // zero before the first reading. It may be called from any goroutine.
-func (f *Follower) Known() (revision int64, confirmedAt time.Time) {
+func (f *Follower) AppliedRevision() (revision int64, confirmedAt time.Time) {
 	held := f.snapshot.Load()
 	if held == nil {
 		return 0, time.Time{}
--- a/internal/follower/copy_test.go
+++ b/internal/follower/restore_test.go
@@ -167,8 +167,8 @@
 	source := &fakeSource{}
 	source.put(tableAt(t, 50, 1))
 	made := New(Options{
-		Source: source, Peers: &fakePeers{received: make(chan announce.Announcement)}, Decoder: testDecoder{}, Keys: testKeys,
-		Board: &blackboard.Board{}, Self: topology.Node{ID: "self"}, News: time.Minute, VanishedFor: time.Second,
+		Store: source, Announcer: &fakePeers{received: make(chan announce.Announcement)}, Decoder: testDecoder{}, Keys: testKeys,
+		Board: &blackboard.Board{}, Self: topology.Node{ID: "self"}, MaxStaleness: time.Minute, VanishedRetention: time.Second,
 	})
 	if err := made.read(t.Context()); err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 	table := inEra(1, tableAt(t, 3, 2))[0]
 	made.confirm(start, start, store.RevisionIn(1, 9)) // heard of before it is told
 	made.deliver(store.WatchBatch{Revision: table.ModRevision, Events: []store.Event{{KeyValue: table}}, Relayed: true})
-	if revision, _ := made.Known(); revision != table.ModRevision {
+	if revision, _ := made.AppliedRevision(); revision != table.ModRevision {
 		t.Errorf("revision %d of era %d is known", store.NumberOf(revision), store.EraOf(revision))
 	}
 }
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -47,14 +47,14 @@
 		return f.nodeSource(node)
 	}
 	return source{watch: func(ctx context.Context, fromRevision int64, deliver func(store.WatchBatch) error) error {
-		return f.options.Source.Watch(ctx, "", fromRevision, deliver)
+		return f.options.Store.Watch(ctx, "", fromRevision, deliver)
 	}}
 }
 
 func (f *Follower) nodeSource(node netip.AddrPort) source {
 	f.options.Logger.Info("watching another node in place of the store", "address", node.String(), "revision", f.staleness.known)
 	return source{node: node, watch: func(ctx context.Context, fromRevision int64, deliver func(store.WatchBatch) error) error {
-		return f.options.Relays.Watch(ctx, node, fromRevision, deliver)
+		return f.options.RelayClient.Watch(ctx, node, fromRevision, deliver)
 	}}
 }
 
@@ -62,7 +62,7 @@
 // when this node watches the store.
 func (f *Follower) watchedNode() (address netip.AddrPort, found bool) {
 	nodes := f.options.Board.Nodes.Load()
-	if f.options.Relays == nil || nodes == nil || f.needsStore || f.relaysFailed >= relayTries {
+	if f.options.RelayClient == nil || nodes == nil || f.needsStore || f.relaysFailed >= relayTries {
 		return netip.AddrPort{}, false
 	}
 	watching := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchers)
@@ -76,7 +76,7 @@
 // this one does not: another one at each call, of its own zone first.
 func (f *Follower) anyNode(try int) (address netip.AddrPort, found bool) {
 	nodes := f.options.Board.Nodes.Load()
-	if f.options.Relays == nil || nodes == nil {
+	if f.options.RelayClient == nil || nodes == nil {
 		return netip.AddrPort{}, false
 	}
 	candidates := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchers)
--- a/internal/follower/source_test.go
+++ b/internal/follower/source_test.go
@@ -117,9 +117,9 @@
 	source.put(tableAt(t, 4, 1))
 	board := &blackboard.Board{}
 	made := New(Options{
-		Source: source, Peers: &fakePeers{received: make(chan announce.Announcement)}, Relays: relays,
+		Store: source, Announcer: &fakePeers{received: make(chan announce.Announcement)}, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2,
-		Self: topology.Node{ID: "self", Place: topology.Place{Zone: "z1"}}, News: time.Minute, VanishedFor: time.Second,
+		Self: topology.Node{ID: "self", Place: topology.Place{Zone: "z1"}}, MaxStaleness: time.Minute, VanishedRetention: time.Second,
 	})
 	run(t, made)
 	eventually(t, "the store is watched", func() bool { return source.watches() == 1 })
@@ -146,7 +146,7 @@
 func TestANodeTellsOnWhatItKnowsThoughOthersKnowMore(t *testing.T) {
 	f := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, Self: topology.Node{ID: "self"},
-		News: time.Minute, Peers: &fakePeers{received: make(chan announce.Announcement)},
+		MaxStaleness: time.Minute, Announcer: &fakePeers{received: make(chan announce.Announcement)},
 	})
 	f.learned(start, 4)
 	f.confirm(start, start, 9)
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -318,7 +318,7 @@
 // forget drops replicas that have been gone for long enough.
 func (s *state) forget(now time.Time) {
 	for key, entry := range s.replicas {
-		if !entry.goneAt.IsZero() && now.Sub(entry.goneAt) >= s.options.VanishedFor {
+		if !entry.goneAt.IsZero() && now.Sub(entry.goneAt) >= s.options.VanishedRetention {
 			delete(s.replicas, key)
 			s.replicasChanged = true
 		}
@@ -341,7 +341,7 @@
 		if entry.goneAt.IsZero() {
 			continue
 		}
-		if at := entry.goneAt.Add(s.options.VanishedFor); next.IsZero() || at.Before(next) {
+		if at := entry.goneAt.Add(s.options.VanishedRetention); next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// SuspectSilent is Suspect for nodes that this one has found silent now.
-func (f *Follower) SuspectSilent(ids []string) {
+// SuspectUnresponsive is Suspect for nodes that this one has found silent now.
+func (f *Follower) SuspectUnresponsive(ids []string) {
 	found := make([]relay.Suspicion, 0, len(ids))
 	for _, id := range ids {
 		found = append(found, relay.Suspicion{ID: id, Milliseconds: suspicionTime.Milliseconds()})
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -71,9 +71,9 @@
 	source.put(tableAt(t, 6, 1))
 	board := &blackboard.Board{}
 	run(t, New(Options{
-		Source: source, Peers: &fakePeers{received: make(chan announce.Announcement)}, Relays: relays,
+		Store: source, Announcer: &fakePeers{received: make(chan announce.Announcement)}, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2, Self: topology.Node{ID: "self"},
-		News: time.Minute, VanishedFor: time.Second, Unreachable: func(context.Context, []netip.AddrPort) []netip.AddrPort { return lost },
+		MaxStaleness: time.Minute, VanishedRetention: time.Second, Unreachable: func(context.Context, []netip.AddrPort) []netip.AddrPort { return lost },
 	}))
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
 	eventually(t, "what the fourth node tells is in force", inForce(board, 9))
@@ -151,7 +151,7 @@
 	now := start
 	f := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, Self: topology.Node{ID: "self"},
-		News: 3 * time.Second, Now: func() time.Time { return now },
+		MaxStaleness: 3 * time.Second, Now: func() time.Time { return now },
 	})
 	f.state.put(nodeAt(t, 1, "a"))
 	f.state.put(nodeAt(t, 2, "self"))
--- a/internal/follower/validity.go
+++ b/internal/follower/validity.go
@@ -117,10 +117,10 @@
 	return now.Before(p.until) && (p.adoptBy.IsZero() || now.Before(p.adoptBy))
 }
 
-// Await waits until what this node knows of the store is sure to be no older than the time
+// WaitUntilFresh waits until what this node knows of the store is sure to be no older than the time
 // for news allows, or nobody can tell more, and asks for that if need be. It returns false
 // when that has taken too long, or ctx has ended. What is known must be loaded after it.
-func (f *Follower) Await(ctx context.Context) bool {
+func (f *Follower) WaitUntilFresh(ctx context.Context) bool {
 	current := f.permit.Load()
 	if current.holds(f.options.Now()) {
 		return true
@@ -145,9 +145,9 @@
 	}
 }
 
-// Waits returns the number of requests that have waited in Await, and of those that did so in
+// WaitCounts returns the number of requests that have waited in Await, and of those that did so in
 // vain.
-func (f *Follower) Waits() (all, vain int64) { return f.waits.Load(), f.vainWaits.Load() }
+func (f *Follower) WaitCounts() (all, vain int64) { return f.waits.Load(), f.vainWaits.Load() }
 
 // allow tells requests until when what is known may be acted on.
 func (f *Follower) allow() {
@@ -168,7 +168,7 @@
 // claimed notes what was said of the store, as of some time, unless it may have waited unread
 // while the process stood still.
 func (f *Follower) claimed(at time.Time, revision int64) {
-	if f.options.Steady(f.options.share(steadyShare)) {
+	if f.options.RanWithoutPause(f.options.share(steadyShare)) {
 		f.validity.claim(claim{revision: revision, at: at}, f.staleness.known)
 	}
 }
--- a/internal/follower/validity_test.go
+++ b/internal/follower/validity_test.go
@@ -85,10 +85,10 @@
 	s := &suspended{source: &fakeSource{}, board: &blackboard.Board{}, peers: &fakePeers{received: make(chan announce.Announcement)}}
 	s.source.put(tableAt(t, 1, 1))
 	s.Follower = New(Options{
-		Source: s.source, Peers: s.peers, Decoder: testDecoder{}, Keys: testKeys, Board: s.board,
-		Self: topology.Node{ID: "self"}, News: awaitNews, VanishedFor: time.Second,
-		Now:    func() time.Time { return time.Now().Add(time.Duration(s.skipped.Load())) },
-		Steady: func(time.Duration) bool { return !s.unsteady.Load() },
+		Store: s.source, Announcer: s.peers, Decoder: testDecoder{}, Keys: testKeys, Board: s.board,
+		Self: topology.Node{ID: "self"}, MaxStaleness: awaitNews, VanishedRetention: time.Second,
+		Now:             func() time.Time { return time.Now().Add(time.Duration(s.skipped.Load())) },
+		RanWithoutPause: func(time.Duration) bool { return !s.unsteady.Load() },
 	})
 	run(t, s.Follower)
 	eventually(t, "the first table is in force", inForce(s.board, 1))
@@ -104,16 +104,16 @@
 		source.put(tableAt(t, 1, 1))
 		board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
 		made := New(Options{
-			Source: source, Peers: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-			Self: topology.Node{ID: "self"}, News: awaitNews, VanishedFor: time.Second,
+			Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+			Self: topology.Node{ID: "self"}, MaxStaleness: awaitNews, VanishedRetention: time.Second,
 		})
 		short, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
-		if made.Await(short) {
+		if made.WaitUntilFresh(short) {
 			t.Error("trusted before anything was heard")
 		}
 		run(t, made)
-		if !made.Await(t.Context()) {
+		if !made.WaitUntilFresh(t.Context()) {
 			t.Error("not trusted though the store answers")
 		}
 	})
@@ -138,7 +138,7 @@
 				}
 				time.Sleep(time.Millisecond)
 				began := time.Now()
-				if !s.Await(t.Context()) {
+				if !s.WaitUntilFresh(t.Context()) {
 					t.Errorf("refused, suspended for %v after %v", lasting, before)
 				}
 				if !inForce(s.board, 9)() {
@@ -159,7 +159,7 @@
 		s.source.set(true, true)
 		for range 20 {
 			s.suspend(awaitNews)
-			if !s.Await(t.Context()) {
+			if !s.WaitUntilFresh(t.Context()) {
 				t.Error("refused, though nobody can tell more")
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -176,7 +176,7 @@
 		waited := time.Duration(0)
 		for range 6000 {
 			began := time.Now()
-			if !s.Await(t.Context()) {
+			if !s.WaitUntilFresh(t.Context()) {
 				t.Fatal("refused")
 			}
 			waited += time.Since(began)
@@ -197,7 +197,7 @@
 			s := startSuspended(t)
 			for range 6000 {
 				began := time.Now()
-				if requests && (!s.Await(t.Context()) || time.Since(began) > 0) {
+				if requests && (!s.WaitUntilFresh(t.Context()) || time.Since(began) > 0) {
 					t.Fatal("a request waited")
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/internal/follower/watch.go
+++ b/internal/follower/watch.go
@@ -89,7 +89,7 @@
 		case batch := <-batches:
 			f.silentInTurn = 0
 			f.deliver(batch)
-		case news := <-f.options.Peers.Received():
+		case news := <-f.options.Announcer.Received():
 			f.told(news)
 		case found := <-f.suspected:
 			f.suspect(found)
@@ -204,7 +204,7 @@
 	asked := f.options.Now()
 	var revision int64
 	var err error
-	f.ask(func() { _, _, revision, err = f.options.Source.Get(bounded, f.options.Keys.Configuration) })
+	f.ask(func() { _, _, revision, err = f.options.Store.Get(bounded, f.options.Keys.Configuration) })
 	if err != nil {
 		f.noteUnreachable(asked)
 		return err
@@ -213,6 +213,6 @@
 	f.heard(now)
 	f.validity.claim(claim{revision: revision, at: asked}, f.staleness.known)
 	f.confirm(now, asked, revision)
-	f.options.Peers.Send(announce.Announcement{Revision: revision, AgeMilliseconds: now.Sub(asked).Milliseconds()})
+	f.options.Announcer.Send(announce.Announcement{Revision: revision, AgeMilliseconds: now.Sub(asked).Milliseconds()})
 	return nil
 }
