--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -103,7 +103,7 @@
 type forwardRun struct {
 	*run
 	forwarding *Forwarding
-	terms      replica.Terms
+	terms      replica.SelectionCriteria
 }
 
 // Forward passes a request on to one replica of a service, or to one of each
@@ -169,8 +169,8 @@
 }
 
 // termsOf returns what the replicas for a route's requests are chosen by.
-func (s *Service) termsOf(route *routing.Route) replica.Terms {
-	return replica.Terms{
+func (s *Service) termsOf(route *routing.Route) replica.SelectionCriteria {
+	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
 		Usual:     s.usuals.Of(route.Name),
 		LateAfter: time.Duration(unknownLateShare * float64(route.Objective)),
@@ -181,7 +181,7 @@
 // checkServable refuses a request at once for which too few shards have a replica that
 // it may go to: what is sent to the others would be work for nothing, and the refusal
 // could no longer say that nothing ran.
-func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.Terms) error {
+func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.SelectionCriteria) error {
 	servable, needed := s.options.Pool.Servable(groups, &terms), max(1, route.LeastShards)
 	if servable >= needed {
 		return nil
@@ -190,7 +190,7 @@
 }
 
 func (s *Service) newForwardRun(
-	forwarding *Forwarding, groups []string, terms replica.Terms, deadline time.Duration, overloaded bool,
+	forwarding *Forwarding, groups []string, terms replica.SelectionCriteria, deadline time.Duration, overloaded bool,
 	known decision.Evidence,
 ) *forwardRun {
 	route := forwarding.Route
@@ -228,7 +228,7 @@
 	acquired := r.service.options.Pool.AcquireFor(shard.Group, &r.terms, tried)
 	if acquired.Handle != nil && r.plan.AnswerBy > 0 {
 		left := r.plan.AnswerBy - r.elapsed()
-		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.LateAtMost())
+		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.MaxLateAfter())
 	}
 	return acquired
 }
--- a/internal/replica/forward_message.go
+++ b/internal/replica/message.go
@@ -14,8 +14,8 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// Terms are what a replica for a message is chosen by.
-type Terms struct {
+// SelectionCriteria are what a replica for a message is chosen by.
+type SelectionCriteria struct {
 	Weights policy.Replicas
 	// Usual is how long such messages take.
 	Usual *Usual
@@ -30,21 +30,21 @@
 }
 
 // allows tells whether a replica may take the message.
-func (t *Terms) allows(handle *Handle) bool {
+func (t *SelectionCriteria) allows(handle *Handle) bool {
 	return len(t.Regions) == 0 || slices.Contains(t.Regions, handle.replica.Place.Region)
 }
 
 // lateAfter returns the time after which an answer from a distance is late.
-func (t *Terms) lateAfter(handle *Handle) time.Duration {
+func (t *SelectionCriteria) lateAfter(handle *Handle) time.Duration {
 	if usual := t.Usual.At(handle.distance); usual > 0 {
 		return lateRatio * usual
 	}
 	return t.LateAfter
 }
 
-// LateAtMost is the time after which an answer from any distance that is known
+// MaxLateAfter is the time after which an answer from any distance that is known
 // is late.
-func (t *Terms) LateAtMost() time.Duration {
+func (t *SelectionCriteria) MaxLateAfter() time.Duration {
 	if most := t.Usual.Most(); most > 0 {
 		return lateRatio * most
 	}
@@ -64,7 +64,7 @@
 }
 
 // AcquireFor is Acquire for a message.
-func (p *Pool) AcquireFor(groupName string, terms *Terms, tried []*Handle) Acquired {
+func (p *Pool) AcquireFor(groupName string, terms *SelectionCriteria, tried []*Handle) Acquired {
 	found := p.current().groups[groupName]
 	if found == nil {
 		return Acquired{}
@@ -96,7 +96,7 @@
 
 // Servable counts those of some groups that have a replica which may take a message
 // now, though it may have to wait for a connection.
-func (p *Pool) Servable(groups []string, terms *Terms) int {
+func (p *Pool) Servable(groups []string, terms *SelectionCriteria) int {
 	seen, now := p.current(), p.options.Now()
 	mayTake := func(handle *Handle) bool { return handle.mayTake(terms, now) }
 	servable := 0
@@ -110,7 +110,7 @@
 
 // candidateFor is candidate with the latency that a message is expected to
 // have there.
-func (h *Handle) candidateFor(now time.Time, terms *Terms) decision.Candidate {
+func (h *Handle) candidateFor(now time.Time, terms *SelectionCriteria) decision.Candidate {
 	candidate := h.candidate(now)
 	age := now.Sub(h.created)
 	usual := terms.Usual.At(h.distance)
@@ -126,7 +126,7 @@
 // mayTake tells whether a message may be sent there at all. One that is displaced is out
 // for good, though it is the last of its group that is listed: each message for it would
 // be an arrival at another group, which the retry budget of that one does not account for.
-func (h *Handle) mayTake(terms *Terms, now time.Time) bool {
+func (h *Handle) mayTake(terms *SelectionCriteria, now time.Time) bool {
 	return terms.allows(h) && h.cold.open(now) && !h.displaced.Load()
 }
 
@@ -134,7 +134,7 @@
 
 // Forward sends a message to an acquired replica, once, and releases it. A part
 // of a scattered query must be a success.
-func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *Terms, scattered bool) SearchResult {
+func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *SelectionCriteria, scattered bool) SearchResult {
 	defer handle.release()
 	started := p.options.Now()
 	reply, err := handle.upstream.Exchange(ctx, p.options.Codec, message, handle.replica.Incarnation, timeout)
@@ -197,7 +197,7 @@
 }
 
 // learnReply updates what is known of the replica.
-func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SearchResult, started time.Time, terms *Terms) {
+func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SearchResult, started time.Time, terms *SelectionCriteria) {
 	now := p.options.Now()
 	elapsed := now.Sub(started)
 	age := now.Sub(handle.created)
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -28,8 +28,8 @@
 	reply.NotRun = reply.Elsewhere || reply.Header.Get("Refused") != ""
 }
 
-func allTerms() *Terms {
-	return &Terms{
+func allTerms() *SelectionCriteria {
+	return &SelectionCriteria{
 		Weights: policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
 		Usual:   &Usual{}, LateAfter: 50 * time.Millisecond,
 	}
@@ -152,7 +152,7 @@
 // virtual is a pool over a near and a far replica on a clock of its own.
 type virtual struct {
 	pool  *Pool
-	terms *Terms
+	terms *SelectionCriteria
 	now   time.Time
 }
 
