--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -172,7 +172,7 @@
 func (s *Service) termsOf(route *routing.Route) replica.SelectionCriteria {
 	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
-		Usual:     s.usuals.Of(route.Name),
+		Baseline:  s.usuals.Of(route.Name),
 		LateAfter: time.Duration(unknownLateShare * float64(route.Objective)),
 		Regions:   route.Regions,
 	}
@@ -195,7 +195,7 @@
 ) *forwardRun {
 	route := forwarding.Route
 	plan := decision.Plan{
-		Shards: s.forwardShards(route, groups, terms.Usual), Policy: route.Policy, Deadline: deadline,
+		Shards: s.forwardShards(route, groups, terms.Baseline), Policy: route.Policy, Deadline: deadline,
 		LeastShards: route.LeastShards, RunsOnce: !route.Repeatable, NoHedges: overloaded,
 		Ends: s.endsPlan(forwarding, known),
 	}
@@ -211,8 +211,8 @@
 	return forward
 }
 
-func (s *Service) forwardShards(route *routing.Route, groups []string, usual *replica.Usual) []decision.ShardPlan {
-	expected := usual.Least()
+func (s *Service) forwardShards(route *routing.Route, groups []string, usual *replica.LatencyBaseline) []decision.ShardPlan {
+	expected := usual.NearestMedian()
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -54,7 +54,7 @@
 type Service struct {
 	options  Options
 	metrics  serviceMetrics
-	usuals   replica.Usuals
+	usuals   replica.LatencyBaselines
 	targets  *admission.Targets
 	splitter routing.Splitter
 }
--- a/internal/replica/losses_test.go
+++ b/internal/replica/losses_test.go
@@ -73,8 +73,8 @@
 			})
 			terms := allTerms()
 			for range 2 * leastSamples {
-				terms.Usual.record(topology.SameZone, 20*time.Millisecond)
-				terms.Usual.record(topology.OtherRegion, 28*time.Millisecond)
+				terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
+				terms.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
 			}
 			near := pool.AcquireFor(testGroup, terms, nil).Handle
 			near.End()
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -17,8 +17,8 @@
 // SelectionCriteria are what a replica for a message is chosen by.
 type SelectionCriteria struct {
 	Weights policy.Replicas
-	// Usual is how long such messages take.
-	Usual *Usual
+	// Baseline is how long such messages take.
+	Baseline *LatencyBaseline
 	// LateAfter is used while the usual time is not known.
 	LateAfter time.Duration
 	// Regions are those whose replicas may take the message; empty means all.
@@ -36,7 +36,7 @@
 
 // lateAfter returns the time after which an answer from a distance is late.
 func (t *SelectionCriteria) lateAfter(handle *Handle) time.Duration {
-	if usual := t.Usual.At(handle.distance); usual > 0 {
+	if usual := t.Baseline.Median(handle.distance); usual > 0 {
 		return lateRatio * usual
 	}
 	return t.LateAfter
@@ -45,7 +45,7 @@
 // MaxLateAfter is the time after which an answer from any distance that is known
 // is late.
 func (t *SelectionCriteria) MaxLateAfter() time.Duration {
-	if most := t.Usual.Most(); most > 0 {
+	if most := t.Baseline.FarthestMedian(); most > 0 {
 		return lateRatio * most
 	}
 	return t.LateAfter
@@ -113,7 +113,7 @@
 func (h *Handle) candidateFor(now time.Time, terms *SelectionCriteria) decision.Candidate {
 	candidate := h.candidate(now)
 	age := now.Sub(h.created)
-	usual := terms.Usual.At(h.distance)
+	usual := terms.Baseline.Median(h.distance)
 	candidate.LatencyEWMA = time.Duration(h.speed.slowness(age) / h.losses.kept(age) * float64(usual))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
 	candidate.Barred = !h.mayTake(terms, now)
@@ -206,11 +206,11 @@
 		handle.silence.heard(age)
 	}
 	late := elapsed > terms.lateAfter(handle)
-	if usual := terms.Usual.At(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
+	if usual := terms.Baseline.Median(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
 		handle.speed.observe(age, usual, float64(elapsed)/float64(usual))
 	}
 	if result.Outcome == decision.Success {
-		terms.Usual.record(handle.distance, elapsed)
+		terms.Baseline.record(handle.distance, elapsed)
 	}
 	ended := Ended{Outcome: result.Outcome, GivenUp: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
 	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -30,8 +30,8 @@
 
 func allTerms() *SelectionCriteria {
 	return &SelectionCriteria{
-		Weights: policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
-		Usual:   &Usual{}, LateAfter: 50 * time.Millisecond,
+		Weights:  policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
+		Baseline: &LatencyBaseline{}, LateAfter: 50 * time.Millisecond,
 	}
 }
 
@@ -169,8 +169,8 @@
 		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // as after some answers
 	}
 	for range 2 * leastSamples {
-		made.terms.Usual.record(topology.SameZone, 20*time.Millisecond)
-		made.terms.Usual.record(topology.OtherRegion, 45*time.Millisecond)
+		made.terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
+		made.terms.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
 	}
 	return made
 }
