--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -182,7 +182,7 @@
 // it may go to: what is sent to the others would be work for nothing, and the refusal
 // could no longer say that nothing ran.
 func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.SelectionCriteria) error {
-	servable, needed := s.options.Pool.Servable(groups, &terms), max(1, route.LeastShards)
+	servable, needed := s.options.Pool.CountServableGroups(groups, &terms), max(1, route.LeastShards)
 	if servable >= needed {
 		return nil
 	}
@@ -223,9 +223,9 @@
 	return shards
 }
 
-func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.Acquired {
+func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult {
 	r.terms.Canary = canary
-	acquired := r.service.options.Pool.AcquireFor(shard.Group, &r.terms, tried)
+	acquired := r.service.options.Pool.AcquireForMessage(shard.Group, &r.terms, tried)
 	if acquired.Handle != nil && r.plan.AnswerBy > 0 {
 		left := r.plan.AnswerBy - r.elapsed()
 		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.MaxLateAfter())
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -18,7 +18,7 @@
 type protocol interface {
 	// acquire chooses a replica that was not tried yet; a canary goes to an idle one if it
 	// can.
-	acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.Acquired
+	acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult
 	// exchange sends one attempt to a replica, and returns what came of it.
 	exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SearchResult
 	// otherSnapshot tells whether the query could start anew on another one.
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -14,8 +14,8 @@
 // busyProtocol finds every replica busy.
 type busyProtocol struct{}
 
-func (busyProtocol) acquire(*decision.ShardPlan, bool, []*replica.Handle) replica.Acquired {
-	return replica.Acquired{Busy: true}
+func (busyProtocol) acquire(*decision.ShardPlan, bool, []*replica.Handle) replica.AcquireResult {
+	return replica.AcquireResult{Busy: true}
 }
 
 func (busyProtocol) exchange(context.Context, *replica.Handle, *decision.ShardPlan, decision.Action) replica.SearchResult {
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -32,8 +32,8 @@
 	return search
 }
 
-func (r *searchRun) acquire(shard *decision.ShardPlan, _ bool, tried []*replica.Handle) replica.Acquired {
-	return replica.Acquired{Handle: r.service.options.Pool.Acquire(shard.Group, r.request.row.Replicas, tried)}
+func (r *searchRun) acquire(shard *decision.ShardPlan, _ bool, tried []*replica.Handle) replica.AcquireResult {
+	return replica.AcquireResult{Handle: r.service.options.Pool.Acquire(shard.Group, r.request.row.Replicas, tried)}
 }
 
 func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SearchResult {
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -35,10 +35,10 @@
 	terms.Regions = []string{nearPlace.Region}
 	var sent []time.Time
 	for range 100 {
-		if acquired := pool.AcquireFor(testGroup, terms, nil); acquired.Handle != nil {
+		if acquired := pool.AcquireForMessage(testGroup, terms, nil); acquired.Handle != nil {
 			sent = append(sent, now)
 			acquired.Handle.End()
-		} else if acquired.Busy || pool.Servable([]string{testGroup}, terms) != 0 {
+		} else if acquired.Busy || pool.CountServableGroups([]string{testGroup}, terms) != 0 {
 			t.Fatal("a message waits, or is let in, for a cold replica that has its share")
 		}
 		now = now.Add(70 * time.Millisecond)
@@ -53,7 +53,7 @@
 	}
 	terms.Regions = nil
 	for range 2 * rate {
-		acquired := pool.AcquireFor(testGroup, terms, nil)
+		acquired := pool.AcquireForMessage(testGroup, terms, nil)
 		if acquired.Handle == nil {
 			t.Fatal("the warm replica is not asked in its place")
 		}
@@ -62,7 +62,7 @@
 	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace}, topology.Replica{Address: "warm:1", Place: farPlace})
 	terms.Regions = []string{nearPlace.Region}
 	for range 2 * rate {
-		acquired := pool.AcquireFor(testGroup, terms, nil)
+		acquired := pool.AcquireForMessage(testGroup, terms, nil)
 		if acquired.Handle == nil {
 			t.Fatal("it is bounded though it is warm")
 		}
@@ -77,7 +77,7 @@
 	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaVanished, ColdRate: 2})
 	sent := 0
 	for range 10 {
-		if acquired := pool.AcquireFor(testGroup, allTerms(), nil); acquired.Handle != nil {
+		if acquired := pool.AcquireForMessage(testGroup, allTerms(), nil); acquired.Handle != nil {
 			sent++
 			acquired.Handle.End()
 		}
@@ -116,11 +116,11 @@
 	terms := allTerms()
 	terms.Regions = []string{nearPlace.Region}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other"}})
-	if got := pool.Servable([]string{testGroup}, terms); got != 0 {
+	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 0 {
 		t.Error("a node that does not share asks a cold replica")
 	}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other", "self"}})
-	if got := pool.Servable([]string{testGroup}, terms); got != 1 {
+	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 1 {
 		t.Error("a node that shares does not ask it")
 	}
 }
--- a/internal/replica/losses_test.go
+++ b/internal/replica/losses_test.go
@@ -76,7 +76,7 @@
 				terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
 				terms.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
 			}
-			near := pool.AcquireFor(testGroup, terms, nil).Handle
+			near := pool.AcquireForMessage(testGroup, terms, nil).Handle
 			near.End()
 			if near.replica.Place != nearPlace {
 				t.Fatal("the farther one is preferred from the start")
@@ -86,7 +86,7 @@
 				near.Observe(now, Ended{Outcome: decision.Success, Elapsed: 20 * time.Millisecond})
 			}
 			now = now.Add(3 * time.Second)
-			if got := pool.AcquireFor(testGroup, terms, nil).Handle; got == near {
+			if got := pool.AcquireForMessage(testGroup, terms, nil).Handle; got == near {
 				t.Error("it is asked first again, after a pause")
 			}
 		})
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -51,8 +51,8 @@
 	return t.LateAfter
 }
 
-// Acquired is a replica chosen for a message.
-type Acquired struct {
+// AcquireResult is a replica chosen for a message.
+type AcquireResult struct {
 	// Handle is nil when there is none.
 	Handle *Handle
 	// LateAfter is the time after which the replica's answer is late.
@@ -63,11 +63,11 @@
 	Exhausted bool
 }
 
-// AcquireFor is Acquire for a message.
-func (p *Pool) AcquireFor(groupName string, terms *SelectionCriteria, tried []*Handle) Acquired {
+// AcquireForMessage is Acquire for a message.
+func (p *Pool) AcquireForMessage(groupName string, terms *SelectionCriteria, tried []*Handle) AcquireResult {
 	found := p.current().groups[groupName]
 	if found == nil {
-		return Acquired{}
+		return AcquireResult{}
 	}
 	choose := decision.ChooseReplica
 	if len(tried) > 0 {
@@ -87,16 +87,16 @@
 	}
 	chosen := p.chooseFrom(found.handles, terms.Weights, tried, choose, now, describe)
 	if chosen == nil {
-		return Acquired{Busy: busy, Exhausted: exhausted}
+		return AcquireResult{Busy: busy, Exhausted: exhausted}
 	}
 	chosen.sentAt(now)
 	p.metrics.observeChoice(chosen.distance, len(tried) > 0)
-	return Acquired{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
+	return AcquireResult{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
 }
 
-// Servable counts those of some groups that have a replica which may take a message
+// CountServableGroups counts those of some groups that have a replica which may take a message
 // now, though it may have to wait for a connection.
-func (p *Pool) Servable(groups []string, terms *SelectionCriteria) int {
+func (p *Pool) CountServableGroups(groups []string, terms *SelectionCriteria) int {
 	seen, now := p.current(), p.options.Now()
 	mayTake := func(handle *Handle) bool { return handle.mayTake(terms, now) }
 	servable := 0
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -92,7 +92,7 @@
 				board := &blackboard.Board{}
 				publish(board, newBackend(t, test.handler).address())
 				pool := messagePool(t, board, nil)
-				acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+				acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 				got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), scattered)
 				want := test.plain
 				if scattered {
@@ -113,7 +113,7 @@
 	board := &blackboard.Board{}
 	publish(board, "127.0.0.1:1")
 	pool := messagePool(t, board, nil)
-	acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 	got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
 	if got.Outcome != decision.Unreached || !got.NotRun {
 		t.Errorf("outcome %v, not run %v", got.Outcome, got.NotRun)
@@ -128,7 +128,7 @@
 	pool := messagePool(t, board, func(options *PoolOptions) {
 		options.OnElsewhere = func(replica topology.Replica) { told = append(told, replica.Address) }
 	})
-	acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
 	if len(told) != 1 || told[0] != backend.address() {
 		t.Errorf("told of %v", told)
@@ -177,7 +177,7 @@
 
 func (v *virtual) acquire(t *testing.T) *Handle {
 	t.Helper()
-	acquired := v.pool.AcquireFor(testGroup, v.terms, nil)
+	acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
 	if acquired.Handle == nil {
 		t.Fatal("no replica")
 	}
@@ -294,7 +294,7 @@
 	v := newVirtual(t)
 	taken := 0
 	for {
-		acquired := v.pool.AcquireFor(testGroup, v.terms, nil)
+		acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
 		if acquired.Handle == nil {
 			if !acquired.Busy {
 				t.Error("a group whose replicas are at their limits is not busy")
@@ -306,7 +306,7 @@
 	if taken == 0 || taken > 2*limitSlots*4 {
 		t.Errorf("%d requests were let through", taken)
 	}
-	if unknown := v.pool.AcquireFor("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
+	if unknown := v.pool.AcquireForMessage("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
 		t.Errorf("an unknown group: %+v", unknown)
 	}
 }
@@ -327,7 +327,7 @@
 		t.Errorf("chose %s", got)
 	}
 	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaLeaving})
-	if acquired := v.pool.AcquireFor(testGroup, v.terms, nil); acquired.Handle != nil {
+	if acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil); acquired.Handle != nil {
 		t.Errorf("chose %s, which leaves", acquired.Handle.Address())
 	}
 }
--- a/internal/replica/regions_test.go
+++ b/internal/replica/regions_test.go
@@ -20,16 +20,16 @@
 	terms.Regions = []string{farPlace.Region}
 	var tried []*Handle
 	for range 2 {
-		acquired := pool.AcquireFor(testGroup, terms, tried)
+		acquired := pool.AcquireForMessage(testGroup, terms, tried)
 		if acquired.Handle == nil || acquired.Handle.replica.Place != farPlace {
 			t.Fatalf("acquired %+v", acquired)
 		}
 		tried = append(tried, acquired.Handle)
 	}
-	if acquired := pool.AcquireFor(testGroup, terms, tried); acquired.Handle != nil || acquired.Busy {
+	if acquired := pool.AcquireForMessage(testGroup, terms, tried); acquired.Handle != nil || acquired.Busy {
 		t.Errorf("with both tried: %+v", acquired)
 	}
-	if !pool.AcquireFor(testGroup, terms, nil).Busy {
+	if !pool.AcquireForMessage(testGroup, terms, nil).Busy {
 		t.Error("one that only lacks room is not waited for")
 	}
 	for regions, want := range map[string]int{"": 1, farPlace.Region: 1, "r9": 0} {
@@ -37,7 +37,7 @@
 		if regions != "" {
 			terms.Regions = []string{regions}
 		}
-		if got := pool.Servable([]string{testGroup, "unknown"}, terms); got != want {
+		if got := pool.CountServableGroups([]string{testGroup, "unknown"}, terms); got != want {
 			t.Errorf("regions %q: %d groups are servable", regions, got)
 		}
 	}
