--- a/internal/query/driver.go
+++ b/internal/query/driver.go
@@ -41,7 +41,7 @@
 type AttemptResult struct {
 	Shard   int
 	Attempt int
-	Result  replica.SearchResult
+	Result  replica.SubrequestResult
 }
 
 // Woken says why Next returned.
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -240,7 +240,7 @@
 	return max(late, min(left-lateElsewhere, left/2))
 }
 
-func (r *forwardRun) exchange(ctx context.Context, handle *replica.Handle, _ *decision.ShardPlan, action decision.Action) replica.SearchResult {
+func (r *forwardRun) exchange(ctx context.Context, handle *replica.Handle, _ *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
 	scattered := r.forwarding.Route.Scattered()
 	return r.service.options.Pool.Forward(ctx, handle, r.forwarding.Message, action.Timeout, &r.terms, scattered)
 }
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -20,7 +20,7 @@
 	// can.
 	acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult
 	// exchange sends one attempt to a replica, and returns what came of it.
-	exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SearchResult
+	exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SubrequestResult
 	// otherSnapshot tells whether the query could start anew on another one.
 	otherSnapshot() bool
 }
@@ -225,7 +225,7 @@
 		Kind: decision.Replied, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
-		Survived: result.Result.Part != nil, Blame: result.Result.Blame,
+		Survived: result.Result.UpstreamReply != nil, Blame: result.Result.Blame,
 	}
 	if outcome == decision.Ended && r.quarantined != nil {
 		event.Quarantined = r.quarantined()
@@ -237,13 +237,13 @@
 }
 
 // keep stores the first answer of a shard, or its last failure.
-func (r *run) keep(shard *shardRun, result replica.SearchResult) {
+func (r *run) keep(shard *shardRun, result replica.SubrequestResult) {
 	switch {
 	case result.Outcome != decision.Success:
 		shard.err = result.Err
-		shard.refusal = result.Part
+		shard.refusal = result.UpstreamReply
 	case shard.reply == nil && shard.part == nil:
-		shard.reply, shard.part = result.Reply, result.Part
+		shard.reply, shard.part = result.Reply, result.UpstreamReply
 	}
 }
 
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -18,7 +18,7 @@
 	return replica.AcquireResult{Busy: true}
 }
 
-func (busyProtocol) exchange(context.Context, *replica.Handle, *decision.ShardPlan, decision.Action) replica.SearchResult {
+func (busyProtocol) exchange(context.Context, *replica.Handle, *decision.ShardPlan, decision.Action) replica.SubrequestResult {
 	panic("nothing is sent")
 }
 
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -36,7 +36,7 @@
 	return replica.AcquireResult{Handle: r.service.options.Pool.Acquire(shard.Group, r.request.row.Replicas, tried)}
 }
 
-func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SearchResult {
+func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
 	return r.service.options.Pool.Search(ctx, handle, r.message(shard, action))
 }
 
--- a/internal/replica/contract_test.go
+++ b/internal/replica/contract_test.go
@@ -50,7 +50,7 @@
 	return &contract{standin: standin, server: server, pool: pool}
 }
 
-func (c *contract) search(t *testing.T, snapshot uint64) replica.SearchResult {
+func (c *contract) search(t *testing.T, snapshot uint64) replica.SubrequestResult {
 	t.Helper()
 	handle := c.pool.Acquire(contractGroup, policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}, nil)
 	if handle == nil {
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -113,31 +113,31 @@
 }
 
 // forwardSearch sends a sub-request through a peer.
-func (p *Pool) forwardSearch(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SearchResult {
+func (p *Pool) forwardSearch(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SubrequestResult {
 	p.metrics.forwarded.Inc()
 	reply, err := p.options.Peers.Forward(ctx, handle.replica.Address, peer.ForwardRequest{
 		Group: handle.replica.Group, TimeoutMilliseconds: request.TimeoutMilliseconds, Search: *request,
 	})
 	switch {
 	case err != nil:
-		return SearchResult{Outcome: decision.Failed, NotRun: failure.From(err).NotRun, Err: err}
+		return SubrequestResult{Outcome: decision.Failed, NotRun: failure.From(err).NotRun, Err: err}
 	case reply.Refusal != nil:
 		return p.forwardedRefusal(reply)
 	}
 	if err := checkReply(request, &reply.Search); err != nil {
-		return SearchResult{Outcome: decision.Invalid, Err: err}
+		return SubrequestResult{Outcome: decision.Invalid, Err: err}
 	}
 	p.noteForwarded(reply.Address, reply.Search.Incarnation, reply.Search.Draining)
-	return SearchResult{Outcome: decision.Success, Reply: &reply.Search}
+	return SubrequestResult{Outcome: decision.Success, Reply: &reply.Search}
 }
 
 // forwardedRefusal is the proof of a replica, passed on by a peer, that it did
 // not run the request.
-func (p *Pool) forwardedRefusal(reply peer.ForwardReply) SearchResult {
+func (p *Pool) forwardedRefusal(reply peer.ForwardReply) SubrequestResult {
 	refused := reply.Refusal
 	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
 	p.noteForwarded(reply.Address, refused.Incarnation, draining)
-	return SearchResult{
+	return SubrequestResult{
 		Outcome:    refusalOutcome(refused.Reason),
 		NotRun:     true,
 		RetryAfter: time.Duration(refused.RetryAfterMilliseconds) * time.Millisecond,
--- a/internal/replica/forward_test.go
+++ b/internal/replica/forward_test.go
@@ -177,7 +177,7 @@
 		t.Fatal("waits for nothing:", err)
 	}
 	pool := newAsker(t, address, backend.address())
-	results := make(chan SearchResult, 1)
+	results := make(chan SubrequestResult, 1)
 	go func() {
 		results <- pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	}()
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -134,7 +134,7 @@
 
 // Forward sends a message to an acquired replica, once, and releases it. A part
 // of a scattered query must be a success.
-func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *SelectionCriteria, scattered bool) SearchResult {
+func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *SelectionCriteria, scattered bool) SubrequestResult {
 	defer handle.release()
 	started := p.options.Now()
 	reply, err := handle.upstream.Exchange(ctx, p.options.Codec, message, handle.replica.Incarnation, timeout)
@@ -161,43 +161,43 @@
 }
 
 // classifyReply tells what an exchange means for the query.
-func classifyReply(reply *upstream.Reply, err error, scattered bool) SearchResult {
+func classifyReply(reply *upstream.Reply, err error, scattered bool) SubrequestResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
-		return SearchResult{Outcome: decision.Unaccepted, NotRun: true, Err: err}
+		return SubrequestResult{Outcome: decision.Unaccepted, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrNotSent):
-		return SearchResult{Outcome: decision.Unreached, NotRun: true, Err: err}
+		return SubrequestResult{Outcome: decision.Unreached, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrReset):
-		return SearchResult{Outcome: decision.Reset, Err: err}
+		return SubrequestResult{Outcome: decision.Reset, Err: err}
 	case err != nil:
-		return SearchResult{Outcome: decision.Failed, Err: err}
+		return SubrequestResult{Outcome: decision.Failed, Err: err}
 	case reply.Elsewhere:
-		return SearchResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("another process is at the address")}
+		return SubrequestResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("another process is at the address")}
 	case reply.NotRun:
-		return SearchResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
 	case reply.Signature == "":
-		return SearchResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
+		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
 	case scattered:
 		return classifyPart(reply)
 	case reply.Status >= serverErrors:
-		return SearchResult{Outcome: decision.Failed, Part: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	default:
-		return SearchResult{Outcome: decision.Success, Part: reply}
+		return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 	}
 }
 
 // serverErrors is the least status that tells of a failure of the replica.
 const serverErrors = 500
 
-func classifyPart(reply *upstream.Reply) SearchResult {
+func classifyPart(reply *upstream.Reply) SubrequestResult {
 	if !reply.Succeeded() {
-		return SearchResult{Outcome: decision.Failed, Part: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	}
-	return SearchResult{Outcome: decision.Success, Part: reply}
+	return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 }
 
 // learnReply updates what is known of the replica.
-func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SearchResult, started time.Time, terms *SelectionCriteria) {
+func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time, terms *SelectionCriteria) {
 	now := p.options.Now()
 	elapsed := now.Sub(started)
 	age := now.Sub(handle.created)
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -98,8 +98,8 @@
 				if scattered {
 					want = test.scattered
 				}
-				if got.Outcome != want || got.NotRun != test.notRun || (got.Part != nil) != test.hasPart {
-					t.Errorf("outcome %v, not run %v, part %v; want %v", got.Outcome, got.NotRun, got.Part, want)
+				if got.Outcome != want || got.NotRun != test.notRun || (got.UpstreamReply != nil) != test.hasPart {
+					t.Errorf("outcome %v, not run %v, part %v; want %v", got.Outcome, got.NotRun, got.UpstreamReply, want)
 				}
 				if held := acquired.Handle.inFlight.Load(); held != 0 {
 					t.Errorf("%d requests are still counted", held)
@@ -192,7 +192,7 @@
 	}
 	started := v.now
 	v.now = v.now.Add(took)
-	v.pool.learnReply(ctx, handle, SearchResult{Outcome: outcome}, started, v.terms)
+	v.pool.learnReply(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.terms)
 	handle.release()
 }
 
@@ -259,7 +259,7 @@
 	before := near.limit.Load()
 	near.Begin()
 	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
-	v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
+	v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
 	}
@@ -338,7 +338,7 @@
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
+		v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
 	}
 	if near.Candidate(v.now).Ejected {
 		t.Error("ejected for this node's own limit")
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -88,7 +88,7 @@
 	return backend
 }
 
-func searchOnce(t *testing.T, protocol Protocol, handler http.HandlerFunc) (SearchResult, *Handle) {
+func searchOnce(t *testing.T, protocol Protocol, handler http.HandlerFunc) (SubrequestResult, *Handle) {
 	t.Helper()
 	backend := serve(t, protocol, handler)
 	board := &blackboard.Board{}
@@ -154,7 +154,7 @@
 	publish(board, backend.address())
 	pool := newTestPool(t, board, nil)
 	const budget = 9 // nine tenths of the limit of 10
-	results := make(chan SearchResult)
+	results := make(chan SubrequestResult)
 	handle := pool.Acquire(testGroup, callWeights, nil)
 	go func() { results <- pool.Search(t.Context(), handle, searchRequest()) }()
 	for range budget - 1 {
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -162,10 +162,10 @@
 		started := time.Now()
 		registry := prometheus.NewRegistry()
 		prober, _, _ := newTestProber(t, "192.0.2.1:1", registry, func(options *PoolOptions) {
-			options.Post = func(ctx context.Context, _, _ string, _ []byte) Exchange {
+			options.Post = func(ctx context.Context, _, _ string, _ []byte) PostResult {
 				asked = append(asked, time.Since(started))
 				<-ctx.Done()
-				return Exchange{Err: ctx.Err()}
+				return PostResult{Err: ctx.Err()}
 			}
 		})
 		ended := make(chan error)
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -14,17 +14,17 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// SearchResult is what came of one sub-request.
-type SearchResult struct {
+// SubrequestResult is what came of one sub-request.
+type SubrequestResult struct {
 	Outcome decision.Outcome
 	// NotRun is true only when the replica provably did not run it.
 	NotRun     bool
 	RetryAfter time.Duration
 	// Reply is set on Success and has passed its checks.
 	Reply *backendapi.SearchReply
-	// Part is the whole answer to a message. It is set on Success, and on
+	// UpstreamReply is the whole answer to a message. It is set on Success, and on
 	// Failed when the replica itself answered with a failure.
-	Part *upstream.Reply
+	UpstreamReply *upstream.Reply
 	// Blame is, for Ended, the share of it that falls on this sub-request: one, divided by
 	// the number of those of this node that the replica was running.
 	Blame float64
@@ -32,7 +32,7 @@
 }
 
 // Search sends one sub-request to an acquired replica, once, and releases it.
-func (p *Pool) Search(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SearchResult {
+func (p *Pool) Search(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SubrequestResult {
 	defer handle.release()
 	started := p.options.Now()
 	result := p.searchOnce(ctx, handle, request)
@@ -41,7 +41,7 @@
 	return result
 }
 
-func (p *Pool) searchOnce(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SearchResult {
+func (p *Pool) searchOnce(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SubrequestResult {
 	if handle.peer {
 		return p.forwardSearch(ctx, handle, request)
 	}
@@ -50,12 +50,12 @@
 	return p.classifySearch(handle, request, &exchanged)
 }
 
-func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, exchanged *exchange) SearchResult {
+func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, exchanged *exchange) SubrequestResult {
 	switch {
 	case overConnectionBudget(exchanged.err):
-		return SearchResult{Outcome: decision.Shed, NotRun: true, Err: exchanged.err}
+		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: exchanged.err}
 	case exchanged.err != nil:
-		return SearchResult{Outcome: decision.Failed, NotRun: exchanged.notSent, Err: exchanged.err}
+		return SubrequestResult{Outcome: decision.Failed, NotRun: exchanged.notSent, Err: exchanged.err}
 	case exchanged.status == http.StatusOK:
 		return p.decodeReply(handle, request, exchanged.body)
 	default:
@@ -63,16 +63,16 @@
 	}
 }
 
-func (p *Pool) decodeReply(handle *Handle, request *backendapi.SearchRequest, body []byte) SearchResult {
+func (p *Pool) decodeReply(handle *Handle, request *backendapi.SearchRequest, body []byte) SubrequestResult {
 	reply, err := decodeSearchReply(body)
 	if err != nil {
-		return SearchResult{Outcome: decision.Invalid, Err: eris.Wrap(err, "decode the reply")}
+		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Wrap(err, "decode the reply")}
 	}
 	if err := checkReply(request, reply); err != nil {
-		return SearchResult{Outcome: decision.Invalid, Err: err}
+		return SubrequestResult{Outcome: decision.Invalid, Err: err}
 	}
 	p.noteReply(handle, reply.Load, reply.Draining, reply.Incarnation)
-	return SearchResult{Outcome: decision.Success, Reply: reply}
+	return SubrequestResult{Outcome: decision.Success, Reply: reply}
 }
 
 // decodeSearchReply decodes a whole reply. It is the costliest part of a
@@ -111,14 +111,14 @@
 	return refused
 }
 
-func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchange) SearchResult {
+func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchange) SubrequestResult {
 	refused := refusal(exchanged)
 	if refused == nil {
-		return SearchResult{Outcome: decision.Failed, Err: eris.Errorf("status %d", exchanged.status)}
+		return SubrequestResult{Outcome: decision.Failed, Err: eris.Errorf("status %d", exchanged.status)}
 	}
 	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
 	p.noteReply(handle, refused.Load, draining, refused.Incarnation)
-	return SearchResult{
+	return SubrequestResult{
 		Outcome:    refusalOutcome(refused.Reason),
 		NotRun:     true,
 		RetryAfter: time.Duration(refused.RetryAfterMilliseconds) * time.Millisecond,
@@ -142,7 +142,7 @@
 }
 
 // learn updates the health of the replica and of its group by an outcome.
-func (p *Pool) learn(ctx context.Context, handle *Handle, result SearchResult, started time.Time) {
+func (p *Pool) learn(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time) {
 	now := p.options.Now()
 	ended := Ended{Outcome: result.Outcome, GivenUp: ctx.Err() != nil, Elapsed: now.Sub(started), RetryAfter: result.RetryAfter}
 	handle.observe(now, ended)
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -38,8 +38,8 @@
 	bufferKept        = 256 << 10
 )
 
-// Exchange is what came of one POST to a replica.
-type Exchange struct {
+// PostResult is what came of one POST to a replica.
+type PostResult struct {
 	Status int
 	Body   []byte
 	Err    error
@@ -48,7 +48,7 @@
 }
 
 // PostFunc carries one POST to a replica, at most once.
-type PostFunc func(ctx context.Context, address, path string, body []byte) Exchange
+type PostFunc func(ctx context.Context, address, path string, body []byte) PostResult
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
--- a/internal/simulation/system/backend.go
+++ b/internal/simulation/system/backend.go
@@ -108,7 +108,7 @@
 }
 
 // exchangeReply hands an HTTP answer to the sender.
-type exchangeReply func(replica.Exchange)
+type exchangeReply func(replica.PostResult)
 
 // serve handles one request.
 func (b *backend) serve(path string, body []byte, whose *flight, answer exchangeReply) {
@@ -185,7 +185,7 @@
 }
 
 func (b *backend) refuse(answer exchangeReply, status int, reason backendapi.RefusalReason) {
-	answer(replica.Exchange{Status: status, Body: encode(backendapi.Refusal{
+	answer(replica.PostResult{Status: status, Body: encode(backendapi.Refusal{
 		Reason: reason, NotRun: true, RetryAfterMilliseconds: 10, Load: b.load(),
 		Draining: b.leaving, Incarnation: b.incarnationName(),
 	})})
@@ -219,7 +219,7 @@
 	}
 	body := encode(reply)
 	b.previous = body
-	answer(replica.Exchange{Status: http.StatusOK, Body: body})
+	answer(replica.PostResult{Status: http.StatusOK, Body: body})
 }
 
 // The lies of a back end.
@@ -244,7 +244,7 @@
 	if kind != lieLate && kind != lieDoubled {
 		b.world.checks.falseReply(&reply)
 	}
-	exchange := replica.Exchange{Status: http.StatusOK}
+	exchange := replica.PostResult{Status: http.StatusOK}
 	switch kind {
 	case lieTruncated:
 		body := encode(reply)
@@ -294,7 +294,7 @@
 		b.world.checks.ranCall(request.Key, whose, b)
 		b.process.After(b.serviceTime(), func() {
 			b.release()
-			answer(replica.Exchange{Status: http.StatusOK, Body: encode(backendapi.CallReply{
+			answer(replica.PostResult{Status: http.StatusOK, Body: encode(backendapi.CallReply{
 				Key: request.Key, Result: json.RawMessage(`"done"`), Load: b.load(),
 				Draining: b.leaving, Incarnation: b.incarnationName(),
 			})})
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -265,13 +265,13 @@
 }
 
 // post carries one exchange with a back end for the pool.
-func (d *daemon) post(ctx context.Context, address, path string, body []byte) replica.Exchange {
+func (d *daemon) post(ctx context.Context, address, path string, body []byte) replica.PostResult {
 	w := d.world
-	var came replica.Exchange
+	var came replica.PostResult
 	whose := w.current.flight
 	w.await(func(wake func()) {
 		finished := false
-		finish := func(result replica.Exchange) {
+		finish := func(result replica.PostResult) {
 			if !finished {
 				finished = true
 				came = result
@@ -279,7 +279,7 @@
 			}
 		}
 		giveUp := ctx.(*virtualContext)
-		giveUp.whenDone(func() { finish(replica.Exchange{Err: giveUp.Err()}) })
+		giveUp.whenDone(func() { finish(replica.PostResult{Err: giveUp.Err()}) })
 		d.sendToBackend(address, path, body, whose, finish)
 	})
 	return came
@@ -292,7 +292,7 @@
 	target := w.backendAt[address]
 	process := target.process
 	if !process.Alive() {
-		d.process.After(simulation.NewConnectionDelay, func() { finish(replica.Exchange{Err: errRefused, NotSent: true}) })
+		d.process.After(simulation.NewConnectionDelay, func() { finish(replica.PostResult{Err: errRefused, NotSent: true}) })
 		return
 	}
 	connect := simulation.NewConnectionDelay
@@ -320,10 +320,10 @@
 	opened := &openExchange{}
 	opened.reset = func() {
 		opened.ended = true
-		d.world.network.Send(process, d.process, func() { finish(replica.Exchange{Err: errReset}) })
+		d.world.network.Send(process, d.process, func() { finish(replica.PostResult{Err: errReset}) })
 	}
 	target.connect(opened)
-	return func(result replica.Exchange) {
+	return func(result replica.PostResult) {
 		opened.ended = true
 		d.world.network.Send(process, d.process, func() { finish(result) })
 	}
--- a/internal/simulation/system/probe.go
+++ b/internal/simulation/system/probe.go
@@ -36,7 +36,7 @@
 	if b.lying && b.world.engine.Random().IntN(lyingOdds) == 0 {
 		state = backendapi.StateServing
 	}
-	answer(replica.Exchange{Status: http.StatusOK, Body: encode(backendapi.Status{
+	answer(replica.PostResult{Status: http.StatusOK, Body: encode(backendapi.Status{
 		Incarnation: b.incarnationName(), State: state, Load: b.load(),
 	})})
 }
