--- a/internal/lab/experiment/baseline.go
+++ b/internal/lab/experiment/baseline.go
@@ -106,6 +106,6 @@
 	return r.turns[group] % count
 }
 
-func (r *baselineRouter) observe(*link, replica.Ended) {}
+func (r *baselineRouter) observe(*link, replica.Observation) {}
 
 func (r *baselineRouter) attemptTimeout() time.Duration { return r.patience }
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -82,7 +82,7 @@
 	if outcome != decision.Failed {
 		request.link.health.ObserveLoad(load)
 	}
-	d.close(request, replica.Ended{Outcome: outcome, RetryAfter: retryAfter(outcome)})
+	d.close(request, replica.Observation{Outcome: outcome, RetryAfter: retryAfter(outcome)})
 	request.query.step(decision.Event{
 		Kind: decision.Replied, Shard: request.shard, Attempt: request.number, Outcome: outcome,
 	})
@@ -113,13 +113,13 @@
 	if request.closed {
 		return
 	}
-	d.close(request, replica.Ended{Outcome: decision.Failed, GivenUp: true})
+	d.close(request, replica.Observation{Outcome: decision.Failed, Canceled: true})
 	target := request.link.backend
 	delay := d.run.network.Delay(d.place, target.replica.Place)
 	d.run.engine.After(delay, func() { target.abandon(request) })
 }
 
-func (d *daemon) close(request *attempt, ended replica.Ended) {
+func (d *daemon) close(request *attempt, ended replica.Observation) {
 	request.closed = true
 	if request.timeout != nil {
 		request.timeout.Stop()
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -33,7 +33,7 @@
 	// choose returns nil when no replica is left.
 	choose(group int, tried []*link, row *policy.Row) *link
 	// observe takes in how a request ended.
-	observe(asked *link, ended replica.Ended)
+	observe(asked *link, ended replica.Observation)
 	// attemptTimeout bounds one attempt; 0 means that only the query's
 	// deadline does.
 	attemptTimeout() time.Duration
@@ -125,7 +125,7 @@
 	}
 	if replica.AllEjected(candidates) {
 		for _, known := range links {
-			known.health.Relent(now)
+			known.health.ShortenEjection(now)
 		}
 	}
 	pick := decision.ChooseReplica
@@ -139,7 +139,7 @@
 	return links[chosen]
 }
 
-func (r *doorpondRouter) observe(asked *link, ended replica.Ended) {
+func (r *doorpondRouter) observe(asked *link, ended replica.Observation) {
 	r.groups[asked.backend.group].Observe(asked.health, r.daemon.run.now(), ended)
 }
 
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -106,7 +106,7 @@
 		err = err.WithRetryAfter(refused.RetryAfter)
 	}
 	if refused.Outcome == decision.Shed {
-		handle.observe(p.options.Now(), Ended{Outcome: decision.Shed, RetryAfter: refused.RetryAfter})
+		handle.observe(p.options.Now(), Observation{Outcome: decision.Shed, RetryAfter: refused.RetryAfter})
 	}
 	return err
 }
@@ -123,6 +123,6 @@
 	}
 	broken := err != nil && ctx.Err() == nil && err.Kind == failure.OutcomeUnknown
 	if broken {
-		handle.observe(p.options.Now(), Ended{Outcome: decision.Failed})
+		handle.observe(p.options.Now(), Observation{Outcome: decision.Failed})
 	}
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -41,7 +41,7 @@
 
 // Observe takes in how a request to one of the group's replicas ended; true
 // means that the replica is ejected now.
-func (g *GroupHealth) Observe(health *Health, now time.Time, ended Ended) (ejected bool) {
+func (g *GroupHealth) Observe(health *Health, now time.Time, ended Observation) (ejected bool) {
 	if usual := g.LatencyQuantile(lateQuantile); usual > 0 {
 		ended.Late = ended.Elapsed >= usual
 	}
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -164,7 +164,7 @@
 }
 
 // observe takes in how a request ended and counts ejections.
-func (h *Handle) observe(now time.Time, ended Ended) {
+func (h *Handle) observe(now time.Time, ended Observation) {
 	if h.group.Observe(h.Health, now, ended) {
 		h.metrics.ejections.Inc()
 	}
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -137,11 +137,11 @@
 	}
 }
 
-// Ended is what came of one request to a replica.
-type Ended struct {
+// Observation is what came of one request to a replica.
+type Observation struct {
 	Outcome decision.Outcome
-	// GivenUp is true when this daemon ended the request itself.
-	GivenUp bool
+	// Canceled is true when this daemon ended the request itself.
+	Canceled bool
 	// Elapsed counts from the sending of the request.
 	Elapsed time.Duration
 	// RetryAfter is the time to come back that a refusal named, or 0.
@@ -154,7 +154,7 @@
 // ejected now. A refusal is no failure. A request that this daemon gave up is
 // one only if it was late: a replica that has gone silent fails no request, as
 // each is given up when a hedge wins.
-func (h *Health) Observe(now time.Time, ended Ended) (ejected bool) {
+func (h *Health) Observe(now time.Time, ended Observation) (ejected bool) {
 	h.observePlace(now, ended)
 	switch {
 	case ended.Outcome == decision.Success:
@@ -166,7 +166,7 @@
 	case ended.Outcome == decision.Invalid:
 		h.losses.lost(now.Sub(h.created))
 		return h.failed(now)
-	case ended.Outcome == decision.Failed && ended.GivenUp:
+	case ended.Outcome == decision.Failed && ended.Canceled:
 		h.givenUp(now, ended.Elapsed)
 		return ended.Late && h.failed(now)
 	case ended.Outcome == decision.Failed:
@@ -176,11 +176,11 @@
 	return false
 }
 
-func (h *Health) observePlace(now time.Time, ended Ended) {
+func (h *Health) observePlace(now time.Time, ended Observation) {
 	switch {
 	case ended.Outcome != decision.Failed:
 		h.place.answered()
-	case ended.Late, !ended.GivenUp:
+	case ended.Late, !ended.Canceled:
 		h.place.failed(now)
 	}
 }
@@ -249,10 +249,10 @@
 	h.limit.Store(max(limitScale, int64(limitCut*float64(h.limit.Load()))))
 }
 
-// Relent shortens an ejection to the first length. It is called when all
+// ShortenEjection shortens an ejection to the first length. It is called when all
 // replicas of a group are ejected: that says nothing against any of them, and
 // after an outage they should be used again soon.
-func (h *Health) Relent(now time.Time) {
+func (h *Health) ShortenEjection(now time.Time) {
 	soon := int64(now.Sub(h.created) + ejectBase)
 	if until := h.ejectedUntil.Load(); until > soon {
 		h.ejectedUntil.CompareAndSwap(until, soon)
--- a/internal/replica/health_test.go
+++ b/internal/replica/health_test.go
@@ -9,30 +9,30 @@
 )
 
 var (
-	endedWell  = Ended{Outcome: decision.Success, Elapsed: 20 * time.Millisecond}
-	endedBadly = Ended{Outcome: decision.Failed, Elapsed: time.Millisecond}
-	endedLate  = Ended{Outcome: decision.Failed, GivenUp: true, Late: true, Elapsed: 90 * time.Millisecond}
-	endedSoon  = Ended{Outcome: decision.Failed, GivenUp: true, Elapsed: time.Millisecond}
-	endedShed  = Ended{Outcome: decision.Shed, RetryAfter: 100 * time.Millisecond}
+	endedWell  = Observation{Outcome: decision.Success, Elapsed: 20 * time.Millisecond}
+	endedBadly = Observation{Outcome: decision.Failed, Elapsed: time.Millisecond}
+	endedLate  = Observation{Outcome: decision.Failed, Canceled: true, Late: true, Elapsed: 90 * time.Millisecond}
+	endedSoon  = Observation{Outcome: decision.Failed, Canceled: true, Elapsed: time.Millisecond}
+	endedShed  = Observation{Outcome: decision.Shed, RetryAfter: 100 * time.Millisecond}
 )
 
 func TestHealth(t *testing.T) {
 	type seen struct{ ejected, backingOff bool }
 	cases := []struct {
 		name  string
-		ended []Ended // 10 ms apart
+		ended []Observation // 10 ms apart
 		after time.Duration
 		want  seen
 	}{
-		{"failures in a row eject", []Ended{endedBadly, endedBadly, endedBadly}, 0, seen{ejected: true}},
-		{"a success between them does not", []Ended{endedBadly, endedBadly, endedWell, endedBadly}, 0, seen{}},
-		{"a silent replica is ejected", []Ended{endedLate, endedLate, endedLate}, 0, seen{ejected: true}},
-		{"requests given up early prove nothing", []Ended{endedSoon, endedSoon, endedSoon, endedSoon}, 0, seen{}},
-		{"refusals never eject", []Ended{endedShed, endedShed, endedShed, endedShed}, 0, seen{backingOff: true}},
-		{"ejection ends", []Ended{endedBadly, endedBadly, endedBadly}, ejectBase, seen{}},
-		{"refusal ends at the time named", []Ended{endedShed}, 100 * time.Millisecond, seen{}},
-		{"refusals in a row double the time", []Ended{endedShed, endedShed}, 190 * time.Millisecond, seen{backingOff: true}},
-		{"an answer ends the doubling", []Ended{endedShed, endedWell, endedShed}, 100 * time.Millisecond, seen{}},
+		{"failures in a row eject", []Observation{endedBadly, endedBadly, endedBadly}, 0, seen{ejected: true}},
+		{"a success between them does not", []Observation{endedBadly, endedBadly, endedWell, endedBadly}, 0, seen{}},
+		{"a silent replica is ejected", []Observation{endedLate, endedLate, endedLate}, 0, seen{ejected: true}},
+		{"requests given up early prove nothing", []Observation{endedSoon, endedSoon, endedSoon, endedSoon}, 0, seen{}},
+		{"refusals never eject", []Observation{endedShed, endedShed, endedShed, endedShed}, 0, seen{backingOff: true}},
+		{"ejection ends", []Observation{endedBadly, endedBadly, endedBadly}, ejectBase, seen{}},
+		{"refusal ends at the time named", []Observation{endedShed}, 100 * time.Millisecond, seen{}},
+		{"refusals in a row double the time", []Observation{endedShed, endedShed}, 190 * time.Millisecond, seen{backingOff: true}},
+		{"an answer ends the doubling", []Observation{endedShed, endedWell, endedShed}, 100 * time.Millisecond, seen{}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 		t.Fatal("the fourth ejection is not eight times as long as the first")
 	}
 	health.Observe(now, endedBadly) // as the last resort of its group
-	health.Relent(now)
+	health.ShortenEjection(now)
 	if !health.Candidate(now.Add(ejectBase-1)).Ejected || health.Candidate(now.Add(ejectBase)).Ejected {
 		t.Error("want the ejection to end after its first length")
 	}
--- a/internal/replica/losses_test.go
+++ b/internal/replica/losses_test.go
@@ -12,17 +12,17 @@
 // TestAReplicaThatTurnsAPartAwayIsLeftAlone: an answer in between does not make it well,
 // a single rejection does not make it ill, and it is tried again in time.
 func TestAReplicaThatTurnsAPartAwayIsLeftAlone(t *testing.T) {
-	unnamed := Ended{Outcome: decision.Shed}
+	unnamed := Observation{Outcome: decision.Shed}
 	cases := []struct {
 		name  string
-		ended []Ended // 10 ms apart
+		ended []Observation // 10 ms apart
 		after time.Duration
 		want  bool
 	}{
-		{"one rejection is a short pause", []Ended{unnamed}, shedBackoff, false},
-		{"two of three are a long one", []Ended{unnamed, endedWell, unnamed}, lossPause - time.Millisecond, true},
-		{"which ends", []Ended{unnamed, endedWell, unnamed}, lossPause, false},
-		{"a named time counts as it is", []Ended{endedShed, endedWell, endedShed}, endedShed.RetryAfter, false},
+		{"one rejection is a short pause", []Observation{unnamed}, shedBackoff, false},
+		{"two of three are a long one", []Observation{unnamed, endedWell, unnamed}, lossPause - time.Millisecond, true},
+		{"which ends", []Observation{unnamed, endedWell, unnamed}, lossPause, false},
+		{"a named time counts as it is", []Observation{endedShed, endedWell, endedShed}, endedShed.RetryAfter, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,8 +82,8 @@
 				t.Fatal("the farther one is preferred from the start")
 			}
 			for range 4 {
-				near.Observe(now, Ended{Outcome: way})
-				near.Observe(now, Ended{Outcome: decision.Success, Elapsed: 20 * time.Millisecond})
+				near.Observe(now, Observation{Outcome: way})
+				near.Observe(now, Observation{Outcome: decision.Success, Elapsed: 20 * time.Millisecond})
 			}
 			now = now.Add(3 * time.Second)
 			if got := pool.AcquireForMessage(testGroup, terms, nil).Handle; got == near {
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -212,7 +212,7 @@
 	if result.Outcome == decision.Success {
 		terms.Baseline.record(handle.distance, elapsed)
 	}
-	ended := Ended{Outcome: result.Outcome, GivenUp: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
+	ended := Observation{Outcome: result.Outcome, Canceled: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
 	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
 		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -376,7 +376,7 @@
 	}
 	if AllEjected(candidates) {
 		for _, handle := range handles {
-			handle.Relent(now)
+			handle.ShortenEjection(now)
 		}
 	}
 	for {
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -144,6 +144,6 @@
 // learn updates the health of the replica and of its group by an outcome.
 func (p *Pool) learn(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time) {
 	now := p.options.Now()
-	ended := Ended{Outcome: result.Outcome, GivenUp: ctx.Err() != nil, Elapsed: now.Sub(started), RetryAfter: result.RetryAfter}
+	ended := Observation{Outcome: result.Outcome, Canceled: ctx.Err() != nil, Elapsed: now.Sub(started), RetryAfter: result.RetryAfter}
 	handle.observe(now, ended)
 }
