--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -24,7 +24,7 @@
 	up     bool
 	groups [][]*link
 	router router
-	places replica.Places
+	places replica.PlaceHealthMap
 }
 
 func newDaemon(r *run, place topology.Place) *daemon {
@@ -41,7 +41,7 @@
 	seen.State = state
 	d.groups[listed.group] = append(d.groups[listed.group], &link{
 		backend: listed, incarnation: seen.Incarnation,
-		health: replica.NewHealth(seen, d.place, d.run.now()).At(d.places.Of(seen.Place)),
+		health: replica.NewHealth(seen, d.place, d.run.now()).WithPlace(d.places.Of(seen.Place)),
 	})
 }
 
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -62,7 +62,7 @@
 
 func newHandle(p *Pool, group *GroupHealth, replica topology.Replica) *Handle {
 	handle := &Handle{
-		Health:    NewHealth(replica, p.options.Self, p.options.Now()).At(p.places.Of(replica.Place)),
+		Health:    NewHealth(replica, p.options.Self, p.options.Now()).WithPlace(p.places.Of(replica.Place)),
 		group:     group,
 		replica:   replica,
 		multiplex: p.options.Protocol == ProtocolH2C,
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -83,9 +83,9 @@
 	return health
 }
 
-// At makes the replica share the health of its place. It is called before the
+// WithPlace makes the replica share the health of its place. It is called before the
 // first request.
-func (h *Health) At(place *PlaceHealth) *Health {
+func (h *Health) WithPlace(place *PlaceHealth) *Health {
 	h.place = place
 	return h
 }
--- a/internal/replica/health_test.go
+++ b/internal/replica/health_test.go
@@ -100,10 +100,10 @@
 
 func TestLostPlace(t *testing.T) {
 	now := time.Unix(1000, 0)
-	places := &Places{}
+	places := &PlaceHealthMap{}
 	lost, other := topology.Place{Region: "r", Zone: "a"}, topology.Place{Region: "r", Zone: "b"}
 	healthAt := func(place topology.Place) *Health {
-		return NewHealth(topology.Replica{Place: place, Slots: 4}, lost, now).At(places.Of(place))
+		return NewHealth(topology.Replica{Place: place, Slots: 4}, lost, now).WithPlace(places.Of(place))
 	}
 	for range suspectAfter - 1 {
 		healthAt(lost).Observe(now, endedLate)
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -43,14 +43,14 @@
 	return p != nil && p.failures.Load() >= suspectAfter && now.UnixNano() < p.suspectUntil.Load()
 }
 
-// Places holds the health of each place. Its zero value is ready, and it is
+// PlaceHealthMap holds the health of each place. Its zero value is ready, and it is
 // safe for concurrent use.
-type Places struct {
+type PlaceHealthMap struct {
 	byPlace sync.Map // topology.Place -> *PlaceHealth
 }
 
 // Of returns the health of a place.
-func (p *Places) Of(place topology.Place) *PlaceHealth {
+func (p *PlaceHealthMap) Of(place topology.Place) *PlaceHealth {
 	known, _ := p.byPlace.LoadOrStore(place, &PlaceHealth{})
 	return known.(*PlaceHealth)
 }
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -66,7 +66,7 @@
 	options PoolOptions
 	metrics *poolMetrics
 	budgets Budgets
-	places  Places
+	places  PlaceHealthMap
 
 	view       atomic.Pointer[view]
 	mutex      sync.Mutex // taken to rebuild the view
