--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -191,7 +191,7 @@
 		registerer.MustRegister(newBudgetCollector(n.budgets))
 	}
 	n.pool = replica.NewPool(replica.PoolOptions{
-		Board: n.board, Self: place, Codec: n.platform.Codec, GroupBudget: n.budgets.of, Registerer: registerer,
+		Board: n.board, Self: place, Codec: n.platform.Codec, GroupRetryBudget: n.budgets.of, Registerer: registerer,
 		OnElsewhere: n.tellDisplaced,
 	})
 	n.addQuarantine(source, registerer)
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -83,7 +83,7 @@
 type doorpondRouter struct {
 	daemon     *daemon
 	groups     []replica.GroupHealth
-	budgets    replica.Budgets
+	budgets    replica.RetryBudgets
 	admissions *admission.Controller
 }
 
--- a/internal/query/budget_virtual_test.go
+++ b/internal/query/budget_virtual_test.go
@@ -252,7 +252,7 @@
 	pool := replica.NewPool(replica.PoolOptions{
 		Board: board, Self: topology.Place{Region: zone, Zone: zone}, Codec: misdirectedCodec{},
 		DialUpstream: network.dial, Random: network.draw,
-		GroupBudget: func(group string) decision.Budget { return budgets[group] },
+		GroupRetryBudget: func(group string) decision.Budget { return budgets[group] },
 	})
 	t.Cleanup(pool.Close)
 	return query.NewService(query.Options{Board: board, Pool: pool})
--- a/internal/query/crash_network_test.go
+++ b/internal/query/crash_network_test.go
@@ -162,7 +162,7 @@
 		pool := replica.NewPool(replica.PoolOptions{
 			Board: network.board, Self: topology.Place{Region: zone, Zone: zone}, Codec: misdirectedCodec{},
 			DialUpstream: network.dial, Random: network.draw,
-			GroupBudget: func(group string) decision.Budget { return budgets[group] },
+			GroupRetryBudget: func(group string) decision.Budget { return budgets[group] },
 		})
 		t.Cleanup(pool.Close)
 		services = append(services, query.NewService(query.Options{Board: network.board, Pool: pool, Quarantine: quarantines[i]}))
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -217,7 +217,7 @@
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
 			Index: route.Name, Shard: i, Shards: len(groups), Group: group,
-			Budget: s.options.Pool.BudgetOf(group, route.Policy), Expected: expected,
+			Budget: s.options.Pool.GroupRetryBudget(group, route.Policy), Expected: expected,
 		}
 	}
 	return shards
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -153,7 +153,7 @@
 		pool := replica.NewPool(replica.PoolOptions{
 			Board: board, Self: topology.Place{Region: "near", Zone: "near"}, Codec: benchCodec{},
 			DialUpstream: network.dial, Random: network.draw,
-			GroupBudget: func(group string) decision.Budget { return budgets[group] },
+			GroupRetryBudget: func(group string) decision.Budget { return budgets[group] },
 		})
 		service := query.NewService(query.Options{Board: board, Pool: pool})
 		result = play(network, service, route)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -15,19 +15,19 @@
 	latency latencyWindow
 }
 
-// Budgets holds a daemon's retry budgets: one for each set of terms, shared by
+// RetryBudgets holds a daemon's retry budgets: one for each set of terms, shared by
 // the queries of the policies on those terms and by all groups. A budget for
 // each group would leave a group in trouble a share of the tokens only, while
 // those of the healthy groups lie idle. Its zero value is ready, and it is
 // safe for concurrent use.
-type Budgets struct {
+type RetryBudgets struct {
 	byTerms sync.Map // budgetTerms -> *decision.TokenBudget
 }
 
 type budgetTerms struct{ ratio, burst float64 }
 
 // Of returns the budget of some terms.
-func (b *Budgets) Of(retry policy.Retry) decision.Budget {
+func (b *RetryBudgets) Of(retry policy.Retry) decision.Budget {
 	terms := budgetTerms{retry.BudgetRatio, retry.BudgetBurst}
 	if budget, known := b.byTerms.Load(terms); known {
 		return budget.(*decision.TokenBudget)
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -48,9 +48,9 @@
 	Codec upstream.Codec
 	// DialUpstream opens the connections of messages; nil means plain TCP.
 	DialUpstream upstream.DialFunc
-	// GroupBudget returns the retry budget of a group; nil means that all groups
+	// GroupRetryBudget returns the retry budget of a group; nil means that all groups
 	// share one for each set of terms.
-	GroupBudget func(group string) decision.Budget
+	GroupRetryBudget func(group string) decision.Budget
 	// OnElsewhere is told, once, of a replica at whose address another process answers.
 	OnElsewhere func(topology.Replica)
 	Now         func() time.Time
@@ -65,7 +65,7 @@
 type Pool struct {
 	options PoolOptions
 	metrics *poolMetrics
-	budgets Budgets
+	budgets RetryBudgets
 	places  PlaceHealthMap
 
 	view       atomic.Pointer[view]
@@ -268,21 +268,21 @@
 	return found.state.LatencyQuantile(quantile)
 }
 
-// Budget returns the retry budget that all queries on the same terms share.
-func (p *Pool) Budget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
+// SharedRetryBudget returns the retry budget that all queries on the same terms share.
+func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
 
 // Plan fills in what a shard is waited for, and its budget.
 func (p *Pool) Plan(shard *decision.ShardPlan, row *policy.Row) {
 	if found := p.current().groups[shard.Group]; found != nil {
-		shard.Budget = p.BudgetOf(shard.Group, row)
+		shard.Budget = p.GroupRetryBudget(shard.Group, row)
 		found.state.Plan(shard, row)
 	}
 }
 
-// BudgetOf returns the retry budget of a group under a policy row.
-func (p *Pool) BudgetOf(group string, row *policy.Row) decision.Budget {
-	if p.options.GroupBudget != nil {
-		return p.options.GroupBudget(group)
+// GroupRetryBudget returns the retry budget of a group under a policy row.
+func (p *Pool) GroupRetryBudget(group string, row *policy.Row) decision.Budget {
+	if p.options.GroupRetryBudget != nil {
+		return p.options.GroupRetryBudget(group)
 	}
 	return p.budgets.Of(row.Retry)
 }
