--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -192,7 +192,7 @@
 	}
 	n.pool = replica.NewPool(replica.PoolOptions{
 		Board: n.board, Self: place, Codec: n.platform.Codec, GroupRetryBudget: n.budgets.of, Registerer: registerer,
-		OnElsewhere: n.tellDisplaced,
+		OnAddressReused: n.tellDisplaced,
 	})
 	n.addQuarantine(source, registerer)
 	n.queries = query.NewService(query.Options{
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -111,7 +111,7 @@
 
 func (r *doorpondRouter) plan(group int, shard *decision.ShardPlan, row *policy.Row) {
 	shard.Budget = r.budgets.Of(row.Retry)
-	r.groups[group].Plan(shard, row)
+	r.groups[group].PlanShard(shard, row)
 }
 
 func (r *doorpondRouter) choose(group int, tried []*link, row *policy.Row) *link {
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -121,7 +121,7 @@
 	if !a.canary {
 		return ""
 	}
-	return a.handle.Process()
+	return a.handle.ProcessName()
 }
 
 // newRun makes a run of a plan.
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -23,7 +23,7 @@
 func (s *Service) newSearchRun(request *request, snapshot *catalogue.Snapshot, deadline time.Duration) *searchRun {
 	selected := decision.SelectShards(snapshot, request.row, &request.query, request.id)
 	for i := range selected.Asked {
-		s.options.Pool.Plan(&selected.Asked[i], request.row)
+		s.options.Pool.PlanShard(&selected.Asked[i], request.row)
 	}
 	plan := decision.Plan{Shards: selected.Asked, Policy: request.row, Deadline: deadline}
 	search := &searchRun{request: request, snapshot: snapshot, selected: selected}
--- a/internal/query/snapshot.go
+++ b/internal/query/snapshot.go
@@ -30,7 +30,7 @@
 
 func replicasKnown(snapshot *catalogue.Snapshot, pool *replica.Pool) bool {
 	for i := range snapshot.Indexes {
-		if !pool.Knows(snapshot.Indexes[i].Groups) {
+		if !pool.HasReplicas(snapshot.Indexes[i].Groups) {
 			return false
 		}
 	}
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -120,11 +120,11 @@
 	zone, start, count int
 }
 
-// Group divides the connections of a group's replicas, which must be all that
+// AllocateGroup divides the connections of a group's replicas, which must be all that
 // take new work, in the order of their addresses. With more daemons than
 // connections, each daemon gets one replica before any gets a second, from the
 // nearest zone that has connections left.
-func (p *ConnectionPlan) Group(name string, replicas []topology.Replica) *GroupConnections {
+func (p *ConnectionPlan) AllocateGroup(name string, replicas []topology.Replica) *GroupConnections {
 	division := &division{
 		plan: p, replicas: replicas, shares: make([]replicaShare, len(replicas)),
 		cursors: make([]int, len(p.zones)),
--- a/internal/replica/connections_test.go
+++ b/internal/replica/connections_test.go
@@ -41,7 +41,7 @@
 	shares := testShares{total: make([]int, len(replicas)), near: make([]int, len(replicas))}
 	members.Self = members.Members[0]
 	plan := NewConnectionPlan(members)
-	group := plan.Group(testGroup, replicas)
+	group := plan.AllocateGroup(testGroup, replicas)
 	for zone := range plan.zones {
 		for rank := range plan.zones[zone].daemons {
 			reached := false
@@ -98,7 +98,7 @@
 	for _, daemons := range []int{3, 300} {
 		members, replicas := testMembers(daemons), testReplicas(6, 3, 20)
 		members.Self = members.Members[0]
-		group := NewConnectionPlan(members).Group(testGroup, replicas)
+		group := NewConnectionPlan(members).AllocateGroup(testGroup, replicas)
 		for random := range uint64(100) {
 			at := int(random) % len(replicas)
 			holder, found := group.Holder(at, random*0x9e3779b97f4a7c15)
@@ -107,7 +107,7 @@
 			}
 			seenByHolder := members
 			seenByHolder.Self = holder
-			if NewConnectionPlan(seenByHolder).Group(testGroup, replicas).Budget(at) == 0 {
+			if NewConnectionPlan(seenByHolder).AllocateGroup(testGroup, replicas).Budget(at) == 0 {
 				t.Fatalf("%s is named as a holder of replica %d and may not connect", seenByHolder.Self.ID, at)
 			}
 		}
@@ -118,7 +118,7 @@
 	members := testMembers(2)
 	members.Self = members.Members[0]
 	members.Members[1].State = topology.MemberDead
-	group := NewConnectionPlan(members).Group(testGroup, testReplicas(1, 1, 100))
+	group := NewConnectionPlan(members).AllocateGroup(testGroup, testReplicas(1, 1, 100))
 	if budget := group.Budget(0); budget != 90 {
 		t.Errorf("budget %d, want all 90", budget)
 	}
@@ -152,7 +152,7 @@
 	for b.Loop() {
 		plan := NewConnectionPlan(members)
 		for group := range 390 {
-			plan.Group(fmt.Sprint("group", group), replicas)
+			plan.AllocateGroup(fmt.Sprint("group", group), replicas)
 		}
 	}
 }
--- a/internal/replica/forward_test.go
+++ b/internal/replica/forward_test.go
@@ -48,7 +48,7 @@
 	members := topology.Members{Members: []topology.Member{{ID: "a", PeerAddress: peerAddress}, {ID: "b", PeerAddress: peerAddress}}}
 	for _, self := range members.Members {
 		members.Self = self
-		if NewConnectionPlan(members).Group(testGroup, listed).Budget(0) == 0 {
+		if NewConnectionPlan(members).AllocateGroup(testGroup, listed).Budget(0) == 0 {
 			break
 		}
 	}
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -61,8 +61,8 @@
 // to need.
 const expectedQuantile = 0.5
 
-// Plan fills in how long a shard of this group is waited for.
-func (g *GroupHealth) Plan(shard *decision.ShardPlan, row *policy.Row) {
+// PlanShard fills in how long a shard of this group is waited for.
+func (g *GroupHealth) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if row.Wait.HedgeQuantile > 0 {
 		if usual := g.LatencyQuantile(row.Wait.HedgeQuantile); usual > 0 {
 			shard.HedgeDelay = max(usual, time.Duration(row.Wait.HedgeFloor))
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -51,8 +51,8 @@
 // Address returns IP:port.
 func (h *Handle) Address() string { return h.replica.Address }
 
-// Process names the process among all that have ever run there.
-func (h *Handle) Process() string { return h.replica.Address + "/" + h.replica.Incarnation }
+// ProcessName names the process among all that have ever run there.
+func (h *Handle) ProcessName() string { return h.replica.Address + "/" + h.replica.Incarnation }
 
 // process names the process that the handle is for.
 func (h *Handle) process() process { return process{h.replica.Address, h.replica.Incarnation} }
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -155,8 +155,8 @@
 // displace notes that another process answers at a replica's address. As each process
 // has an incarnation of its own, the one of the handle has ended.
 func (p *Pool) displace(handle *Handle) {
-	if !handle.displaced.Swap(true) && p.options.OnElsewhere != nil {
-		p.options.OnElsewhere(handle.replica)
+	if !handle.displaced.Swap(true) && p.options.OnAddressReused != nil {
+		p.options.OnAddressReused(handle.replica)
 	}
 }
 
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -126,7 +126,7 @@
 	publish(board, backend.address())
 	var told []string
 	pool := messagePool(t, board, func(options *PoolOptions) {
-		options.OnElsewhere = func(replica topology.Replica) { told = append(told, replica.Address) }
+		options.OnAddressReused = func(replica topology.Replica) { told = append(told, replica.Address) }
 	})
 	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -51,10 +51,10 @@
 	// GroupRetryBudget returns the retry budget of a group; nil means that all groups
 	// share one for each set of terms.
 	GroupRetryBudget func(group string) decision.Budget
-	// OnElsewhere is told, once, of a replica at whose address another process answers.
-	OnElsewhere func(topology.Replica)
-	Now         func() time.Time
-	Random      func() uint64
+	// OnAddressReused is told, once, of a replica at whose address another process answers.
+	OnAddressReused func(topology.Replica)
+	Now             func() time.Time
+	Random          func() uint64
 	// Background runs work beside the requests that ask for it; nil means that
 	// a request waits for it.
 	Background func(work func())
@@ -204,7 +204,7 @@
 		built.state = known.state
 	}
 	usable := takingWork(listed)
-	shares := next.plan.Group(name, usable)
+	shares := next.plan.AllocateGroup(name, usable)
 	for i, replica := range usable {
 		budget := shares.Budget(i)
 		if budget == 0 {
@@ -247,8 +247,8 @@
 	return usable
 }
 
-// Knows is true when a usable replica of each group of a list is known.
-func (p *Pool) Knows(groups []string) bool {
+// HasReplicas is true when a usable replica of each group of a list is known.
+func (p *Pool) HasReplicas(groups []string) bool {
 	seen := p.current()
 	for _, name := range groups {
 		if found := seen.groups[name]; found == nil || len(found.handles)+len(found.routes) == 0 {
@@ -271,11 +271,11 @@
 // SharedRetryBudget returns the retry budget that all queries on the same terms share.
 func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
 
-// Plan fills in what a shard is waited for, and its budget.
-func (p *Pool) Plan(shard *decision.ShardPlan, row *policy.Row) {
+// PlanShard fills in what a shard is waited for, and its budget.
+func (p *Pool) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if found := p.current().groups[shard.Group]; found != nil {
 		shard.Budget = p.GroupRetryBudget(shard.Group, row)
-		found.state.Plan(shard, row)
+		found.state.PlanShard(shard, row)
 	}
 }
 
--- a/internal/replica/probers_test.go
+++ b/internal/replica/probers_test.go
@@ -15,7 +15,7 @@
 // sees them.
 func probersSeenBy(members topology.Members, self int, replicas []topology.Replica) [][]string {
 	members.Self = members.Members[self]
-	group := NewConnectionPlan(members).Group(testGroup, replicas)
+	group := NewConnectionPlan(members).AllocateGroup(testGroup, replicas)
 	probers := make([][]string, len(replicas))
 	for i := range replicas {
 		for _, member := range group.Probers(i) {
@@ -106,7 +106,7 @@
 		for i := range replicas {
 			replicas[i].Address = fmt.Sprintf("replica%03d.%d", i, at)
 		}
-		group := plan.Group(fmt.Sprint("group", at), replicas)
+		group := plan.AllocateGroup(fmt.Sprint("group", at), replicas)
 		for i := range replicas {
 			for _, prober := range group.Probers(i) {
 				shares[prober.ID]++
@@ -180,7 +180,7 @@
 	plan := NewConnectionPlan(members)
 	var groups []*GroupConnections
 	for at := range 390 {
-		groups = append(groups, plan.Group(fmt.Sprint("group", at), replicas))
+		groups = append(groups, plan.AllocateGroup(fmt.Sprint("group", at), replicas))
 	}
 	for b.Loop() {
 		for _, group := range groups {
