--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -24,7 +24,7 @@
 	up     bool
 	groups [][]*link
 	router router
-	places replica.Places
+	places replica.PlaceHealthMap
 }
 
 func newDaemon(r *run, place topology.Place) *daemon {
@@ -41,7 +41,7 @@
 	seen.State = state
 	d.groups[listed.group] = append(d.groups[listed.group], &link{
 		backend: listed, incarnation: seen.Incarnation,
-		health: replica.NewHealth(seen, d.place, d.run.now()).At(d.places.Of(seen.Place)),
+		health: replica.NewHealth(seen, d.place, d.run.now()).WithPlace(d.places.Of(seen.Place)),
 	})
 }
 
@@ -82,7 +82,7 @@
 	if outcome != decision.Failed {
 		request.link.health.ObserveLoad(load)
 	}
-	d.close(request, replica.Ended{Outcome: outcome, RetryAfter: retryAfter(outcome)})
+	d.close(request, replica.Observation{Outcome: outcome, RetryAfter: retryAfter(outcome)})
 	request.query.step(decision.Event{
 		Kind: decision.AttemptCompleted, Shard: request.shard, Attempt: request.number, Outcome: outcome,
 	})
@@ -113,13 +113,13 @@
 	if request.closed {
 		return
 	}
-	d.close(request, replica.Ended{Outcome: decision.Failed, GivenUp: true})
+	d.close(request, replica.Observation{Outcome: decision.Failed, Canceled: true})
 	target := request.link.backend
 	delay := d.run.network.Delay(d.place, target.replica.Place)
 	d.run.engine.After(delay, func() { target.abandon(request) })
 }
 
-func (d *daemon) close(request *attempt, ended replica.Ended) {
+func (d *daemon) close(request *attempt, ended replica.Observation) {
 	request.closed = true
 	if request.timeout != nil {
 		request.timeout.Stop()
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -33,7 +33,7 @@
 	// choose returns nil when no replica is left.
 	choose(group int, tried []*link, row *policy.Row) *link
 	// observe takes in how a request ended.
-	observe(asked *link, ended replica.Ended)
+	observe(asked *link, ended replica.Observation)
 	// attemptTimeout bounds one attempt; 0 means that only the query's
 	// deadline does.
 	attemptTimeout() time.Duration
@@ -83,7 +83,7 @@
 type doorpondRouter struct {
 	daemon     *daemon
 	groups     []replica.GroupHealth
-	budgets    replica.Budgets
+	budgets    replica.RetryBudgets
 	admissions *admission.Controller
 }
 
@@ -111,7 +111,7 @@
 
 func (r *doorpondRouter) plan(group int, shard *decision.ShardPlan, row *policy.Row) {
 	shard.Budget = r.budgets.Of(row.Retry)
-	r.groups[group].Plan(shard, row)
+	r.groups[group].PlanShard(shard, row)
 }
 
 func (r *doorpondRouter) choose(group int, tried []*link, row *policy.Row) *link {
@@ -125,7 +125,7 @@
 	}
 	if replica.AllEjected(candidates) {
 		for _, known := range links {
-			known.health.Relent(now)
+			known.health.ShortenEjection(now)
 		}
 	}
 	pick := decision.ChooseReplica
@@ -139,7 +139,7 @@
 	return links[chosen]
 }
 
-func (r *doorpondRouter) observe(asked *link, ended replica.Ended) {
+func (r *doorpondRouter) observe(asked *link, ended replica.Observation) {
 	r.groups[asked.backend.group].Observe(asked.health, r.daemon.run.now(), ended)
 }
 
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -103,7 +103,7 @@
 type forwardRun struct {
 	*run
 	forwarding *Forwarding
-	terms      replica.Terms
+	terms      replica.SelectionCriteria
 }
 
 // Forward passes a request on to one replica of a service, or to one of each
@@ -169,10 +169,10 @@
 }
 
 // termsOf returns what the replicas for a route's requests are chosen by.
-func (s *Service) termsOf(route *routing.Route) replica.Terms {
-	return replica.Terms{
+func (s *Service) termsOf(route *routing.Route) replica.SelectionCriteria {
+	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
-		Usual:     s.usuals.Of(route.Name),
+		Baseline:  s.usuals.Of(route.Name),
 		LateAfter: time.Duration(unknownLateShare * float64(route.Objective)),
 		Regions:   route.Regions,
 	}
@@ -181,8 +181,8 @@
 // checkServable refuses a request at once for which too few shards have a replica that
 // it may go to: what is sent to the others would be work for nothing, and the refusal
 // could no longer say that nothing ran.
-func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.Terms) error {
-	servable, needed := s.options.Pool.Servable(groups, &terms), max(1, route.LeastShards)
+func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.SelectionCriteria) error {
+	servable, needed := s.options.Pool.CountServableGroups(groups, &terms), max(1, route.LeastShards)
 	if servable >= needed {
 		return nil
 	}
@@ -190,12 +190,12 @@
 }
 
 func (s *Service) newForwardRun(
-	forwarding *Forwarding, groups []string, terms replica.Terms, deadline time.Duration, overloaded bool,
+	forwarding *Forwarding, groups []string, terms replica.SelectionCriteria, deadline time.Duration, overloaded bool,
 	known decision.CrashEvidence,
 ) *forwardRun {
 	route := forwarding.Route
 	plan := decision.Plan{
-		Shards: s.forwardShards(route, groups, terms.Usual), Policy: route.Policy, Deadline: deadline,
+		Shards: s.forwardShards(route, groups, terms.Baseline), Policy: route.Policy, Deadline: deadline,
 		MinShards: route.LeastShards, AtMostOnce: !route.Repeatable, NoHedges: overloaded,
 		CrashDetection: s.endsPlan(forwarding, known),
 	}
@@ -211,24 +211,24 @@
 	return forward
 }
 
-func (s *Service) forwardShards(route *routing.Route, groups []string, usual *replica.Usual) []decision.ShardPlan {
-	expected := usual.Least()
+func (s *Service) forwardShards(route *routing.Route, groups []string, usual *replica.LatencyBaseline) []decision.ShardPlan {
+	expected := usual.NearestMedian()
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
 			Index: route.Name, Shard: i, ShardCount: len(groups), Group: group,
-			Budget: s.options.Pool.BudgetOf(group, route.Policy), ExpectedLatency: expected,
+			Budget: s.options.Pool.GroupRetryBudget(group, route.Policy), ExpectedLatency: expected,
 		}
 	}
 	return shards
 }
 
-func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.Acquired {
+func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult {
 	r.terms.Canary = canary
-	acquired := r.service.options.Pool.AcquireFor(shard.Group, &r.terms, tried)
+	acquired := r.service.options.Pool.AcquireForMessage(shard.Group, &r.terms, tried)
 	if acquired.Handle != nil && r.plan.SoftDeadline > 0 {
 		left := r.plan.SoftDeadline - r.elapsed()
-		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.LateAtMost())
+		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.MaxLateAfter())
 	}
 	return acquired
 }
@@ -240,7 +240,7 @@
 	return max(late, min(left-lateElsewhere, left/2))
 }
 
-func (r *forwardRun) exchange(ctx context.Context, handle *replica.Handle, _ *decision.ShardPlan, action decision.Action) replica.SearchResult {
+func (r *forwardRun) exchange(ctx context.Context, handle *replica.Handle, _ *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
 	scattered := r.forwarding.Route.Scattered()
 	return r.service.options.Pool.Forward(ctx, handle, r.forwarding.Message, action.Timeout, &r.terms, scattered)
 }
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -23,7 +23,7 @@
 func (s *Service) newSearchRun(request *request, snapshot *catalogue.Snapshot, deadline time.Duration) *searchRun {
 	selected := decision.SelectShards(snapshot, request.row, &request.query, request.id)
 	for i := range selected.Asked {
-		s.options.Pool.Plan(&selected.Asked[i], request.row)
+		s.options.Pool.PlanShard(&selected.Asked[i], request.row)
 	}
 	plan := decision.Plan{Shards: selected.Asked, Policy: request.row, Deadline: deadline}
 	search := &searchRun{request: request, snapshot: snapshot, selected: selected}
@@ -32,11 +32,11 @@
 	return search
 }
 
-func (r *searchRun) acquire(shard *decision.ShardPlan, _ bool, tried []*replica.Handle) replica.Acquired {
-	return replica.Acquired{Handle: r.service.options.Pool.Acquire(shard.Group, r.request.row.Replicas, tried)}
+func (r *searchRun) acquire(shard *decision.ShardPlan, _ bool, tried []*replica.Handle) replica.AcquireResult {
+	return replica.AcquireResult{Handle: r.service.options.Pool.Acquire(shard.Group, r.request.row.Replicas, tried)}
 }
 
-func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SearchResult {
+func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
 	return r.service.options.Pool.Search(ctx, handle, r.message(shard, action))
 }
 
--- a/internal/replica/forward_test.go
+++ b/internal/replica/forward_test.go
@@ -48,7 +48,7 @@
 	members := topology.Members{Members: []topology.Member{{ID: "a", PeerAddress: peerAddress}, {ID: "b", PeerAddress: peerAddress}}}
 	for _, self := range members.Members {
 		members.Self = self
-		if NewConnectionPlan(members).Group(testGroup, listed).Budget(0) == 0 {
+		if NewConnectionPlan(members).AllocateGroup(testGroup, listed).Budget(0) == 0 {
 			break
 		}
 	}
@@ -177,7 +177,7 @@
 		t.Fatal("waits for nothing:", err)
 	}
 	pool := newAsker(t, address, backend.address())
-	results := make(chan SearchResult, 1)
+	results := make(chan SubrequestResult, 1)
 	go func() {
 		results <- pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	}()
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -15,19 +15,19 @@
 	latency latencyWindow
 }
 
-// Budgets holds a daemon's retry budgets: one for each set of terms, shared by
+// RetryBudgets holds a daemon's retry budgets: one for each set of terms, shared by
 // the queries of the policies on those terms and by all groups. A budget for
 // each group would leave a group in trouble a share of the tokens only, while
 // those of the healthy groups lie idle. Its zero value is ready, and it is
 // safe for concurrent use.
-type Budgets struct {
+type RetryBudgets struct {
 	byTerms sync.Map // budgetTerms -> *decision.TokenBudget
 }
 
 type budgetTerms struct{ ratio, burst float64 }
 
 // Of returns the budget of some terms.
-func (b *Budgets) Of(retry policy.Retry) decision.Budget {
+func (b *RetryBudgets) Of(retry policy.Retry) decision.Budget {
 	terms := budgetTerms{retry.BudgetRatio, retry.BudgetBurst}
 	if budget, known := b.byTerms.Load(terms); known {
 		return budget.(*decision.TokenBudget)
@@ -41,7 +41,7 @@
 
 // Observe takes in how a request to one of the group's replicas ended; true
 // means that the replica is ejected now.
-func (g *GroupHealth) Observe(health *Health, now time.Time, ended Ended) (ejected bool) {
+func (g *GroupHealth) Observe(health *Health, now time.Time, ended Observation) (ejected bool) {
 	if usual := g.LatencyQuantile(lateQuantile); usual > 0 {
 		ended.Late = ended.Elapsed >= usual
 	}
@@ -61,8 +61,8 @@
 // to need.
 const expectedQuantile = 0.5
 
-// Plan fills in how long a shard of this group is waited for.
-func (g *GroupHealth) Plan(shard *decision.ShardPlan, row *policy.Row) {
+// PlanShard fills in how long a shard of this group is waited for.
+func (g *GroupHealth) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if row.Wait.HedgeQuantile > 0 {
 		if usual := g.LatencyQuantile(row.Wait.HedgeQuantile); usual > 0 {
 			shard.HedgeDelay = max(usual, time.Duration(row.Wait.HedgeFloor))
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -51,8 +51,8 @@
 // Address returns IP:port.
 func (h *Handle) Address() string { return h.replica.Address }
 
-// Process names the process among all that have ever run there.
-func (h *Handle) Process() string { return h.replica.Address + "/" + h.replica.Incarnation }
+// ProcessName names the process among all that have ever run there.
+func (h *Handle) ProcessName() string { return h.replica.Address + "/" + h.replica.Incarnation }
 
 // process names the process that the handle is for.
 func (h *Handle) process() process { return process{h.replica.Address, h.replica.Incarnation} }
@@ -62,7 +62,7 @@
 
 func newHandle(p *Pool, group *GroupHealth, replica topology.Replica) *Handle {
 	handle := &Handle{
-		Health:    NewHealth(replica, p.options.Self, p.options.Now()).At(p.places.Of(replica.Place)),
+		Health:    NewHealth(replica, p.options.Self, p.options.Now()).WithPlace(p.places.Of(replica.Place)),
 		group:     group,
 		replica:   replica,
 		multiplex: p.options.Protocol == ProtocolH2C,
@@ -164,7 +164,7 @@
 }
 
 // observe takes in how a request ended and counts ejections.
-func (h *Handle) observe(now time.Time, ended Ended) {
+func (h *Handle) observe(now time.Time, ended Observation) {
 	if h.group.Observe(h.Health, now, ended) {
 		h.metrics.ejections.Inc()
 	}
--- a/internal/replica/forward_message.go
+++ b/internal/replica/message.go
@@ -14,11 +14,11 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// Terms are what a replica for a message is chosen by.
-type Terms struct {
+// SelectionCriteria are what a replica for a message is chosen by.
+type SelectionCriteria struct {
 	Weights policy.Replicas
-	// Usual is how long such messages take.
-	Usual *Usual
+	// Baseline is how long such messages take.
+	Baseline *LatencyBaseline
 	// LateAfter is used while the usual time is not known.
 	LateAfter time.Duration
 	// Regions are those whose replicas may take the message; empty means all.
@@ -30,29 +30,29 @@
 }
 
 // allows tells whether a replica may take the message.
-func (t *Terms) allows(handle *Handle) bool {
+func (t *SelectionCriteria) allows(handle *Handle) bool {
 	return len(t.Regions) == 0 || slices.Contains(t.Regions, handle.replica.Place.Region)
 }
 
 // lateAfter returns the time after which an answer from a distance is late.
-func (t *Terms) lateAfter(handle *Handle) time.Duration {
-	if usual := t.Usual.At(handle.distance); usual > 0 {
+func (t *SelectionCriteria) lateAfter(handle *Handle) time.Duration {
+	if usual := t.Baseline.Median(handle.distance); usual > 0 {
 		return lateRatio * usual
 	}
 	return t.LateAfter
 }
 
-// LateAtMost is the time after which an answer from any distance that is known
+// MaxLateAfter is the time after which an answer from any distance that is known
 // is late.
-func (t *Terms) LateAtMost() time.Duration {
-	if most := t.Usual.Most(); most > 0 {
+func (t *SelectionCriteria) MaxLateAfter() time.Duration {
+	if most := t.Baseline.FarthestMedian(); most > 0 {
 		return lateRatio * most
 	}
 	return t.LateAfter
 }
 
-// Acquired is a replica chosen for a message.
-type Acquired struct {
+// AcquireResult is a replica chosen for a message.
+type AcquireResult struct {
 	// Handle is nil when there is none.
 	Handle *Handle
 	// LateAfter is the time after which the replica's answer is late.
@@ -63,11 +63,11 @@
 	Exhausted bool
 }
 
-// AcquireFor is Acquire for a message.
-func (p *Pool) AcquireFor(groupName string, terms *Terms, tried []*Handle) Acquired {
+// AcquireForMessage is Acquire for a message.
+func (p *Pool) AcquireForMessage(groupName string, terms *SelectionCriteria, tried []*Handle) AcquireResult {
 	found := p.current().groups[groupName]
 	if found == nil {
-		return Acquired{}
+		return AcquireResult{}
 	}
 	choose := decision.ChooseReplica
 	if len(tried) > 0 {
@@ -87,16 +87,16 @@
 	}
 	chosen := p.chooseFrom(found.handles, terms.Weights, tried, choose, now, describe)
 	if chosen == nil {
-		return Acquired{Busy: busy, Exhausted: exhausted}
+		return AcquireResult{Busy: busy, Exhausted: exhausted}
 	}
 	chosen.sentAt(now)
 	p.metrics.observeChoice(chosen.distance, len(tried) > 0)
-	return Acquired{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
+	return AcquireResult{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
 }
 
-// Servable counts those of some groups that have a replica which may take a message
+// CountServableGroups counts those of some groups that have a replica which may take a message
 // now, though it may have to wait for a connection.
-func (p *Pool) Servable(groups []string, terms *Terms) int {
+func (p *Pool) CountServableGroups(groups []string, terms *SelectionCriteria) int {
 	seen, now := p.current(), p.options.Now()
 	mayTake := func(handle *Handle) bool { return handle.mayTake(terms, now) }
 	servable := 0
@@ -110,10 +110,10 @@
 
 // candidateFor is candidate with the latency that a message is expected to
 // have there.
-func (h *Handle) candidateFor(now time.Time, terms *Terms) decision.Candidate {
+func (h *Handle) candidateFor(now time.Time, terms *SelectionCriteria) decision.Candidate {
 	candidate := h.candidate(now)
 	age := now.Sub(h.created)
-	usual := terms.Usual.At(h.distance)
+	usual := terms.Baseline.Median(h.distance)
 	candidate.LatencyEWMA = time.Duration(h.speed.slowness(age) / h.losses.kept(age) * float64(usual))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
 	candidate.Excluded = !h.mayTake(terms, now)
@@ -126,7 +126,7 @@
 // mayTake tells whether a message may be sent there at all. One that is displaced is out
 // for good, though it is the last of its group that is listed: each message for it would
 // be an arrival at another group, which the retry budget of that one does not account for.
-func (h *Handle) mayTake(terms *Terms, now time.Time) bool {
+func (h *Handle) mayTake(terms *SelectionCriteria, now time.Time) bool {
 	return terms.allows(h) && h.cold.open(now) && !h.displaced.Load()
 }
 
@@ -134,7 +134,7 @@
 
 // Forward sends a message to an acquired replica, once, and releases it. A part
 // of a scattered query must be a success.
-func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *Terms, scattered bool) SearchResult {
+func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *SelectionCriteria, scattered bool) SubrequestResult {
 	defer handle.release()
 	started := p.options.Now()
 	reply, err := handle.upstream.Exchange(ctx, p.options.Codec, message, handle.replica.Incarnation, timeout)
@@ -155,49 +155,49 @@
 // displace notes that another process answers at a replica's address. As each process
 // has an incarnation of its own, the one of the handle has ended.
 func (p *Pool) displace(handle *Handle) {
-	if !handle.displaced.Swap(true) && p.options.OnElsewhere != nil {
-		p.options.OnElsewhere(handle.replica)
+	if !handle.displaced.Swap(true) && p.options.OnAddressReused != nil {
+		p.options.OnAddressReused(handle.replica)
 	}
 }
 
 // classifyReply tells what an exchange means for the query.
-func classifyReply(reply *upstream.Reply, err error, scattered bool) SearchResult {
+func classifyReply(reply *upstream.Reply, err error, scattered bool) SubrequestResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
-		return SearchResult{Outcome: decision.ResetBeforeWrite, NotRun: true, Err: err}
+		return SubrequestResult{Outcome: decision.ResetBeforeWrite, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrNotSent):
-		return SearchResult{Outcome: decision.ConnectFailed, NotRun: true, Err: err}
+		return SubrequestResult{Outcome: decision.ConnectFailed, NotRun: true, Err: err}
 	case errors.Is(err, upstream.ErrReset):
-		return SearchResult{Outcome: decision.ResetAfterWrite, Err: err}
+		return SubrequestResult{Outcome: decision.ResetAfterWrite, Err: err}
 	case err != nil:
-		return SearchResult{Outcome: decision.Failed, Err: err}
+		return SubrequestResult{Outcome: decision.Failed, Err: err}
 	case reply.Elsewhere:
-		return SearchResult{Outcome: decision.Misdirected, NotRun: true, Err: eris.New("another process is at the address")}
+		return SubrequestResult{Outcome: decision.Misdirected, NotRun: true, Err: eris.New("another process is at the address")}
 	case reply.NotRun:
-		return SearchResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
 	case reply.Signature == "":
-		return SearchResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
+		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
 	case scattered:
 		return classifyPart(reply)
 	case reply.Status >= serverErrors:
-		return SearchResult{Outcome: decision.Failed, Part: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	default:
-		return SearchResult{Outcome: decision.Success, Part: reply}
+		return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 	}
 }
 
 // serverErrors is the least status that tells of a failure of the replica.
 const serverErrors = 500
 
-func classifyPart(reply *upstream.Reply) SearchResult {
+func classifyPart(reply *upstream.Reply) SubrequestResult {
 	if !reply.Succeeded() {
-		return SearchResult{Outcome: decision.Failed, Part: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	}
-	return SearchResult{Outcome: decision.Success, Part: reply}
+	return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 }
 
 // learnReply updates what is known of the replica.
-func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SearchResult, started time.Time, terms *Terms) {
+func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time, terms *SelectionCriteria) {
 	now := p.options.Now()
 	elapsed := now.Sub(started)
 	age := now.Sub(handle.created)
@@ -206,13 +206,13 @@
 		handle.silence.heard(age)
 	}
 	late := elapsed > terms.lateAfter(handle)
-	if usual := terms.Usual.At(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
+	if usual := terms.Baseline.Median(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
 		handle.speed.observe(age, usual, float64(elapsed)/float64(usual))
 	}
 	if result.Outcome == decision.Success {
-		terms.Usual.record(handle.distance, elapsed)
+		terms.Baseline.record(handle.distance, elapsed)
 	}
-	ended := Ended{Outcome: result.Outcome, GivenUp: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
+	ended := Observation{Outcome: result.Outcome, Canceled: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
 	if result.Outcome == decision.ConnectFailed && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
 		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
 	}
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -28,10 +28,10 @@
 	reply.NotRun = reply.Elsewhere || reply.Header.Get("Refused") != ""
 }
 
-func allTerms() *Terms {
-	return &Terms{
-		Weights: policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
-		Usual:   &Usual{}, LateAfter: 50 * time.Millisecond,
+func allTerms() *SelectionCriteria {
+	return &SelectionCriteria{
+		Weights:  policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
+		Baseline: &LatencyBaseline{}, LateAfter: 50 * time.Millisecond,
 	}
 }
 
@@ -92,14 +92,14 @@
 				board := &blackboard.Board{}
 				publish(board, newBackend(t, test.handler).address())
 				pool := messagePool(t, board, nil)
-				acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+				acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 				got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), scattered)
 				want := test.plain
 				if scattered {
 					want = test.scattered
 				}
-				if got.Outcome != want || got.NotRun != test.notRun || (got.Part != nil) != test.hasPart {
-					t.Errorf("outcome %v, not run %v, part %v; want %v", got.Outcome, got.NotRun, got.Part, want)
+				if got.Outcome != want || got.NotRun != test.notRun || (got.UpstreamReply != nil) != test.hasPart {
+					t.Errorf("outcome %v, not run %v, part %v; want %v", got.Outcome, got.NotRun, got.UpstreamReply, want)
 				}
 				if held := acquired.Handle.inFlight.Load(); held != 0 {
 					t.Errorf("%d requests are still counted", held)
@@ -113,7 +113,7 @@
 	board := &blackboard.Board{}
 	publish(board, "127.0.0.1:1")
 	pool := messagePool(t, board, nil)
-	acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 	got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
 	if got.Outcome != decision.ConnectFailed || !got.NotRun {
 		t.Errorf("outcome %v, not run %v", got.Outcome, got.NotRun)
@@ -126,9 +126,9 @@
 	publish(board, backend.address())
 	var told []string
 	pool := messagePool(t, board, func(options *PoolOptions) {
-		options.OnElsewhere = func(replica topology.Replica) { told = append(told, replica.Address) }
+		options.OnAddressReused = func(replica topology.Replica) { told = append(told, replica.Address) }
 	})
-	acquired := pool.AcquireFor(testGroup, allTerms(), nil)
+	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
 	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
 	if len(told) != 1 || told[0] != backend.address() {
 		t.Errorf("told of %v", told)
@@ -152,7 +152,7 @@
 // virtual is a pool over a near and a far replica on a clock of its own.
 type virtual struct {
 	pool  *Pool
-	terms *Terms
+	terms *SelectionCriteria
 	now   time.Time
 }
 
@@ -169,15 +169,15 @@
 		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // as after some answers
 	}
 	for range 2 * leastSamples {
-		made.terms.Usual.record(topology.SameZone, 20*time.Millisecond)
-		made.terms.Usual.record(topology.OtherRegion, 45*time.Millisecond)
+		made.terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
+		made.terms.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
 	}
 	return made
 }
 
 func (v *virtual) acquire(t *testing.T) *Handle {
 	t.Helper()
-	acquired := v.pool.AcquireFor(testGroup, v.terms, nil)
+	acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
 	if acquired.Handle == nil {
 		t.Fatal("no replica")
 	}
@@ -192,7 +192,7 @@
 	}
 	started := v.now
 	v.now = v.now.Add(took)
-	v.pool.learnReply(ctx, handle, SearchResult{Outcome: outcome}, started, v.terms)
+	v.pool.learnReply(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.terms)
 	handle.release()
 }
 
@@ -259,7 +259,7 @@
 	before := near.limit.Load()
 	near.Begin()
 	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
-	v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
+	v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
 	}
@@ -294,7 +294,7 @@
 	v := newVirtual(t)
 	taken := 0
 	for {
-		acquired := v.pool.AcquireFor(testGroup, v.terms, nil)
+		acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
 		if acquired.Handle == nil {
 			if !acquired.Busy {
 				t.Error("a group whose replicas are at their limits is not busy")
@@ -306,7 +306,7 @@
 	if taken == 0 || taken > 2*limitSlots*4 {
 		t.Errorf("%d requests were let through", taken)
 	}
-	if unknown := v.pool.AcquireFor("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
+	if unknown := v.pool.AcquireForMessage("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
 		t.Errorf("an unknown group: %+v", unknown)
 	}
 }
@@ -327,7 +327,7 @@
 		t.Errorf("chose %s", got)
 	}
 	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaLeaving})
-	if acquired := v.pool.AcquireFor(testGroup, v.terms, nil); acquired.Handle != nil {
+	if acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil); acquired.Handle != nil {
 		t.Errorf("chose %s, which leaves", acquired.Handle.Address())
 	}
 }
@@ -338,7 +338,7 @@
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.learnReply(t.Context(), near, SearchResult{Outcome: decision.ConnectFailed, Err: err}, v.now, v.terms)
+		v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.ConnectFailed, Err: err}, v.now, v.terms)
 	}
 	if near.Candidate(v.now).Ejected {
 		t.Error("ejected for this node's own limit")
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -48,13 +48,13 @@
 	Codec upstream.Codec
 	// DialUpstream opens the connections of messages; nil means plain TCP.
 	DialUpstream upstream.DialFunc
-	// GroupBudget returns the retry budget of a group; nil means that all groups
+	// GroupRetryBudget returns the retry budget of a group; nil means that all groups
 	// share one for each set of terms.
-	GroupBudget func(group string) decision.Budget
-	// OnElsewhere is told, once, of a replica at whose address another process answers.
-	OnElsewhere func(topology.Replica)
-	Now         func() time.Time
-	Random      func() uint64
+	GroupRetryBudget func(group string) decision.Budget
+	// OnAddressReused is told, once, of a replica at whose address another process answers.
+	OnAddressReused func(topology.Replica)
+	Now             func() time.Time
+	Random          func() uint64
 	// Background runs work beside the requests that ask for it; nil means that
 	// a request waits for it.
 	Background func(work func())
@@ -65,8 +65,8 @@
 type Pool struct {
 	options PoolOptions
 	metrics *poolMetrics
-	budgets Budgets
-	places  Places
+	budgets RetryBudgets
+	places  PlaceHealthMap
 
 	view       atomic.Pointer[view]
 	mutex      sync.Mutex // taken to rebuild the view
@@ -204,7 +204,7 @@
 		built.state = known.state
 	}
 	usable := takingWork(listed)
-	shares := next.plan.Group(name, usable)
+	shares := next.plan.AllocateGroup(name, usable)
 	for i, replica := range usable {
 		budget := shares.Budget(i)
 		if budget == 0 {
@@ -247,8 +247,8 @@
 	return usable
 }
 
-// Knows is true when a usable replica of each group of a list is known.
-func (p *Pool) Knows(groups []string) bool {
+// HasReplicas is true when a usable replica of each group of a list is known.
+func (p *Pool) HasReplicas(groups []string) bool {
 	seen := p.current()
 	for _, name := range groups {
 		if found := seen.groups[name]; found == nil || len(found.handles)+len(found.routes) == 0 {
@@ -268,21 +268,21 @@
 	return found.state.LatencyQuantile(quantile)
 }
 
-// Budget returns the retry budget that all queries on the same terms share.
-func (p *Pool) Budget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
+// SharedRetryBudget returns the retry budget that all queries on the same terms share.
+func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
 
-// Plan fills in what a shard is waited for, and its budget.
-func (p *Pool) Plan(shard *decision.ShardPlan, row *policy.Row) {
+// PlanShard fills in what a shard is waited for, and its budget.
+func (p *Pool) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if found := p.current().groups[shard.Group]; found != nil {
-		shard.Budget = p.BudgetOf(shard.Group, row)
-		found.state.Plan(shard, row)
+		shard.Budget = p.GroupRetryBudget(shard.Group, row)
+		found.state.PlanShard(shard, row)
 	}
 }
 
-// BudgetOf returns the retry budget of a group under a policy row.
-func (p *Pool) BudgetOf(group string, row *policy.Row) decision.Budget {
-	if p.options.GroupBudget != nil {
-		return p.options.GroupBudget(group)
+// GroupRetryBudget returns the retry budget of a group under a policy row.
+func (p *Pool) GroupRetryBudget(group string, row *policy.Row) decision.Budget {
+	if p.options.GroupRetryBudget != nil {
+		return p.options.GroupRetryBudget(group)
 	}
 	return p.budgets.Of(row.Retry)
 }
@@ -376,7 +376,7 @@
 	}
 	if AllEjected(candidates) {
 		for _, handle := range handles {
-			handle.Relent(now)
+			handle.ShortenEjection(now)
 		}
 	}
 	for {
