--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -23,26 +23,26 @@
 	if event.HedgeDelay <= 0 || !latest || state.settled {
 		return
 	}
-	if !q.mayHedge(state) {
-		state.diagnosis.HedgeDenial = q.whyNoHedge(state)
+	if !q.canHedge(state) {
+		state.diagnosis.HedgeDenial = q.hedgeDenial(state)
 		return
 	}
 	state.nextAt = now + event.HedgeDelay
 	state.nextDelay = event.HedgeDelay
-	q.wakeBy(state.nextAt)
+	q.advanceTimer(state.nextAt)
 }
 
-// mayHedge is true while another attempt beside those in flight is allowed.
-func (q *Query) mayHedge(state *shardState) bool {
-	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgeOff && state.attempts < q.attemptLimit() && state.sent < maxAttempts
+// canHedge is true while another attempt beside those in flight is allowed.
+func (q *Query) canHedge(state *shardState) bool {
+	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgingDisabled && state.attempts < q.attemptLimit() && state.sent < maxAttempts
 }
 
-// whyNoHedge explains mayHedge.
-func (q *Query) whyNoHedge(state *shardState) HedgeDenial {
+// hedgeDenial explains mayHedge.
+func (q *Query) hedgeDenial(state *shardState) HedgeDenial {
 	switch {
 	case q.plan.NoHedges:
 		return DeniedOverload
-	case state.hedgeOff:
+	case state.hedgingDisabled:
 		return DeniedNoReplica
 	default:
 		return DeniedAttempts
@@ -52,9 +52,9 @@
 // The wait before a sub-request that found all replicas busy is tried again:
 // a part of the usual time of a reply, within bounds.
 const (
-	busyShare   = 4
-	busyAtLeast = 2 * time.Millisecond
-	busyAtMost  = 20 * time.Millisecond
+	busyDelayDivisor = 4
+	minBusyDelay     = 2 * time.Millisecond
+	maxBusyDelay     = 20 * time.Millisecond
 )
 
 // postpone takes an attempt back that was not sent, as all replicas were busy,
@@ -63,8 +63,8 @@
 func (q *Query) postpone(now time.Duration, state *shardState, shard int) bool {
 	state.sent--
 	state.attempts--
-	wait := min(max(q.plan.Shards[shard].ExpectedLatency/busyShare, busyAtLeast), busyAtMost)
-	if state.inFlight == 0 && !q.mayAttempt(now+wait, shard) {
+	wait := min(max(q.plan.Shards[shard].ExpectedLatency/busyDelayDivisor, minBusyDelay), maxBusyDelay)
+	if state.inFlight == 0 && !q.canAttempt(now+wait, shard) {
 		return false
 	}
 	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+wait > q.plan.DispatchDeadline {
@@ -73,55 +73,55 @@
 	state.nextAt = now + wait
 	state.nextDelay = wait
 	state.postponed = state.inFlight == 0
-	q.wakeBy(state.nextAt)
+	q.advanceTimer(state.nextAt)
 	return true
 }
 
 // The wait after an attempt that was not sent, before the next: it doubles with each, as
 // a replica that is full needs time.
 const (
-	unsentWait        = 20 * time.Millisecond
-	unsentWaitAtMost  = 200 * time.Millisecond
-	unsentWaitDoubles = 4
+	minUnsentDelay     = 20 * time.Millisecond
+	maxUnsentDelay     = 200 * time.Millisecond
+	maxUnsentDoublings = 4
 )
 
-// retryLater sets the time for another attempt after one that was not sent. It returns
+// scheduleRetry sets the time for another attempt after one that was not sent. It returns
 // false when there can be no other.
-func (q *Query) retryLater(now time.Duration, event Event) bool {
+func (q *Query) scheduleRetry(now time.Duration, event Event) bool {
 	state := &q.shards[event.Shard]
-	wait := min(unsentWait<<min(state.unsent, unsentWaitDoubles), unsentWaitAtMost)
+	wait := min(minUnsentDelay<<min(state.unsent, maxUnsentDoublings), maxUnsentDelay)
 	if event.Outcome == ConnectFailed && state.unsent == 0 {
 		wait = 0 // most likely that process has ended, and others have not
 	}
-	if !q.mayAttempt(now+wait, event.Shard) {
+	if !q.canAttempt(now+wait, event.Shard) {
 		return false
 	}
 	state.unsent++
-	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
+	state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
 	if wait == 0 && state.inFlight == 0 {
-		q.send(now, event.Shard, event.Outcome.repeatCause())
+		q.send(now, event.Shard, event.Outcome.retryCause())
 		return true
 	}
 	state.nextAt = now + wait
-	state.nextDelay = max(wait, unsentWait) // the budget that denies it then is no better off at once
+	state.nextDelay = max(wait, minUnsentDelay) // the budget that denies it then is no better off at once
 	state.postponed = state.inFlight == 0
-	state.cause = event.Outcome.repeatCause()
-	q.wakeBy(state.nextAt)
+	state.cause = event.Outcome.retryCause()
+	q.advanceTimer(state.nextAt)
 	return true
 }
 
 func (q *Query) attemptLimit() int { return min(q.plan.Policy.Retry.Attempts, maxAttempts) }
 
-// reasonAfter keeps the reason of an attempt that reached a replica when a
+// mergeReason keeps the reason of an attempt that reached a replica when a
 // later one finds no replica left.
-func reasonAfter(earlier client.MissingReason, outcome Outcome) client.MissingReason {
+func mergeReason(earlier client.MissingReason, outcome Outcome) client.MissingReason {
 	if outcome == NoReplica && earlier != "" {
 		return earlier
 	}
-	return outcome.missing()
+	return outcome.missingReason()
 }
 
-func (o Outcome) missing() client.MissingReason {
+func (o Outcome) missingReason() client.MissingReason {
 	switch o {
 	case Shed, Draining, Misdirected:
 		return client.MissingShed
@@ -138,8 +138,8 @@
 	}
 }
 
-func (q *Query) mayRetry(now time.Duration, shard int, outcome Outcome) bool {
-	if outcome == DeadlineExceeded || !q.mayAttempt(now, shard) {
+func (q *Query) acquireRetry(now time.Duration, shard int, outcome Outcome) bool {
+	if outcome == DeadlineExceeded || !q.canAttempt(now, shard) {
 		return false
 	}
 	if q.plan.AtMostOnce && !outcome.provesNotRun() {
@@ -148,16 +148,16 @@
 	return q.withdraw(shard)
 }
 
-func (q *Query) mayAttempt(now time.Duration, shard int) bool {
+func (q *Query) canAttempt(now time.Duration, shard int) bool {
 	if q.shards[shard].attempts >= q.attemptLimit() || q.shards[shard].sent >= maxAttempts {
 		return false
 	}
-	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceAt, q.answerBy(now))
+	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceEnd, q.softDeadline(now))
 }
 
-// answerBy is when the query ends if no more shards answer.
-func (q *Query) answerBy(now time.Duration) time.Duration {
-	if q.mayAnswer() && now < q.plan.SoftDeadline {
+// softDeadline is when the query ends if no more shards answer.
+func (q *Query) softDeadline(now time.Duration) time.Duration {
+	if q.canAnswer() && now < q.plan.SoftDeadline {
 		return q.plan.SoftDeadline
 	}
 	return never
@@ -173,15 +173,15 @@
 	return budget != nil && budget.WithdrawHedge()
 }
 
-// fire sends the hedges that are due.
-func (q *Query) fire(now time.Duration) {
+// sendDue sends the hedges that are due.
+func (q *Query) sendDue(now time.Duration) {
 	for i := range q.shards {
 		state := &q.shards[i]
 		if state.settled || state.nextAt > now {
 			continue
 		}
-		if q.mustWait(i) {
-			q.waitForCanary(now, i)
+		if q.mustAwaitCanary(i) {
+			q.deferForCanary(now, i)
 			continue
 		}
 		state.nextAt = never
@@ -191,7 +191,7 @@
 			continue
 		}
 		switch {
-		case !q.mayAttempt(now, i):
+		case !q.canAttempt(now, i):
 			state.diagnosis.HedgeDenial = DeniedDeadline
 		case q.withdrawHedge(i):
 			q.send(now, i, CauseHedge)
@@ -202,25 +202,25 @@
 	}
 }
 
-// mustWait tells whether what is due for a shard has to wait for a canary. A canary of its
+// mustAwaitCanary tells whether what is due for a shard has to wait for a canary. A canary of its
 // own that is late may have a hedge, as its replica may be silent for long.
-func (q *Query) mustWait(shard int) bool {
-	return q.cautious && shard != q.canary && (q.canaryInFlight() || !q.shards[shard].postponed)
+func (q *Query) mustAwaitCanary(shard int) bool {
+	return q.canaryMode && shard != q.canaryShard && (q.canaryInFlight() || !q.shards[shard].postponed)
 }
 
-// waitForCanary puts off what is due for a shard: a hedge is looked at again later, and a
+// deferForCanary puts off what is due for a shard: a hedge is looked at again later, and a
 // repeat is held back.
-func (q *Query) waitForCanary(now time.Duration, shard int) {
+func (q *Query) deferForCanary(now time.Duration, shard int) {
 	state := &q.shards[shard]
 	if state.postponed {
-		state.hold()
+		state.suspend()
 		return
 	}
 	state.diagnosis.HedgeDenial = DeniedCrashes
-	state.nextAt = now + max(state.nextDelay, busyAtMost)
+	state.nextAt = now + max(state.nextDelay, maxBusyDelay)
 }
 
-func (q *Query) nextTime(shard int) time.Duration {
+func (q *Query) nextDue(shard int) time.Duration {
 	if q.shards[shard].settled {
 		return never
 	}
--- a/internal/decision/budget.go
+++ b/internal/decision/budget.go
@@ -15,11 +15,11 @@
 	WithdrawHedge() bool
 }
 
-// leastBurst is the least number of tokens that may be saved up.
-const leastBurst = 1
+// minBurst is the least number of tokens that may be saved up.
+const minBurst = 1
 
-// tokenScale is the number of budget units in one attempt.
-const tokenScale = 1000
+// unitsPerToken is the number of budget units in one attempt.
+const unitsPerToken = 1000
 
 // TokenBudget is a token bucket fed by first attempts. It is safe for
 // concurrent use.
@@ -71,7 +71,7 @@
 // NewTokenBudget makes a full bucket: ratio tokens are earned by each first
 // attempt, and at most burst are saved up.
 func NewTokenBudget(ratio, burst float64) *TokenBudget {
-	return NewTokenBudgetWithReserve(ratio, burst, hedgeReserve)
+	return NewTokenBudgetWithReserve(ratio, burst, defaultReserve)
 }
 
 // NewTokenBudgetWithReserve is NewTokenBudget with the share of the burst that hedges
@@ -84,7 +84,7 @@
 func NewTokenBudgetWithBalance(ratio, burst, saved, reserve float64) *TokenBudget {
 	budget := &TokenBudget{reserve: reserve}
 	budget.Configure(ratio, burst)
-	budget.units.Store(int64(math.Round(saved * tokenScale)))
+	budget.units.Store(int64(math.Round(saved * unitsPerToken)))
 	return budget
 }
 
@@ -92,14 +92,14 @@
 // as the new burst allows. A burst under one token leaves room for one that was
 // earned, as otherwise nothing could ever be granted.
 func (b *TokenBudget) Configure(ratio, burst float64) {
-	b.deposit.Store(int64(math.Round(ratio * tokenScale)))
-	b.burst.Store(int64(math.Round(max(burst, leastBurst) * tokenScale)))
+	b.deposit.Store(int64(math.Round(ratio * unitsPerToken)))
+	b.burst.Store(int64(math.Round(max(burst, minBurst) * unitsPerToken)))
 }
 
 // Usage returns what is left and what has been asked so far.
 func (b *TokenBudget) Usage() BudgetUsage {
 	return BudgetUsage{
-		Tokens: float64(b.units.Load()) / tokenScale, Burst: float64(b.burst.Load()) / tokenScale,
+		Tokens: float64(b.units.Load()) / unitsPerToken, Burst: float64(b.burst.Load()) / unitsPerToken,
 		FirstAttempts: b.firstAttempts.Load(),
 		Retries:       b.retries.Load(), Hedges: b.hedges.Load(),
 		DeniedRetries: b.deniedRetries.Load(), DeniedHedges: b.deniedHedges.Load(),
@@ -119,23 +119,23 @@
 	}
 }
 
-// hedgeReserve is the part of the burst that is left to retries: a retry saves
+// defaultReserve is the part of the burst that is left to retries: a retry saves
 // a shard's answer, a hedge only its time.
-const hedgeReserve = 0.5
+const defaultReserve = 0.5
 
 // Withdraw takes one token if there is one.
 func (b *TokenBudget) Withdraw() bool {
-	return counted(b.withdraw(0), &b.retries, &b.deniedRetries)
+	return countWithdrawal(b.withdraw(0), &b.retries, &b.deniedRetries)
 }
 
 // WithdrawHedge takes one token if there are more than retries may need.
 func (b *TokenBudget) WithdrawHedge() bool {
 	granted := b.withdraw(int64(b.reserve * float64(b.burst.Load())))
-	return counted(granted, &b.hedges, &b.deniedHedges)
+	return countWithdrawal(granted, &b.hedges, &b.deniedHedges)
 }
 
-// counted counts a demand and returns whether it was granted.
-func counted(granted bool, grants, denials *atomic.Int64) bool {
+// countWithdrawal counts a demand and returns whether it was granted.
+func countWithdrawal(granted bool, grants, denials *atomic.Int64) bool {
 	if granted {
 		grants.Add(1)
 	} else {
@@ -147,10 +147,10 @@
 func (b *TokenBudget) withdraw(reserve int64) bool {
 	for {
 		units := b.units.Load()
-		if units < min(tokenScale+reserve, b.burst.Load()) {
+		if units < min(unitsPerToken+reserve, b.burst.Load()) {
 			return false
 		}
-		if b.units.CompareAndSwap(units, units-tokenScale) {
+		if b.units.CompareAndSwap(units, units-unitsPerToken) {
 			return true
 		}
 	}
--- a/internal/decision/choice.go
+++ b/internal/decision/choice.go
@@ -53,12 +53,12 @@
 // not sent to replicas that refuse or are ejected: it would most likely be
 // wasted, and multiply the load of an outage.
 func ChooseAlternate(candidates []Candidate, weights policy.Replicas, random uint64) int {
-	return chooseUpTo(passSilent, candidates, weights, random)
+	return chooseUpTo(passUnresponsive, candidates, weights, random)
 }
 
 func chooseUpTo(last pass, candidates []Candidate, weights policy.Replicas, random uint64) int {
-	assumeUnknown(candidates)
-	for pass := passRoom; pass <= last; pass++ {
+	fillUnknownLatencies(candidates)
+	for pass := passAvailable; pass <= last; pass++ {
 		if chosen := chooseInPass(candidates, weights, pass, random); chosen != NoCandidate {
 			return chosen
 		}
@@ -70,15 +70,15 @@
 func chooseInPass(candidates []Candidate, weights policy.Replicas, p pass, random uint64) int {
 	best, least := NoCandidate, 0.0
 	for ring := topology.SameZone; ring <= topology.OtherRegion; ring++ {
-		weight := ringWeight(weights, ring)
+		weight := distanceWeight(weights, ring)
 		if weight == 0 {
 			continue
 		}
-		chosen := chooseInRing(candidates, ring, p, random)
+		chosen := chooseAtDistance(candidates, ring, p, random)
 		if chosen == NoCandidate {
 			continue
 		}
-		if weighed := candidates[chosen].expected() / weight; best == NoCandidate || weighed < least {
+		if weighed := candidates[chosen].expectedLatency() / weight; best == NoCandidate || weighed < least {
 			best, least = chosen, weighed
 		}
 	}
@@ -88,14 +88,14 @@
 type pass int
 
 const (
-	passRoom pass = iota
+	passAvailable pass = iota
 	passSaturated
-	passSilent
+	passUnresponsive
 	passBackingOff
 	passEjected
 )
 
-func ringWeight(weights policy.Replicas, ring topology.Distance) float64 {
+func distanceWeight(weights policy.Replicas, ring topology.Distance) float64 {
 	switch ring {
 	case topology.SameZone:
 		return weights.ZoneWeight
@@ -106,16 +106,16 @@
 	}
 }
 
-func (c *Candidate) admitted(ring topology.Distance, p pass) bool {
+func (c *Candidate) eligible(ring topology.Distance, p pass) bool {
 	if c.Distance != ring || !c.usable() {
 		return false
 	}
 	switch p {
-	case passRoom:
+	case passAvailable:
 		return !c.Ejected && !c.BackingOff && !c.Unresponsive && c.InFlight < c.Limit
 	case passSaturated:
 		return !c.Ejected && !c.BackingOff && !c.Unresponsive
-	case passSilent:
+	case passUnresponsive:
 		return !c.Ejected && !c.BackingOff
 	case passBackingOff:
 		return !c.Ejected
@@ -124,31 +124,31 @@
 	}
 }
 
-func chooseInRing(candidates []Candidate, ring topology.Distance, p pass, random uint64) int {
+func chooseAtDistance(candidates []Candidate, ring topology.Distance, p pass, random uint64) int {
 	count := 0
 	for i := range candidates {
-		if candidates[i].admitted(ring, p) {
+		if candidates[i].eligible(ring, p) {
 			count++
 		}
 	}
 	if count == 0 {
 		return NoCandidate
 	}
-	first := nthAdmitted(candidates, ring, p, int(uint32(random))%count)
+	first := nthEligible(candidates, ring, p, int(uint32(random))%count)
 	if count == 1 {
 		return first
 	}
 	offset := 1 + int(random>>32)%(count-1)
-	second := nthAdmitted(candidates, ring, p, (int(uint32(random))%count+offset)%count)
+	second := nthEligible(candidates, ring, p, (int(uint32(random))%count+offset)%count)
 	if candidates[second].cost() < candidates[first].cost() {
 		return second
 	}
 	return first
 }
 
-func nthAdmitted(candidates []Candidate, ring topology.Distance, p pass, n int) int {
+func nthEligible(candidates []Candidate, ring topology.Distance, p pass, n int) int {
 	for i := range candidates {
-		if !candidates[i].admitted(ring, p) {
+		if !candidates[i].eligible(ring, p) {
 			continue
 		}
 		if n == 0 {
@@ -159,14 +159,14 @@
 	return NoCandidate
 }
 
-// leastWarmth keeps the cost of a cold replica finite, so that it gets the
+// minWarmth keeps the cost of a cold replica finite, so that it gets the
 // few requests that warm it.
-const leastWarmth = 0.1
+const minWarmth = 0.1
 
-// assumeUnknown takes a cold replica without a latency to be as fast as the
+// fillUnknownLatencies takes a cold replica without a latency to be as fast as the
 // others on average. Taken to be fast, it would be sent more than its warmth
 // allows. A warm one is taken to be fast, so that it is tried soon.
-func assumeUnknown(candidates []Candidate) {
+func fillUnknownLatencies(candidates []Candidate) {
 	known, sum := 0, time.Duration(0)
 	for i := range candidates {
 		if candidates[i].LatencyEWMA > 0 {
@@ -184,9 +184,9 @@
 	}
 }
 
-// leastLatency bounds a latency from below, and stands for it where none of a
+// minLatency bounds a latency from below, and stands for it where none of a
 // group's is known.
-const leastLatency = time.Millisecond
+const minLatency = time.Millisecond
 
 // cost orders the replicas of one ring: the load a slot has, times the usual
 // latency.
@@ -195,9 +195,9 @@
 	return load * c.latency()
 }
 
-// expected is the expected time of a request, in nanoseconds, by which rings
+// expectedLatency is the expectedLatency time of a request, in nanoseconds, by which rings
 // are compared. Load counts only once it exceeds the slots.
-func (c *Candidate) expected() float64 {
+func (c *Candidate) expectedLatency() float64 {
 	load := float64(1+c.load()) / float64(max(1, c.Slots))
 	return max(1, load) * c.latency()
 }
@@ -205,5 +205,5 @@
 func (c *Candidate) load() int { return c.InFlight + c.ReportedLoad }
 
 func (c *Candidate) latency() float64 {
-	return float64(max(c.LatencyEWMA, leastLatency)) / max(c.Warmth, leastWarmth)
+	return float64(max(c.LatencyEWMA, minLatency)) / max(c.Warmth, minWarmth)
 }
--- a/internal/decision/cold.go
+++ b/internal/decision/cold.go
@@ -6,10 +6,10 @@
 // nodes: the rate that it bears, times the overage, and the slack besides.
 type ColdRateLimit struct{ Overage, Slack float64 }
 
-// coldUse is the part of the bound that is used. Nodes that see each other come or go at
+// coldUtilization is the part of the bound that is used. Nodes that see each other come or go at
 // different times divide it differently for a while: two divisions that have nothing in
 // common together still keep the bound.
-const coldUse = 0.5
+const coldUtilization = 0.5
 
 // Rate returns the number of requests that all nodes together send to a cold replica in
 // any one second, 0 when the rate that it bears is not stated.
@@ -17,7 +17,7 @@
 	if borne <= 0 {
 		return 0
 	}
-	return max(1, int(coldUse*(borne*max(1, b.Overage)+b.Slack)))
+	return max(1, int(coldUtilization*(borne*max(1, b.Overage)+b.Slack)))
 }
 
 // ColdRateShare returns how many of a cold replica's requests a second are this node's. The
@@ -28,11 +28,11 @@
 	if len(sharing) == 0 {
 		return 0
 	}
-	own := coldRank(self, zone)
+	own := coldHash(self, zone)
 	rank, member := 0, false
 	for _, id := range sharing {
 		member = member || id == self
-		if other := coldRank(id, zone); other < own || (other == own && id < self) {
+		if other := coldHash(id, zone); other < own || (other == own && id < self) {
 			rank++
 		}
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func coldRank(id, zone string) uint64 {
+func coldHash(id, zone string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(id) // never fails
 	_, _ = digest.WriteString(zone)
--- a/internal/decision/crash.go
+++ b/internal/decision/crash.go
@@ -36,18 +36,18 @@
 // zone's replicas ended, and whose canary met that of the query which ended them, would be
 // convicted with it.
 const (
-	convictingRounds = 3
-	convictingBlame  = 2
+	minIncidents   = 3
+	minAttribution = 2
 )
 
 // Conclusive tells whether the query is taken to be what ends the replicas that run it.
 func (e CrashEvidence) Conclusive() bool {
-	return e.Incidents >= convictingRounds && e.Attribution >= convictingBlame
+	return e.Incidents >= minIncidents && e.Attribution >= minAttribution
 }
 
 // Decayed is what is left of the evidence once it is old: another canary convicts again.
 func (e CrashEvidence) Decayed() CrashEvidence {
-	return CrashEvidence{Crashes: e.Crashes, Incidents: convictingRounds - 1, Attribution: convictingBlame - 1}
+	return CrashEvidence{Crashes: e.Crashes, Incidents: minIncidents - 1, Attribution: minAttribution - 1}
 }
 
 // Suspicious tells whether anything speaks against the query.
@@ -60,28 +60,28 @@
 	}
 }
 
-// caution is the state of a query under which replicas have ended.
-type caution struct {
-	// cautious is true while sub-requests are sent one at a time.
-	cautious bool
+// crashState is the state of a query under which replicas have ended.
+type crashState struct {
+	// canaryMode is true while sub-requests are sent one at a time.
+	canaryMode bool
 	// survived is true once a replica has run the query and answered.
 	survived bool
-	// canary is the shard of the latest sub-request sent while cautious, noCanary before.
-	canary int
-	// sent counts the canaries.
-	sent int
-	// found is what speaks against the query since it began, together is true once a
+	// canaryShard is the shard of the latest sub-request sent while cautious, noCanary before.
+	canaryShard int
+	// canariesSent counts the canaries.
+	canariesSent int
+	// observed is what speaks against the query since it began, together is true once a
 	// replica has ended under what was sent before the query was cautious.
-	found    CrashEvidence
-	together bool
-	// verdictAt is when the query ends as convicted, never while it is not.
-	verdictAt time.Duration
+	observed       CrashEvidence
+	initialCounted bool
+	// abortAt is when the query ends as convicted, never while it is not.
+	abortAt time.Duration
 }
 
-// verdictWait is the wait for other nodes to contest a conviction: four times the way between
+// disputeWindow is the wait for other nodes to contest a conviction: four times the way between
 // regions. (Without it, one of 2,464 requests that were sent beside one that ends replicas was
 // refused in about 1 of 150 runs.)
-const verdictWait = 50 * time.Millisecond
+const disputeWindow = 50 * time.Millisecond
 
 const noCanary = -1
 
@@ -90,112 +90,112 @@
 func (q *Query) CrashEvidence() (found CrashEvidence, survived bool) {
 	known := q.plan.CrashDetection.Prior
 	found = CrashEvidence{
-		Crashes: known.Crashes + q.found.Crashes, Incidents: known.Incidents + q.found.Incidents, Attribution: known.Attribution + q.found.Attribution,
+		Crashes: known.Crashes + q.observed.Crashes, Incidents: known.Incidents + q.observed.Incidents, Attribution: known.Attribution + q.observed.Attribution,
 	}
 	return found, q.survived
 }
 
-// watchesEnds tells whether replicas that end under the query speak against it.
-func (q *Query) watchesEnds() bool { return q.plan.CrashDetection.Enabled && !q.survived }
+// detectsCrashes tells whether replicas that end under the query speak against it.
+func (q *Query) detectsCrashes() bool { return q.plan.CrashDetection.Enabled && !q.survived }
 
-// startCautiously holds all shards back but one, as replicas ended under the query before.
-func (q *Query) startCautiously(now time.Duration) {
-	q.cautious = true
+// startWithCanary holds all shards back but one, as replicas ended under the query before.
+func (q *Query) startWithCanary(now time.Duration) {
+	q.canaryMode = true
 	for i := range q.shards {
-		q.shards[i].held = true
+		q.shards[i].suspended = true
 	}
-	q.nextCanary(now)
+	q.sendNextCanary(now)
 }
 
-// replicaEnded takes in that a replica ended while it ran the query, which none has
+// replicaCrashed takes in that a replica ended while it ran the query, which none has
 // survived.
-func (q *Query) replicaEnded(now time.Duration, event Event) {
+func (q *Query) replicaCrashed(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
-	q.found.Crashes++
+	q.observed.Crashes++
 	if state.canaries&(1<<event.Attempt) != 0 {
-		q.found.Incidents++
-		q.found.Attribution += event.Attribution
-	} else if !q.together {
-		q.together = true
-		q.found.Incidents++
-		q.found.Attribution++
+		q.observed.Incidents++
+		q.observed.Attribution += event.Attribution
+	} else if !q.initialCounted {
+		q.initialCounted = true
+		q.observed.Incidents++
+		q.observed.Attribution++
 	}
-	q.cautious = true
-	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
+	q.canaryMode = true
+	state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
 	if event.Quarantined {
 		q.finish(ReplicasCrashed, client.MissingFailed)
 		return
 	}
 	if state.inFlight == 0 {
-		state.hold()
+		state.suspend()
 	}
-	if found, _ := q.CrashEvidence(); found.Conclusive() && q.verdictAt == never {
-		q.verdictAt = now + verdictWait
-		q.wakeBy(q.verdictAt)
+	if found, _ := q.CrashEvidence(); found.Conclusive() && q.abortAt == never {
+		q.abortAt = now + disputeWindow
+		q.advanceTimer(q.abortAt)
 	}
 }
 
 // AbortPending tells whether the query is convicted and waits for other nodes to contest it.
-func (q *Query) AbortPending() bool { return q.verdictAt != never && !q.finished }
+func (q *Query) AbortPending() bool { return q.abortAt != never && !q.finished }
 
-// contested takes in that the ends of all replicas by canaries of this query may have been
+// evidenceDisputed takes in that the ends of all replicas by canaries of this query may have been
 // another's doing: they count as one time less, and another canary decides.
-func (q *Query) contested() {
-	q.verdictAt = never
-	q.found.Incidents--
-	q.found.Attribution--
+func (q *Query) evidenceDisputed() {
+	q.abortAt = never
+	q.observed.Incidents--
+	q.observed.Attribution--
 }
 
-// hold keeps a shard back until a canary is sent there or a replica has survived.
-func (s *shardState) hold() {
-	s.held = true
+// suspend keeps a shard back until a canary is sent there or a replica has survived.
+func (s *shardState) suspend() {
+	s.suspended = true
 	s.postponed = false
 	s.nextAt = never
 }
 
-// nextCanary sends the next canary, unless one is in flight. Its shard is drawn by chance, so
+// sendNextCanary sends the next canary, unless one is in flight. Its shard is drawn by chance, so
 // that queries which a common cause has made cautious rarely meet at one replica, and are not
 // blamed for each other's harm. (With one order for all of them, one of 2,464 requests that
 // were sent beside one that ends replicas was refused in 6 of 100 runs.)
-func (q *Query) nextCanary(now time.Duration) {
-	if !q.cautious || q.finished || q.canaryInFlight() || q.AbortPending() {
+func (q *Query) sendNextCanary(now time.Duration) {
+	if !q.canaryMode || q.finished || q.canaryInFlight() || q.AbortPending() {
 		return
 	}
-	q.sent++
-	first := int(mix(q.plan.CrashDetection.Seed+uint64(q.sent)) % uint64(len(q.shards)))
+	q.canariesSent++
+	first := int(mix64(q.plan.CrashDetection.Seed+uint64(q.canariesSent)) % uint64(len(q.shards)))
 	for i := range q.shards {
 		shard := (first + i) % len(q.shards)
-		if q.shards[shard].held && q.resume(now, shard) {
+		if q.shards[shard].suspended && q.resume(now, shard) {
 			return
 		}
 	}
 }
 
-// mix spreads a number over all bits (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
+// mix64 spreads a number over all bits (the finalizer of splitmix64).
+func mix64(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
 func (q *Query) canaryInFlight() bool {
-	if q.canary == noCanary {
+	if q.canaryShard == noCanary {
 		return false
 	}
-	state := &q.shards[q.canary]
+	state := &q.shards[q.canaryShard]
 	return state.inFlight&state.canaries != 0
 }
 
-// survive takes in that a replica has run the query and answered: it does no harm.
-func (q *Query) survive(now time.Duration) {
+// replicaSurvived takes in that a replica has run the query and answered: it does no harm.
+func (q *Query) replicaSurvived(now time.Duration) {
 	q.survived = true
-	q.verdictAt = never
-	if !q.cautious {
+	q.abortAt = never
+	if !q.canaryMode {
 		return
 	}
-	q.cautious = false
+	q.canaryMode = false
 	for i := range q.shards {
-		if q.shards[i].held {
+		if q.shards[i].suspended {
 			q.resume(now, i)
 		}
 	}
@@ -205,11 +205,11 @@
 // settles, as it can have no other.
 func (q *Query) resume(now time.Duration, shard int) (sent bool) {
 	state := &q.shards[shard]
-	state.held = false
+	state.suspended = false
 	switch {
 	case state.attempts == 0 && state.sent < maxAttempts:
 		q.send(now, shard, CauseFirst)
-	case !q.plan.AtMostOnce && q.mayAttempt(now, shard) && q.withdraw(shard):
+	case !q.plan.AtMostOnce && q.canAttempt(now, shard) && q.withdraw(shard):
 		q.send(now, shard, CauseFailure)
 	default:
 		q.settleShard(shard)
--- a/internal/decision/crash_test.go
+++ b/internal/decision/crash_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-func cautiousPlan(shards int, change func(*Plan, *policy.Row)) Plan {
+func crashDetectionPlan(shards int, change func(*Plan, *policy.Row)) Plan {
 	return testPlan(shards, func(plan *Plan, row *policy.Row) {
 		plan.CrashDetection.Enabled = true
 		row.Retry.Attempts = 2
@@ -19,14 +19,14 @@
 	})
 }
 
-func ended(at time.Duration, shard, attempt int, blame float64) timedEvent {
+func crashed(at time.Duration, shard, attempt int, blame float64) timedEvent {
 	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: blame}}
 }
 
 // TestAQueryThatEndsReplicasEnds: what was sent together counts once, then two canaries at
 // different shards, one after the other.
 func TestAQueryThatEndsReplicasEnds(t *testing.T) {
-	query := New(cautiousPlan(4, nil))
+	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	var canaries []Action
 	finished := false
@@ -39,20 +39,20 @@
 		}
 	}
 	for shard := range 4 {
-		take(ended(time.Duration(3+shard)*ms, shard, 0, 0.5))
+		take(crashed(time.Duration(3+shard)*ms, shard, 0, 0.5))
 	}
 	if len(canaries) != 1 || !canaries[0].Canary {
 		t.Fatalf("sent while the first canary runs: %+v", canaries)
 	}
-	take(ended(9*ms, canaries[0].Shard, canaries[0].Attempt, 1))
+	take(crashed(9*ms, canaries[0].Shard, canaries[0].Attempt, 1))
 	if len(canaries) != 2 || finished {
 		t.Fatalf("sent after the first canary: %+v, finished %v", canaries, finished)
 	}
-	take(ended(12*ms, canaries[1].Shard, canaries[1].Attempt, 1))
+	take(crashed(12*ms, canaries[1].Shard, canaries[1].Attempt, 1))
 	if len(canaries) != 2 || finished || !query.AbortPending() {
 		t.Fatalf("sent while others may contest it: %+v, finished %v", canaries, finished)
 	}
-	take(timedEvent{12*ms + verdictWait, Event{Kind: TimerFired}})
+	take(timedEvent{12*ms + disputeWindow, Event{Kind: TimerFired}})
 	found, survived := query.CrashEvidence()
 	if want := (CrashEvidence{Crashes: 6, Incidents: 3, Attribution: 3}); found != want || survived || !finished || len(canaries) != 2 {
 		t.Errorf("evidence %+v, survived %v, finished %v, %d canaries", found, survived, finished, len(canaries))
@@ -63,13 +63,13 @@
 // shows that the query does no harm, however many ended.
 func TestAQueryThatSurvivesGoesOn(t *testing.T) {
 	t.Run("the canary", func(t *testing.T) {
-		query := New(cautiousPlan(3, nil))
+		query := New(crashDetectionPlan(3, nil))
 		var sent []int // by step
 		for _, timed := range []timedEvent{
 			{0, Event{Kind: Started}},
-			ended(3*ms, 0, 0, 1), ended(3*ms, 1, 0, 1), ended(3*ms, 2, 0, 1),
+			crashed(3*ms, 0, 0, 1), crashed(3*ms, 1, 0, 1), crashed(3*ms, 2, 0, 1),
 			reply(9*ms, 0, 1, Success), // the two others follow at once
-			ended(12*ms, 1, 1, 1), reply(13*ms, 2, 1, Success),
+			crashed(12*ms, 1, 1, 1), reply(13*ms, 2, 1, Success),
 		} {
 			count := 0
 			for _, action := range query.Step(timed.at, timed.event) {
@@ -87,7 +87,7 @@
 		}
 	})
 	t.Run("one of the first", func(t *testing.T) {
-		query := New(cautiousPlan(3, nil))
+		query := New(crashDetectionPlan(3, nil))
 		query.Step(0, Event{Kind: Started})
 		query.Step(2*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Success})
 		sent := 0
@@ -103,7 +103,7 @@
 		}
 	})
 	t.Run("a replica's own failure", func(t *testing.T) {
-		query := New(cautiousPlan(2, nil))
+		query := New(crashDetectionPlan(2, nil))
 		query.Step(0, Event{Kind: Started})
 		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: 0, Outcome: Crashed, Attribution: 1})
 		query.Step(4*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Failed, Survived: true})
@@ -118,7 +118,7 @@
 	suspected := func(plan *Plan, _ *policy.Row) {
 		plan.CrashDetection.Prior = CrashEvidence{Crashes: 4, Incidents: 1, Attribution: 1}
 	}
-	query := New(cautiousPlan(3, suspected))
+	query := New(crashDetectionPlan(3, suspected))
 	canary := query.Step(0, Event{Kind: Started})[0]
 	if len(query.actions) != 2 || canary.Kind != Send { // and the timer
 		t.Fatalf("actions at the start: %+v", query.actions)
@@ -138,7 +138,7 @@
 // tells nothing.
 func TestACanaryThatDoesNotRunIsFollowedByAnother(t *testing.T) {
 	for _, outcome := range []Outcome{Shed, ConnectFailed, Failed, ResetAfterWrite} {
-		query := New(cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
+		query := New(crashDetectionPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
 		canary := query.Step(0, Event{Kind: Started})[0]
 		sent := 0
 		for _, action := range query.Step(2*ms, Event{Kind: AttemptCompleted, Shard: canary.Shard, Outcome: outcome}) {
@@ -155,13 +155,13 @@
 // TestASharedBlameIsNotEnough: a replica that was running several queries speaks less
 // against each of them.
 func TestASharedBlameIsNotEnough(t *testing.T) {
-	query := New(cautiousPlan(4, nil))
+	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
 		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 0.5})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canary, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
+		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canaryShard, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
 	}
 	if found, _ := query.CrashEvidence(); found.Incidents != 3 || query.finished {
 		t.Errorf("evidence %+v, finished %v", found, query.finished)
@@ -170,7 +170,7 @@
 
 // TestEndsAreFailuresWithoutALimit: the other programs do not watch for them.
 func TestEndsAreFailuresWithoutALimit(t *testing.T) {
-	plan := cautiousPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Enabled = false })
+	plan := crashDetectionPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Enabled = false })
 	query := New(plan)
 	query.Step(0, Event{Kind: Started})
 	sent := 0
@@ -188,19 +188,19 @@
 
 // TestAContestedQueryIsTriedAgain: one more canary decides.
 func TestAContestedQueryIsTriedAgain(t *testing.T) {
-	query := New(cautiousPlan(4, nil))
+	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
 		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: shard, Outcome: Crashed, Attribution: 1})
 	}
 	for range 2 {
-		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canary, Attempt: query.shards[query.canary].sent - 1, Outcome: Crashed, Attribution: 1})
+		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canaryShard, Attempt: query.shards[query.canaryShard].sent - 1, Outcome: Crashed, Attribution: 1})
 	}
 	if !query.AbortPending() {
 		t.Fatal("not convicted")
 	}
 	sent := 0
-	for _, action := range query.Step(6*ms+verdictWait, Event{Kind: EvidenceDisputed}) {
+	for _, action := range query.Step(6*ms+disputeWindow, Event{Kind: EvidenceDisputed}) {
 		if action.Kind == Send {
 			sent++
 		}
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -166,8 +166,8 @@
 // NumCauses is the number of causes.
 const NumCauses = len(causeNames)
 
-// repeatCause is the cause of the sub-request that follows an outcome.
-func (o Outcome) repeatCause() Cause {
+// retryCause is the cause of the sub-request that follows an outcome.
+func (o Outcome) retryCause() Cause {
 	switch o {
 	case Shed, Draining, SnapshotNotHeld, Misdirected:
 		return CauseRejection
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -8,8 +8,8 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// answerBy makes a plan that answers after 50 ms with two of its shards.
-func answerBy(plan *Plan, row *policy.Row) {
+// withSoftDeadline makes a plan that answers after 50 ms with two of its shards.
+func withSoftDeadline(plan *Plan, row *policy.Row) {
 	plan.SoftDeadline = 50 * ms
 	plan.MinShards = min(2, len(plan.Shards))
 	row.Retry.Attempts = 2
@@ -36,7 +36,7 @@
 		status []ShardStatus
 	}{
 		{
-			name: "answers with what is in when it is time", shards: 3, change: answerBy,
+			name: "answers with what is in when it is time", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), fired(50 * ms)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -45,7 +45,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "goes on while too few are in, and ends with the one that is needed", shards: 3, change: answerBy,
+			name: "goes on while too few are in, and ends with the one that is needed", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), fired(50 * ms), reply(70*ms, 1, 0, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -56,7 +56,7 @@
 		{
 			name: "ends at once when too few can still answer", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
-				answerBy(plan, row)
+				withSoftDeadline(plan, row)
 				row.Retry.Attempts = 1
 			},
 			events: []timedEvent{reply(10*ms, 0, 0, Failed), reply(12*ms, 1, 0, Failed)},
@@ -67,7 +67,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}, {Reason: client.MissingFailed}, {Reason: client.MissingFailed}},
 		},
 		{
-			name: "hedges after what is late for the chosen replica", shards: 1, change: answerBy,
+			name: "hedges after what is late for the chosen replica", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{dispatched(0, 0, 0, 20*ms), fired(20 * ms), reply(25*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "0s timer 20ms", "20ms hedge 0/1 in 80ms", "20ms timer 100ms",
@@ -78,7 +78,7 @@
 		{
 			name: "sends no hedge that could not answer in time", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
-				answerBy(plan, row)
+				withSoftDeadline(plan, row)
 				plan.Shards[2].ExpectedLatency = 20 * ms
 			},
 			events: []timedEvent{
@@ -91,7 +91,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {}},
 		},
 		{
-			name: "waits for a busy replica without using an attempt up", shards: 1, change: answerBy,
+			name: "waits for a busy replica without using an attempt up", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{
 				busy(0, 0, 0), fired(2 * ms), busy(2*ms, 0, 0), fired(4 * ms), reply(9*ms, 0, 0, Failed), reply(12*ms, 0, 1, Success),
 			},
@@ -112,7 +112,7 @@
 			status: []ShardStatus{{Reason: client.MissingNoReplica}},
 		},
 		{
-			name: "sends nothing in the step that ends the query", shards: 3, change: answerBy,
+			name: "sends nothing in the step that ends the query", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), busy(47*ms, 2, 0), fired(52 * ms),
 			},
@@ -123,7 +123,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "an attempt that reached no replica does not count", shards: 1, change: answerBy,
+			name: "an attempt that reached no replica does not count", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), fired(42 * ms),
 				reply(43*ms, 0, 2, Failed), reply(44*ms, 0, 3, Failed),
@@ -137,7 +137,7 @@
 		{
 			name: "a connection that was not accepted is tried again later, whatever the budget", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
-				answerBy(plan, row)
+				withSoftDeadline(plan, row)
 				plan.MinShards = 3
 				plan.Shards[0].Budget = NewTokenBudget(0, 0)
 				row.Retry.Attempts = 1
@@ -154,7 +154,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Answered: true}},
 		},
 		{
-			name: "ends when its time is over before the deadline", shards: 3, change: answerBy,
+			name: "ends when its time is over before the deadline", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: Interrupted}}},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -163,7 +163,7 @@
 			status: []ShardStatus{{Answered: true}, {Reason: client.MissingTimeout}, {Reason: client.MissingTimeout}},
 		},
 		{
-			name: "an answer does not wait for a shard whose replicas are gone", shards: 3, change: answerBy,
+			name: "an answer does not wait for a shard whose replicas are gone", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
 			},
@@ -174,7 +174,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}, {Answered: true}, {Answered: true}},
 		},
 		{
-			name: "it waits for one whose replicas accept no connection", shards: 3, change: answerBy,
+			name: "it waits for one whose replicas accept no connection", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
 				reply(22*ms, 0, 1, ResetBeforeWrite), fired(50 * ms),
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -34,16 +34,16 @@
 	cause Cause
 	// unsent counts the attempts that came to no replica, gone those of late, in a row,
 	// that met no process at all.
-	unsent int
-	gone   int
-	// held is true while nothing is sent for the shard, as the query is cautious;
+	unsent          int
+	connectFailures int
+	// suspended is true while nothing is sent for the shard, as the query is cautious;
 	// canaries has a bit for each attempt that was sent while it was.
-	held      bool
-	canaries  uint16
-	settled   bool
-	hedgeOff  bool
-	status    ShardStatus
-	diagnosis ShardDiagnosis
+	suspended       bool
+	canaries        uint16
+	settled         bool
+	hedgingDisabled bool
+	status          ShardStatus
+	diagnosis       ShardDiagnosis
 }
 
 // Query decides one query. It is not safe for concurrent use.
@@ -54,14 +54,14 @@
 	answered int
 	settled  int
 	target   int
-	graceAt  time.Duration
+	graceEnd time.Duration
 	timerAt  time.Duration
 	// snapshotLost is set once a shard has settled for want of the snapshot.
 	snapshotLost bool
 	// otherSnapshot is true while the query could start anew on another one.
 	otherSnapshot bool
 	finished      bool
-	caution
+	crashState
 }
 
 // never is a time that does not come.
@@ -71,13 +71,13 @@
 func New(plan Plan) *Query {
 	count := len(plan.Shards)
 	return &Query{
-		plan:    plan,
-		shards:  make([]shardState, count),
-		actions: make([]Action, 0, count+2),
-		target:  int(math.Ceil(plan.Policy.Completeness.Target * float64(count))),
-		graceAt: never,
-		timerAt: never,
-		caution: caution{canary: noCanary, verdictAt: never},
+		plan:       plan,
+		shards:     make([]shardState, count),
+		actions:    make([]Action, 0, count+2),
+		target:     int(math.Ceil(plan.Policy.Completeness.Target * float64(count))),
+		graceEnd:   never,
+		timerAt:    never,
+		crashState: crashState{canaryShard: noCanary, abortAt: never},
 	}
 }
 
@@ -92,11 +92,11 @@
 	case Started:
 		q.start(now)
 	case AttemptCompleted:
-		q.replied(now, event)
+		q.attemptCompleted(now, event)
 	case TimerFired:
 		q.timerAt = never
-		if !q.isOver(now) {
-			q.fire(now)
+		if !q.expired(now) {
+			q.sendDue(now)
 		}
 	case Canceled:
 		q.finish(CallerCanceled, client.MissingTimeout)
@@ -105,10 +105,10 @@
 	case Dispatched:
 		q.dispatched(now, event)
 	case EvidenceDisputed:
-		q.contested()
+		q.evidenceDisputed()
 	}
-	q.nextCanary(now)
-	q.settle(now)
+	q.sendNextCanary(now)
+	q.finishOrSetTimer(now)
 	return q.actions
 }
 
@@ -128,7 +128,7 @@
 		}
 	}
 	if q.plan.CrashDetection.Enabled && q.plan.CrashDetection.Prior.Suspicious() {
-		q.startCautiously(now)
+		q.startWithCanary(now)
 		return
 	}
 	for i := range q.plan.Shards {
@@ -144,36 +144,36 @@
 	state.cause = cause
 	state.inFlight |= 1 << attempt
 	state.nextAt = never
-	if q.cautious {
+	if q.canaryMode {
 		state.canaries |= 1 << attempt
-		q.canary = shard
+		q.canaryShard = shard
 	}
-	if plan.HedgeDelay > 0 && q.mayHedge(state) {
+	if plan.HedgeDelay > 0 && q.canHedge(state) {
 		state.nextAt = now + plan.HedgeDelay
 		state.nextDelay = plan.HedgeDelay
 	}
 	q.actions = append(q.actions, Action{
-		Kind: Send, Shard: shard, Attempt: attempt, Cause: cause, Canary: q.cautious, Timeout: q.plan.Deadline - now,
+		Kind: Send, Shard: shard, Attempt: attempt, Cause: cause, Canary: q.canaryMode, Timeout: q.plan.Deadline - now,
 	})
 }
 
-func (q *Query) replied(now time.Duration, event Event) {
+func (q *Query) attemptCompleted(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
 	bit := uint16(1) << event.Attempt
 	if state.settled || state.inFlight&bit == 0 {
 		return
 	}
 	state.inFlight &^= bit
-	state.noteGone(event)
+	state.countConnectFailure(event)
 	if event.Outcome == NoReplica && event.Busy && q.postpone(now, state, event.Shard) {
 		return
 	}
-	if event.Outcome == Crashed && q.watchesEnds() {
-		q.replicaEnded(now, event)
+	if event.Outcome == Crashed && q.detectsCrashes() {
+		q.replicaCrashed(now, event)
 		return
 	}
 	if event.Outcome == Success || event.Survived {
-		q.survive(now)
+		q.replicaSurvived(now)
 	}
 	if event.Outcome == Success {
 		q.succeed(now, event.Shard)
@@ -182,28 +182,28 @@
 	if event.Outcome.NotSent() {
 		state.attempts--
 	}
-	if event.Outcome != NoReplica && q.canaryInFlight() && q.cautious {
-		state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
-		state.hold() // its repeat has to wait
+	if event.Outcome != NoReplica && q.canaryInFlight() && q.canaryMode {
+		state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
+		state.suspend() // its repeat has to wait
 		return
 	}
 	if event.Outcome.NotSent() {
-		if q.retryLater(now, event) {
+		if q.scheduleRetry(now, event) {
 			return
 		}
 	}
 	q.otherSnapshot = q.otherSnapshot || event.OtherSnapshot
-	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
+	state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
 	if event.Outcome == NoReplica {
 		state.diagnosis.HedgeDenial = DeniedNoReplica
-		state.hedgeOff = true
+		state.hedgingDisabled = true
 		state.nextAt = never
 	}
 	if state.inFlight != 0 {
 		return
 	}
-	if event.Outcome != NoReplica && q.mayRetry(now, event.Shard, event.Outcome) {
-		q.send(now, event.Shard, event.Outcome.repeatCause())
+	if event.Outcome != NoReplica && q.acquireRetry(now, event.Shard, event.Outcome) {
+		q.send(now, event.Shard, event.Outcome.retryCause())
 		return
 	}
 	q.settleShard(event.Shard)
@@ -215,8 +215,8 @@
 	state.diagnosis.AnsweredAt = now
 	q.answered++
 	q.settleShard(shard)
-	if q.answered >= q.target && q.graceAt == never {
-		q.graceAt = now + time.Duration(q.plan.Policy.Completeness.Grace)
+	if q.answered >= q.target && q.graceEnd == never {
+		q.graceEnd = now + time.Duration(q.plan.Policy.Completeness.Grace)
 	}
 }
 
@@ -224,7 +224,7 @@
 func (q *Query) settleShard(shard int) {
 	state := &q.shards[shard]
 	state.settled = true
-	state.held = false
+	state.suspended = false
 	state.nextAt = never
 	q.settled++
 	q.snapshotLost = q.snapshotLost || state.status.Reason == client.MissingSnapshot
@@ -240,11 +240,11 @@
 	}
 }
 
-// settle ends the query if it is over, else sets the timer.
-func (q *Query) settle(now time.Duration) {
+// finishOrSetTimer ends the query if it is over, else sets the timer.
+func (q *Query) finishOrSetTimer(now time.Duration) {
 	switch {
 	case q.finished:
-	case now >= q.verdictAt:
+	case now >= q.abortAt:
 		q.finish(ReplicasCrashed, client.MissingFailed)
 	case q.AbortPending() && now < q.plan.Deadline: // though no shard can answer any more
 		q.setTimer()
@@ -254,61 +254,61 @@
 		q.finish(SnapshotLost, client.MissingSnapshot)
 	case now >= q.plan.Deadline:
 		q.finish(DeadlineReached, client.MissingTimeout)
-	case q.outOfReach():
+	case q.tooFewShardsLeft():
 		q.finish(AllSettled, client.MissingFailed)
-	case q.isOver(now):
+	case q.expired(now):
 		q.finish(CompleteEnough, client.MissingComplete)
-	case q.mayAnswer() && q.restIsGone():
+	case q.canAnswer() && q.remainingUnreachable():
 		q.finish(CompleteEnough, client.MissingFailed)
 	default:
 		q.setTimer()
 	}
 }
 
-// isOver is true when the time has come to end, whatever has answered: nothing
+// expired is true when the time has come to end, whatever has answered: nothing
 // is sent any more then.
-func (q *Query) isOver(now time.Duration) bool {
-	answerNow := q.mayAnswer() && now >= q.plan.SoftDeadline
-	return now >= q.plan.Deadline || now >= q.graceAt || answerNow
+func (q *Query) expired(now time.Duration) bool {
+	answerNow := q.canAnswer() && now >= q.plan.SoftDeadline
+	return now >= q.plan.Deadline || now >= q.graceEnd || answerNow
 }
 
-// goneAfter attempts in a row that met no process, a shard is taken to have no replica
+// connectFailureLimit attempts in a row that met no process, a shard is taken to have no replica
 // left for now.
-const goneAfter = 2
+const connectFailureLimit = 2
 
-// noteGone counts the attempts in a row that met no process.
-func (s *shardState) noteGone(event Event) {
+// countConnectFailure counts the attempts in a row that met no process.
+func (s *shardState) countConnectFailure(event Event) {
 	switch {
 	case event.Outcome == NoReplica: // nothing was tried
 	case event.Outcome == ConnectFailed && !event.Busy:
-		s.gone++
+		s.connectFailures++
 	default:
-		s.gone = 0
+		s.connectFailures = 0
 	}
 }
 
-// restIsGone is true when all shards that have not settled have no replica left: an answer
+// remainingUnreachable is true when all shards that have not settled have no replica left: an answer
 // that waited for them would most likely lack them all the same, and come late. (With one
 // shard's replicas ended for 8 s, 12 in place of 108 of 1,583 short requests were late.)
-func (q *Query) restIsGone() bool {
+func (q *Query) remainingUnreachable() bool {
 	for i := range q.shards {
 		state := &q.shards[i]
-		if !state.settled && (!state.postponed || state.gone < goneAfter) {
+		if !state.settled && (!state.postponed || state.connectFailures < connectFailureLimit) {
 			return false
 		}
 	}
 	return true
 }
 
-// outOfReach is true when too few shards can still answer.
-func (q *Query) outOfReach() bool {
+// tooFewShardsLeft is true when too few shards can still answer.
+func (q *Query) tooFewShardsLeft() bool {
 	lost := q.settled - q.answered
 	return q.plan.MinShards > 0 && len(q.shards)-lost < q.plan.MinShards
 }
 
-// mayAnswer is true when the plan names a time to answer and enough shards
+// canAnswer is true when the plan names a time to answer and enough shards
 // have answered.
-func (q *Query) mayAnswer() bool {
+func (q *Query) canAnswer() bool {
 	return q.plan.SoftDeadline > 0 && q.answered > 0 && q.answered >= q.plan.MinShards
 }
 
@@ -323,26 +323,26 @@
 // and the grace bring it forward, so it looks at the shards of this step's
 // sends; all of them are looked at after the timer has fired.
 func (q *Query) setTimer() {
-	next := min(q.plan.Deadline, q.graceAt, q.verdictAt)
-	if q.mayAnswer() {
+	next := min(q.plan.Deadline, q.graceEnd, q.abortAt)
+	if q.canAnswer() {
 		next = min(next, q.plan.SoftDeadline)
 	}
 	if q.timerAt == never {
 		for i := range q.shards {
-			next = min(next, q.nextTime(i))
+			next = min(next, q.nextDue(i))
 		}
 	} else {
 		for _, action := range q.actions {
 			if action.Kind == Send {
-				next = min(next, q.nextTime(action.Shard))
+				next = min(next, q.nextDue(action.Shard))
 			}
 		}
 	}
-	q.wakeBy(next)
+	q.advanceTimer(next)
 }
 
-// wakeBy brings the timer forward.
-func (q *Query) wakeBy(at time.Duration) {
+// advanceTimer brings the timer forward.
+func (q *Query) advanceTimer(at time.Duration) {
 	if at < q.timerAt {
 		q.timerAt = at
 		q.actions = append(q.actions, Action{Kind: SetTimer, At: at})
--- a/internal/decision/query_test.go
+++ b/internal/decision/query_test.go
@@ -138,7 +138,7 @@
 			name: "a hedge without budget is asked for again", shards: 1,
 			change: func(plan *Plan, row *policy.Row) {
 				hedged(plan, row)
-				plan.Shards[0].Budget = &lateBudget{refusals: 1}
+				plan.Shards[0].Budget = &delayedBudget{denials: 1}
 				plan.Shards[0].ExpectedLatency = 75 * ms
 			},
 			events: []timedEvent{timer(10 * ms), timer(20 * ms), timer(30 * ms), timer(100 * ms)},
@@ -218,14 +218,14 @@
 	}
 }
 
-// lateBudget refuses a number of hedges and then grants them.
-type lateBudget struct{ refusals int }
+// delayedBudget refuses a number of hedges and then grants them.
+type delayedBudget struct{ denials int }
 
-func (b *lateBudget) Deposit()       {}
-func (b *lateBudget) Withdraw() bool { return true }
-func (b *lateBudget) WithdrawHedge() bool {
-	b.refusals--
-	return b.refusals < 0
+func (b *delayedBudget) Deposit()       {}
+func (b *delayedBudget) Withdraw() bool { return true }
+func (b *delayedBudget) WithdrawHedge() bool {
+	b.denials--
+	return b.denials < 0
 }
 
 func TestHedgesLeaveHalfTheBurstToRetries(t *testing.T) {
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -47,16 +47,16 @@
 	for shard, group := range index.Groups {
 		switch {
 		case skipped:
-			s.leaveOut(index.Name, shard, client.NotAskedPolicy)
+			s.exclude(index.Name, shard, client.NotAskedPolicy)
 		case keyed && shard != holder:
-			s.leaveOut(index.Name, shard, client.NotAskedKey)
+			s.exclude(index.Name, shard, client.NotAskedKey)
 		default:
 			s.Asked = append(s.Asked, ShardPlan{Index: index.Name, Shard: shard, ShardCount: shards, Group: group})
 		}
 	}
 }
 
-func (s *ShardSelection) leaveOut(index string, shard int, reason client.MissingReason) {
+func (s *ShardSelection) exclude(index string, shard int, reason client.MissingReason) {
 	s.NotAsked = append(s.NotAsked, client.ShardReport{Index: index, Shard: shard, Reason: reason})
 }
 
@@ -78,7 +78,7 @@
 	}
 	draws := make([]float64, len(s.Asked))
 	for i := range s.Asked {
-		draws[i] = draw(queryID, &s.Asked[i]) / indexWeight(row, s.Asked[i].Index)
+		draws[i] = exponential(queryID, &s.Asked[i]) / indexWeight(row, s.Asked[i].Index)
 	}
 	sorted := slices.Clone(draws)
 	slices.Sort(sorted)
@@ -89,13 +89,13 @@
 			kept = append(kept, shard)
 			continue
 		}
-		s.leaveOut(shard.Index, shard.Shard, client.NotAskedPolicy)
+		s.exclude(shard.Index, shard.Shard, client.NotAskedPolicy)
 	}
 	s.Asked = kept
 }
 
-// draw returns an exponential variate of rate 1.
-func draw(queryID string, shard *ShardPlan) float64 {
+// exponential returns an exponential variate of rate 1.
+func exponential(queryID string, shard *ShardPlan) float64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(queryID) // never fails
 	_, _ = digest.WriteString(shard.Index)
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -29,13 +29,13 @@
 // group's name is allowed besides.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-var rules = newRules()
+var rowValidator = newValidator()
 
-// newRules builds the validator; it fails only for a mistake in this file.
-func newRules() *validator.Validate {
+// newValidator builds the validator; it fails only for a mistake in this file.
+func newValidator() *validator.Validate {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(jsonName)
-	if err := validate.RegisterValidation("policyname", isName); err != nil {
+	if err := validate.RegisterValidation("policyname", isValidName); err != nil {
 		panic(err)
 	}
 	return validate
@@ -46,7 +46,7 @@
 	return name
 }
 
-func isName(field validator.FieldLevel) bool {
+func isValidName(field validator.FieldLevel) bool {
 	name := field.Field().String()
 	return name == DefaultGroup || namePattern.MatchString(name)
 }
@@ -80,7 +80,7 @@
 			return err
 		}
 	}
-	return validateBytes(table)
+	return validateEncodedSize(table)
 }
 
 func validateSize(table *Table) error {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func validateBytes(table *Table) error {
+func validateEncodedSize(table *Table) error {
 	body, err := json.Marshal(table)
 	if err != nil {
 		return failure.Wrap(err, failure.InvalidRequest, "write the table as JSON")
@@ -106,18 +106,18 @@
 
 // ValidateRow checks one policy by itself, as Validate does.
 func ValidateRow(row *Row) error {
-	if err := rules.Struct(row); err != nil {
-		return describe("policy", row.Name, err)
+	if err := rowValidator.Struct(row); err != nil {
+		return validationError("policy", row.Name, err)
 	}
 	if len(row.Shards.IndexWeights) > MaxIndexWeights {
 		return invalid("policy", row.Name, "shards.index_weights", len(row.Shards.IndexWeights),
 			fmt.Sprintf("at most %d index weights are allowed", MaxIndexWeights))
 	}
-	return validateCoherence(row)
+	return validateConsistency(row)
 }
 
-// validateCoherence checks fields against each other.
-func validateCoherence(row *Row) error {
+// validateConsistency checks fields against each other.
+func validateConsistency(row *Row) error {
 	weights := row.Replicas
 	if weights.ZoneWeight+weights.RegionWeight+weights.FarWeight <= 0 {
 		return invalid("policy", row.Name, "replicas", 0,
@@ -143,8 +143,8 @@
 }
 
 func validateAssignment(assigned *Assignment, names map[string]bool) error {
-	if err := rules.Struct(assigned); err != nil {
-		return describe("assignment", assigned.Group, err)
+	if err := rowValidator.Struct(assigned); err != nil {
+		return validationError("assignment", assigned.Group, err)
 	}
 	seen := make(map[string]bool, len(assigned.Shares))
 	for _, share := range assigned.Shares {
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// describe turns the first fault found by the validator into one error.
-func describe(item, name string, err error) error {
+// validationError turns the first fault found by the validator into one error.
+func validationError(item, name string, err error) error {
 	var faults validator.ValidationErrors
 	if !errors.As(err, &faults) || len(faults) == 0 {
 		return failure.Wrap(err, failure.InvalidRequest, "check "+item+" "+name)
