--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -6,17 +6,18 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// A shard that has not settled is in one of three states:
+// A shard is in one of these states:
 //
-//	in flight   an attempt runs; at nextAt a hedge joins it, if the budget allows
-//	postponed   none runs; at nextAt the next one is sent
+//	in flight   an attempt is in flight; at nextAt a hedge is sent, if the budget allows
+//	postponed   no attempt is in flight; at nextAt the next one is sent
+//	suspended   nothing is sent until a canary has completed (see crashState)
 //	settled     it has answered, or no further attempt is allowed
 //
-// An attempt that fails leads from in flight to the next attempt at once (mayRetry),
-// one that was not sent to postponed (retryLater), and so does one that found
-// all replicas busy (postpone). What is due is sent by fire.
+// A failed attempt is retried at once (acquireRetry). One that was not sent
+// (scheduleRetry), or that found all replicas busy (postpone), is retried after a
+// delay. sendDue sends what is due.
 
-// dispatched sets the hedge by what is usual for the chosen replica.
+// dispatched replaces the hedge delay by that of the chosen replica.
 func (q *Query) dispatched(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
 	latest := event.Attempt == state.sent-1
@@ -32,12 +33,12 @@
 	q.advanceTimer(state.nextAt)
 }
 
-// canHedge is true while another attempt beside those in flight is allowed.
+// canHedge reports whether the plan and the attempt limit allow a hedge.
 func (q *Query) canHedge(state *shardState) bool {
 	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgingDisabled && state.attempts < q.attemptLimit() && state.sent < maxAttempts
 }
 
-// hedgeDenial explains mayHedge.
+// hedgeDenial returns the reason why canHedge is false.
 func (q *Query) hedgeDenial(state *shardState) HedgeDenial {
 	switch {
 	case q.plan.NoHedges:
@@ -49,61 +50,60 @@
 	}
 }
 
-// The wait before a sub-request that found all replicas busy is tried again:
-// a part of the usual time of a reply, within bounds.
+// The delay before retrying a sub-request that found all replicas busy: a
+// fraction of the expected latency, within bounds.
 const (
 	busyDelayDivisor = 4
 	minBusyDelay     = 2 * time.Millisecond
 	maxBusyDelay     = 20 * time.Millisecond
 )
 
-// postpone takes an attempt back that was not sent, as all replicas were busy,
-// and sets the time to try again. It returns false when there would be no time
-// left then.
+// postpone takes back an attempt that was not sent because all replicas were
+// busy, and schedules the next one. It returns false if that would be too late.
 func (q *Query) postpone(now time.Duration, state *shardState, shard int) bool {
 	state.sent--
 	state.attempts--
-	wait := min(max(q.plan.Shards[shard].ExpectedLatency/busyDelayDivisor, minBusyDelay), maxBusyDelay)
-	if state.inFlight == 0 && !q.canAttempt(now+wait, shard) {
+	delay := min(max(q.plan.Shards[shard].ExpectedLatency/busyDelayDivisor, minBusyDelay), maxBusyDelay)
+	if state.inFlight == 0 && !q.canAttempt(now+delay, shard) {
 		return false
 	}
-	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+wait > q.plan.DispatchDeadline {
+	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+delay > q.plan.DispatchDeadline {
 		return false
 	}
-	state.nextAt = now + wait
-	state.nextDelay = wait
+	state.nextAt = now + delay
+	state.nextDelay = delay
 	state.postponed = state.inFlight == 0
 	q.advanceTimer(state.nextAt)
 	return true
 }
 
-// The wait after an attempt that was not sent, before the next: it doubles with each, as
-// a replica that is full needs time.
+// The exponential backoff after attempts that were not sent, which gives a
+// replica at its connection limit time to recover.
 const (
 	minUnsentDelay     = 20 * time.Millisecond
 	maxUnsentDelay     = 200 * time.Millisecond
 	maxUnsentDoublings = 4
 )
 
-// scheduleRetry sets the time for another attempt after one that was not sent. It returns
-// false when there can be no other.
+// scheduleRetry schedules another attempt after one that was not sent. It returns
+// false if no further attempt is allowed.
 func (q *Query) scheduleRetry(now time.Duration, event Event) bool {
 	state := &q.shards[event.Shard]
-	wait := min(minUnsentDelay<<min(state.unsent, maxUnsentDoublings), maxUnsentDelay)
+	delay := min(minUnsentDelay<<min(state.unsent, maxUnsentDoublings), maxUnsentDelay)
 	if event.Outcome == ConnectFailed && state.unsent == 0 {
-		wait = 0 // most likely that process has ended, and others have not
+		delay = 0 // the other replicas are most likely reachable
 	}
-	if !q.canAttempt(now+wait, event.Shard) {
+	if !q.canAttempt(now+delay, event.Shard) {
 		return false
 	}
 	state.unsent++
 	state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
-	if wait == 0 && state.inFlight == 0 {
+	if delay == 0 && state.inFlight == 0 {
 		q.send(now, event.Shard, event.Outcome.retryCause())
 		return true
 	}
-	state.nextAt = now + wait
-	state.nextDelay = max(wait, minUnsentDelay) // the budget that denies it then is no better off at once
+	state.nextAt = now + delay
+	state.nextDelay = max(delay, minUnsentDelay) // a budget that denies it needs time to refill
 	state.postponed = state.inFlight == 0
 	state.cause = event.Outcome.retryCause()
 	q.advanceTimer(state.nextAt)
@@ -112,8 +112,8 @@
 
 func (q *Query) attemptLimit() int { return min(q.plan.Policy.Retry.Attempts, maxAttempts) }
 
-// mergeReason keeps the reason of an attempt that reached a replica when a
-// later one finds no replica left.
+// mergeReason returns the missing reason after an outcome. An earlier reason is
+// kept if no replica was left for the latest attempt.
 func mergeReason(earlier client.MissingReason, outcome Outcome) client.MissingReason {
 	if outcome == NoReplica && earlier != "" {
 		return earlier
@@ -138,6 +138,8 @@
 	}
 }
 
+// acquireRetry reports whether a retry after an outcome is allowed, and withdraws
+// it from the budget.
 func (q *Query) acquireRetry(now time.Duration, shard int, outcome Outcome) bool {
 	if outcome == DeadlineExceeded || !q.canAttempt(now, shard) {
 		return false
@@ -148,6 +150,8 @@
 	return q.withdraw(shard)
 }
 
+// canAttempt reports whether the attempt limit and the time left allow an attempt
+// that is sent at now.
 func (q *Query) canAttempt(now time.Duration, shard int) bool {
 	if q.shards[shard].attempts >= q.attemptLimit() || q.shards[shard].sent >= maxAttempts {
 		return false
@@ -155,7 +159,8 @@
 	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceEnd, q.softDeadline(now))
 }
 
-// softDeadline is when the query ends if no more shards answer.
+// softDeadline returns when the query finishes if no more shards answer, never if
+// too few have answered.
 func (q *Query) softDeadline(now time.Duration) time.Duration {
 	if q.canAnswer() && now < q.plan.SoftDeadline {
 		return q.plan.SoftDeadline
@@ -173,7 +178,7 @@
 	return budget != nil && budget.WithdrawHedge()
 }
 
-// sendDue sends the hedges that are due.
+// sendDue sends the hedges and postponed attempts that are due.
 func (q *Query) sendDue(now time.Duration) {
 	for i := range q.shards {
 		state := &q.shards[i]
@@ -197,19 +202,19 @@
 			q.send(now, i, CauseHedge)
 		default:
 			state.diagnosis.HedgeDenial = DeniedBudget
-			state.nextAt = now + state.nextDelay // the budget may be better off then
+			state.nextAt = now + state.nextDelay // the budget may have refilled by then
 		}
 	}
 }
 
-// mustAwaitCanary tells whether what is due for a shard has to wait for a canary. A canary of its
-// own that is late may have a hedge, as its replica may be silent for long.
+// mustAwaitCanary reports whether what is due for a shard has to wait for a
+// canary. A late canary may itself be hedged, as its replica may be unresponsive.
 func (q *Query) mustAwaitCanary(shard int) bool {
 	return q.canaryMode && shard != q.canaryShard && (q.canaryInFlight() || !q.shards[shard].postponed)
 }
 
-// deferForCanary puts off what is due for a shard: a hedge is looked at again later, and a
-// repeat is held back.
+// deferForCanary delays a hedge that is due, or suspends a shard whose postponed
+// attempt is due.
 func (q *Query) deferForCanary(now time.Duration, shard int) {
 	state := &q.shards[shard]
 	if state.postponed {
--- a/internal/decision/crash.go
+++ b/internal/decision/crash.go
@@ -6,99 +6,103 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// A query under which a replica ends, and that no replica has survived yet, may be what ends
-// them. From then on it is cautious: it sends one sub-request at a time, a canary, and holds
-// the others back. A replica that answers it shows that it does no harm, and all that was
-// held back is sent at once. Replicas that end under canaries speak against it, each with the
-// blame that falls on this query; when that is enough to convict it, no other is sent, and the
-// query ends after verdictWait, unless it is contested till then.
-//
-// The replicas that end under what was sent before count as one only, whatever they were
-// running besides: what else ends them, such as a loss of power or another query, ends many
-// of them together.
-//
-// (A request that ends the replicas that run it, sent to ten shards of three replicas by six
-// nodes and twenty times in all, ended 128 to 148 replicas without canaries and refusals.)
-
-// CrashEvidence speaks for a query being what ends the replicas that run it.
+// CrashEvidence is the evidence that a query crashes the replicas that run it.
 type CrashEvidence struct {
-	// Crashes is the number of replicas that ended while they ran it.
+	// Crashes is the number of replicas that crashed while running the query.
 	Crashes int
-	// Incidents is the number of times that they ended independently of each other.
+	// Incidents is the number of independent crashes: those of the sub-requests
+	// sent before canary mode count as one, each crash under a canary as another.
 	Incidents int
-	// Attribution adds up, over these, the share of it that falls on this query: one, divided by
-	// the number of queries that the replica was running as far as is known.
+	// Attribution is the sum, over the incidents, of the fraction attributed to
+	// this query: one divided by the number of queries that the replica is known
+	// to have been running.
 	Attribution float64
 }
 
-// What convicts a query: replicas ended under it three times, of which once while it ran
-// there alone, or twice with one other. With two times, a query that was in flight when a
-// zone's replicas ended, and whose canary met that of the query which ended them, would be
-// convicted with it.
+// The minimum evidence to abort a query. Fewer incidents could abort a query that
+// was in flight when a zone lost power and whose canary then shared a replica
+// with that of a query that does crash replicas.
 const (
 	minIncidents   = 3
 	minAttribution = 2
 )
 
-// Conclusive tells whether the query is taken to be what ends the replicas that run it.
+// Conclusive reports whether the query is considered the cause of the crashes.
 func (e CrashEvidence) Conclusive() bool {
 	return e.Incidents >= minIncidents && e.Attribution >= minAttribution
 }
 
-// Decayed is what is left of the evidence once it is old: another canary convicts again.
+// Decayed returns the evidence reduced so that one more incident makes it
+// conclusive.
 func (e CrashEvidence) Decayed() CrashEvidence {
 	return CrashEvidence{Crashes: e.Crashes, Incidents: minIncidents - 1, Attribution: minAttribution - 1}
 }
 
-// Suspicious tells whether anything speaks against the query.
+// Suspicious reports whether there is any evidence.
 func (e CrashEvidence) Suspicious() bool { return e.Incidents > 0 }
 
-// Merge returns the stronger of each part of two pieces of evidence.
+// Merge returns the maximum of each field.
 func (e CrashEvidence) Merge(other CrashEvidence) CrashEvidence {
 	return CrashEvidence{
-		Crashes: max(e.Crashes, other.Crashes), Incidents: max(e.Incidents, other.Incidents), Attribution: max(e.Attribution, other.Attribution),
+		Crashes:     max(e.Crashes, other.Crashes),
+		Incidents:   max(e.Incidents, other.Incidents),
+		Attribution: max(e.Attribution, other.Attribution),
 	}
 }
 
-// crashState is the state of a query under which replicas have ended.
+// crashState detects queries that crash the replicas that run them.
+//
+// A query enters canary mode when a replica crashes while running it and none has
+// survived it yet. It then has one sub-request in flight at a time, the canary,
+// and suspends its other shards. When a replica survives the query, canary mode
+// ends and the suspended shards resume. When the evidence from crashes is
+// conclusive, nothing more is sent, and the query is aborted after disputeWindow
+// unless the evidence is disputed by then.
+//
+// Crashes under sub-requests that were sent before canary mode count as one
+// incident, as a common cause such as a power failure or another query crashes
+// many replicas at once.
 type crashState struct {
-	// canaryMode is true while sub-requests are sent one at a time.
 	canaryMode bool
-	// survived is true once a replica has run the query and answered.
+	// survived is true once a replica has run the query and replied.
 	survived bool
-	// canaryShard is the shard of the latest sub-request sent while cautious, noCanary before.
+	// canaryShard is the shard of the latest sub-request sent in canary mode,
+	// noCanary before the first.
 	canaryShard int
 	// canariesSent counts the canaries.
 	canariesSent int
-	// observed is what speaks against the query since it began, together is true once a
-	// replica has ended under what was sent before the query was cautious.
+	// observed is the evidence since the query's start. initialCounted is true
+	// once the crashes under sub-requests sent before canary mode are counted.
 	observed       CrashEvidence
 	initialCounted bool
-	// abortAt is when the query ends as convicted, never while it is not.
+	// abortAt is when the query is aborted, never while the evidence is not
+	// conclusive.
 	abortAt time.Duration
 }
 
-// disputeWindow is the wait for other nodes to contest a conviction: four times the way between
-// regions. (Without it, one of 2,464 requests that were sent beside one that ends replicas was
-// refused in about 1 of 150 runs.)
+// disputeWindow is the time for which an abort is delayed so that other nodes can
+// dispute the evidence. It must exceed the latency between regions.
 const disputeWindow = 50 * time.Millisecond
 
 const noCanary = -1
 
-// CrashEvidence returns what speaks against the query, with what was known before it began;
-// survived is true when a replica has run it and answered.
-func (q *Query) CrashEvidence() (found CrashEvidence, survived bool) {
-	known := q.plan.CrashDetection.Prior
-	found = CrashEvidence{
-		Crashes: known.Crashes + q.observed.Crashes, Incidents: known.Incidents + q.observed.Incidents, Attribution: known.Attribution + q.observed.Attribution,
+// CrashEvidence returns the total evidence against the query, including
+// CrashDetection.Prior. survived is true if a replica has run the query and
+// replied.
+func (q *Query) CrashEvidence() (evidence CrashEvidence, survived bool) {
+	prior := q.plan.CrashDetection.Prior
+	evidence = CrashEvidence{
+		Crashes:     prior.Crashes + q.observed.Crashes,
+		Incidents:   prior.Incidents + q.observed.Incidents,
+		Attribution: prior.Attribution + q.observed.Attribution,
 	}
-	return found, q.survived
+	return evidence, q.survived
 }
 
-// detectsCrashes tells whether replicas that end under the query speak against it.
+// detectsCrashes reports whether crashes count as evidence against the query.
 func (q *Query) detectsCrashes() bool { return q.plan.CrashDetection.Enabled && !q.survived }
 
-// startWithCanary holds all shards back but one, as replicas ended under the query before.
+// startWithCanary starts a query with prior evidence in canary mode.
 func (q *Query) startWithCanary(now time.Duration) {
 	q.canaryMode = true
 	for i := range q.shards {
@@ -107,8 +111,7 @@
 	q.sendNextCanary(now)
 }
 
-// replicaCrashed takes in that a replica ended while it ran the query, which none has
-// survived.
+// replicaCrashed handles the crash of a replica that ran the query.
 func (q *Query) replicaCrashed(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
 	q.observed.Crashes++
@@ -129,34 +132,35 @@
 	if state.inFlight == 0 {
 		state.suspend()
 	}
-	if found, _ := q.CrashEvidence(); found.Conclusive() && q.abortAt == never {
+	if evidence, _ := q.CrashEvidence(); evidence.Conclusive() && q.abortAt == never {
 		q.abortAt = now + disputeWindow
 		q.advanceTimer(q.abortAt)
 	}
 }
 
-// AbortPending tells whether the query is convicted and waits for other nodes to contest it.
+// AbortPending reports whether the evidence is conclusive and the query is aborted
+// unless it is disputed.
 func (q *Query) AbortPending() bool { return q.abortAt != never && !q.finished }
 
-// evidenceDisputed takes in that the ends of all replicas by canaries of this query may have been
-// another's doing: they count as one time less, and another canary decides.
+// evidenceDisputed discounts one incident, as another query may have caused the
+// crashes under this query's canaries, and lets another canary decide.
 func (q *Query) evidenceDisputed() {
 	q.abortAt = never
 	q.observed.Incidents--
 	q.observed.Attribution--
 }
 
-// suspend keeps a shard back until a canary is sent there or a replica has survived.
+// suspend stops sending for a shard until a canary is sent to it or a replica has
+// survived the query.
 func (s *shardState) suspend() {
 	s.suspended = true
 	s.postponed = false
 	s.nextAt = never
 }
 
-// sendNextCanary sends the next canary, unless one is in flight. Its shard is drawn by chance, so
-// that queries which a common cause has made cautious rarely meet at one replica, and are not
-// blamed for each other's harm. (With one order for all of them, one of 2,464 requests that
-// were sent beside one that ends replicas was refused in 6 of 100 runs.)
+// sendNextCanary sends the next canary unless one is in flight. Its shard is
+// chosen pseudo-randomly, so that the canaries of different queries rarely share
+// a replica and each other's attribution.
 func (q *Query) sendNextCanary(now time.Duration) {
 	if !q.canaryMode || q.finished || q.canaryInFlight() || q.AbortPending() {
 		return
@@ -171,7 +175,7 @@
 	}
 }
 
-// mix64 spreads a number over all bits (the finalizer of splitmix64).
+// mix64 is the finalizer of SplitMix64.
 func mix64(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
@@ -186,7 +190,7 @@
 	return state.inFlight&state.canaries != 0
 }
 
-// replicaSurvived takes in that a replica has run the query and answered: it does no harm.
+// replicaSurvived leaves canary mode, as a replica has run the query and replied.
 func (q *Query) replicaSurvived(now time.Duration) {
 	q.survived = true
 	q.abortAt = never
@@ -201,8 +205,8 @@
 	}
 }
 
-// resume sends the next sub-request of a shard that was held back; false means that it
-// settles, as it can have no other.
+// resume sends the next sub-request of a suspended shard. If no further attempt is
+// allowed, it settles the shard and returns false.
 func (q *Query) resume(now time.Duration, shard int) (sent bool) {
 	state := &q.shards[shard]
 	state.suspended = false
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// Outcome is how one sub-request ended.
+// Outcome is the result of one sub-request.
 type Outcome uint8
 
 // The outcomes of a sub-request.
 const (
-	// Success: a whole, checked reply.
+	// Success is a complete and valid reply.
 	Success Outcome = iota
-	// Failed: a broken connection, a timeout or a server's error.
+	// Failed is a broken connection, a timeout or a server error.
 	Failed
-	// Shed: the replica refused for load, without running the request.
+	// Shed means that the replica rejected the request because of its load,
+	// without running it.
 	Shed
-	// Draining: the replica is leaving and did not run the request.
+	// Draining means that the replica is shutting down and did not run the request.
 	Draining
-	// SnapshotNotHeld: the replica does not hold the pinned snapshot.
+	// SnapshotNotHeld means that the replica does not hold the pinned snapshot.
 	SnapshotNotHeld
-	// Invalid: the reply did not pass its checks.
+	// Invalid means that the reply failed validation.
 	Invalid
-	// NoReplica: no usable replica was left to send to; nothing was sent.
+	// NoReplica means that no usable replica was left; nothing was sent.
 	NoReplica
-	// DeadlineExceeded: the replica refused because the time was over.
+	// DeadlineExceeded means that the replica rejected the request because its
+	// deadline had passed.
 	DeadlineExceeded
-	// ConnectFailed: no byte was sent, as no connection came up.
+	// ConnectFailed means that no connection was established; nothing was sent.
 	ConnectFailed
-	// Misdirected: another process answers at the address; it did not run it.
+	// Misdirected means that another process answers at the address; it did not
+	// run the request.
 	Misdirected
-	// ResetAfterWrite: a new connection was reset after the request was written, before any
-	// answer. The replica may have read and run it.
+	// ResetAfterWrite means that a new connection was reset after the request was
+	// written and before any reply. The replica may have run the request.
 	ResetAfterWrite
-	// ResetBeforeWrite: the replica reset a new connection before a byte was sent, as it does
-	// with connections over its limit.
+	// ResetBeforeWrite means that the replica reset a new connection before
+	// anything was sent, as it does when it exceeds its connection limit.
 	ResetBeforeWrite
-	// Crashed: the replica's process ended while it ran the sub-request: its connection
-	// broke, and it accepts no other.
+	// Crashed means that the replica's process ended while it ran the
+	// sub-request: the connection broke, and no new one is accepted.
 	Crashed
 )
 
@@ -55,14 +58,14 @@
 	Crashed:          "ended",
 }
 
-// String returns the name of an outcome.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // NumOutcomes is the number of outcomes.
 const NumOutcomes = len(outcomeNames)
 
-// provesNotRun is true for the outcomes after which the replica certainly has
-// not run the sub-request and never will.
+// provesNotRun reports whether the replica provably has not run the sub-request
+// and never will.
 func (o Outcome) provesNotRun() bool {
 	switch o {
 	case Shed, Draining, SnapshotNotHeld, NoReplica, DeadlineExceeded, ConnectFailed, Misdirected, ResetBeforeWrite:
@@ -72,81 +75,80 @@
 	}
 }
 
-// NotSent is true for the outcomes after which no byte of the sub-request has come to
-// any process. Its repeat draws neither on the attempts nor on the budget; that after any
-// other outcome draws on both, as what may have arrived counts as arrived. (Resets of
-// new connections were taken for not sent: 2,039 repeats in 10 s where the budget allows
-// 404, with replicas that reset 0.6 of what they have read.)
+// NotSent reports whether no byte of the sub-request reached any process. Only
+// then is its retry exempt from the attempt limit and the retry budget: a request
+// that may have arrived counts as load on the replica.
 func (o Outcome) NotSent() bool { return o == ConnectFailed || o == ResetBeforeWrite }
 
-// EventKind tells the events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of event.
 const (
-	// Started begins the query.
+	// Started starts the query.
 	Started EventKind = iota
 	// AttemptCompleted reports the outcome of one sub-request.
 	AttemptCompleted
-	// TimerFired reports that the time of the last SetTimer has come.
+	// TimerFired reports that the time of the latest SetTimer has been reached.
 	TimerFired
-	// Canceled reports that the caller no longer waits.
+	// Canceled reports that the caller no longer waits for the answer.
 	Canceled
-	// Interrupted reports that the query must end now, though its deadline has not come.
+	// Interrupted reports that the query must finish before its deadline.
 	Interrupted
-	// Dispatched reports to which replica a Send went, by its HedgeDelay.
+	// Dispatched reports the hedge delay of the replica to which a Send went.
 	Dispatched
-	// EvidenceDisputed reports that what convicts the query may have been another's doing.
+	// EvidenceDisputed reports that another query may have caused the crashes
+	// attributed to this one.
 	EvidenceDisputed
 )
 
-// Event is one input of Query.Step. Shard, Attempt and Outcome belong to
-// Replied; Shard, Attempt and HedgeDelay to Dispatched. Shard is an index into
-// Plan.Shards.
+// Event is an input of Query.Step. Shard is an index into Plan.Shards. Shard and
+// Attempt are set for AttemptCompleted and Dispatched, HedgeDelay for Dispatched,
+// and the other fields for AttemptCompleted.
 type Event struct {
 	Kind    EventKind
 	Shard   int
 	Attempt int
 	Outcome Outcome
-	// OtherSnapshot is true when the query could start anew on another
-	// snapshot; it ends as soon as a shard's replicas do not hold this one.
+	// OtherSnapshot is true when the query could be restarted on another
+	// snapshot; it then finishes as soon as a shard's replicas lack this one.
 	OtherSnapshot bool
-	// Busy is true for NoReplica and Unreached when a replica could take the sub-request
-	// later, once it holds fewer.
+	// Busy is true for NoReplica and ConnectFailed when a replica could accept the
+	// sub-request once it has fewer in flight.
 	Busy bool
-	// HedgeDelay is the wait, from now on, after which the chosen replica is
-	// late; 0 leaves the plan's.
+	// HedgeDelay is the delay from now after which the replica's reply is
+	// considered late; 0 keeps the plan's.
 	HedgeDelay time.Duration
-	// RetryAfter is when the replica wants the next request, 0 if it did not
-	// say. Another replica may be asked at once.
+	// RetryAfter is the delay that the replica requested before the next request,
+	// 0 if none. Another replica may be queried at once.
 	RetryAfter time.Duration
-	// Survived is true when the replica has run the sub-request and answered, if only with
-	// a failure.
+	// Survived is true when the replica ran the sub-request and replied, even with
+	// an error.
 	Survived bool
-	// Attribution belongs to Ended: the share of it that falls on this query, 1 when the replica
-	// was running no other that is known.
+	// Attribution is the fraction of a crash that is attributed to this query: 1
+	// if the replica is not known to have been running any other.
 	Attribution float64
-	// Quarantined belongs to Ended: another node has found the query to end replicas.
+	// Quarantined is true for Crashed when another node has quarantined the query.
 	Quarantined bool
 }
 
-// Cause is why a sub-request is sent. Those but CauseFirst and CauseUnreached are
-// arrivals at the group beyond the first of their query.
+// Cause is the reason why a sub-request is sent. Sub-requests with a cause other
+// than CauseFirst and CauseNotSent are extra load on the replica group.
 type Cause uint8
 
 // The causes of a sub-request.
 const (
-	// CauseFirst: the first one to a shard.
+	// CauseFirst is the first attempt for a shard.
 	CauseFirst Cause = iota
-	// CauseHedge: beside one that is late.
+	// CauseHedge is an attempt in addition to one that is late.
 	CauseHedge
-	// CauseFailure: the one before failed, or its reply was spoilt.
+	// CauseFailure follows an attempt that failed or whose reply was invalid.
 	CauseFailure
-	// CauseRejection: a process rejected the one before without running it.
+	// CauseRejection follows an attempt that a process rejected without running it.
 	CauseRejection
-	// CauseReset: the new connection of the one before was reset after it was written.
+	// CauseReset follows ResetAfterWrite.
 	CauseReset
-	// CauseNotSent: the one before was not sent.
+	// CauseNotSent follows an attempt that was not sent.
 	CauseNotSent
 )
 
@@ -160,13 +162,13 @@
 	CauseNotSent:   "unreached",
 }
 
-// String returns the name of a cause.
+// String returns the cause's name in logs and metrics.
 func (c Cause) String() string { return causeNames[c] }
 
 // NumCauses is the number of causes.
 const NumCauses = len(causeNames)
 
-// retryCause is the cause of the sub-request that follows an outcome.
+// retryCause returns the cause of a retry after an outcome.
 func (o Outcome) retryCause() Cause {
 	switch o {
 	case Shed, Draining, SnapshotNotHeld, Misdirected:
@@ -180,52 +182,57 @@
 	}
 }
 
-// ActionKind tells the actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of action.
 const (
 	// Send sends a sub-request.
 	Send ActionKind = iota
-	// Cancel gives up on a sub-request in flight.
+	// Cancel cancels a sub-request in flight.
 	Cancel
-	// SetTimer asks for TimerFired at Action.At; it replaces the last one.
+	// SetTimer requests TimerFired at Action.At and replaces the previous timer.
 	SetTimer
 	// Finish ends the query; no action follows it.
 	Finish
 )
 
-// Action is one output of Query.Step.
+// Action is an output of Query.Step.
 type Action struct {
 	Kind    ActionKind
 	Shard   int
 	Attempt int
-	// Cause is why a Send is sent; Canary is true when its replica may end by it.
+	// Cause is set for Send. Canary is true for a Send that may crash its replica.
 	Cause  Cause
 	Canary bool
 	// Timeout is the time left for a Send.
 	Timeout time.Duration
-	// At is the moment of a SetTimer, from the query's start.
+	// At is the time of a SetTimer since the query's start.
 	At time.Duration
-	// Reason belongs to Finish.
+	// Reason is set for Finish.
 	Reason FinishReason
 }
 
-// FinishReason says why a query ended.
+// FinishReason is the reason why a query finished.
 type FinishReason uint8
 
-// The reasons to end.
+// The reasons to finish.
 const (
-	// AllSettled: each shard has answered or cannot answer any more.
+	// AllSettled means that each shard has answered or can no longer answer, or
+	// that Plan.MinShards can no longer be reached.
 	AllSettled FinishReason = iota
-	// CompleteEnough: the policy's target was reached and its grace is over.
+	// CompleteEnough means that enough shards have answered and that the grace
+	// period or the soft deadline is over, or the others are unreachable.
 	CompleteEnough
-	// DeadlineReached: the time is over.
+	// DeadlineReached means that the deadline has passed, or that the query was
+	// interrupted.
 	DeadlineReached
-	// CallerCanceled: nobody waits for the answer.
+	// CallerCanceled means that the caller no longer waits for the answer.
 	CallerCanceled
-	// SnapshotLost: a shard's replicas no longer hold the pinned snapshot.
+	// SnapshotLost means that a shard's replicas no longer hold the pinned
+	// snapshot.
 	SnapshotLost
-	// ReplicasCrashed: the query is taken to be what ends the replicas that run it.
+	// ReplicasCrashed means that the query is considered the cause of crashes of
+	// the replicas that ran it.
 	ReplicasCrashed
 )
--- a/internal/decision/plan.go
+++ b/internal/decision/plan.go
@@ -7,92 +7,91 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// ShardPlan is one shard to ask.
+// ShardPlan describes one shard to query.
 type ShardPlan struct {
 	Index string
-	// Shard counts from 0 to Shards-1 inside its index.
+	// Shard is the shard's number within its index, from 0 to ShardCount-1.
 	Shard      int
 	ShardCount int
-	// Group names the replicas that hold the shard.
+	// Group names the group of replicas that hold the shard.
 	Group string
-	// HedgeDelay is the wait after which a second replica is asked; 0 means
-	// that no hedge is sent.
+	// HedgeDelay is the delay after which a second replica is queried; 0 disables
+	// hedging.
 	HedgeDelay time.Duration
-	// ExpectedLatency is the usual time of a reply, 0 if unknown. An attempt that
-	// could not answer before the deadline is not sent.
+	// ExpectedLatency is the expected time to a reply, 0 if unknown. Retries and
+	// hedges that could not complete before the deadline are not sent.
 	ExpectedLatency time.Duration
-	// Budget grants hedges and retries to this shard's replicas; nil grants
-	// none.
+	// Budget grants hedges and retries for the shard; a nil Budget grants none.
 	Budget Budget
 }
 
-// Plan is what a query is decided by.
+// Plan is the input of a query's state machine. Its times count from the query's
+// start.
 type Plan struct {
-	Shards []ShardPlan
-	Policy *policy.Row
-	// Deadline is counted from the query's start.
+	Shards   []ShardPlan
+	Policy   *policy.Row
 	Deadline time.Duration
-	// SoftDeadline, counted from the query's start, is the time from which on the
-	// query ends as soon as LeastShards have answered: by then waiting for the
-	// rest costs more than they add. 0 means that it always waits for the rest.
+	// SoftDeadline is the time from which the query finishes as soon as MinShards
+	// have answered, trading completeness for latency. 0 disables it.
 	SoftDeadline time.Duration
-	// MinShards is the number of shards without which there is no answer; the
-	// query ends at once when it can no longer be reached. 0 means that any
-	// number is an answer.
+	// MinShards is the minimum number of shards in an answer. The query finishes
+	// at once when it can no longer be reached. 0 means no minimum.
 	MinShards int
-	// DispatchDeadline, counted from the query's start, is the time by which a query of
-	// one shard must have been sent to a replica, or ends without having run: a
-	// caller that is told soon can come back in time. 0 means that it waits.
+	// DispatchDeadline is the time by which a query of one shard must have been
+	// sent to a replica. If all replicas are busy until then, the query finishes
+	// without having run, so that the caller can retry early. 0 disables it.
 	DispatchDeadline time.Duration
-	// AtMostOnce is true when no sub-request may run twice: there are no hedges,
-	// and another attempt is made only after proof that none has run.
+	// AtMostOnce is true when no sub-request may run twice: hedging is disabled,
+	// and an attempt is repeated only if it provably has not run.
 	AtMostOnce bool
-	// NoHedges is true while the replicas have more to do than they bear: hedges
-	// would add to that.
+	// NoHedges disables hedging while the replicas are overloaded.
 	NoHedges bool
-	// CrashDetection says how replicas that end under the query speak against it.
+	// CrashDetection configures the detection of queries that crash replicas.
 	CrashDetection CrashDetection
 }
 
-// CrashDetection is what is decided by when replicas end while they run a query (see caution).
+// CrashDetection configures the detection of queries that crash the replicas
+// that run them (see crashState).
 type CrashDetection struct {
-	// Enabled is false when ends of replicas are failures like others.
+	// Enabled is false when crashes are handled like other failures.
 	Enabled bool
-	// Prior is what spoke against the query before; with any, it begins with a canary.
+	// Prior is the evidence from earlier runs of the query. If there is any, the
+	// query starts with a canary.
 	Prior CrashEvidence
-	// Seed draws the shards of the canaries.
+	// Seed seeds the choice of the canaries' shards.
 	Seed uint64
 }
 
-// ShardStatus is what became of one shard. Reason is empty when it answered.
+// ShardStatus is the result of one shard. Reason is empty if it answered.
 type ShardStatus struct {
 	Answered bool
 	Reason   client.MissingReason
 }
 
-// ShardDiagnosis explains a shard's latency.
+// ShardDiagnosis explains the latency of one shard.
 type ShardDiagnosis struct {
-	// AnsweredAt counts from the query's start; 0 means that it has not answered.
+	// AnsweredAt is the time since the query's start, 0 if the shard has not
+	// answered.
 	AnsweredAt time.Duration
-	// HedgeDenial is why a hedge that was due was not sent, the last time.
+	// HedgeDenial is why the latest hedge was not sent.
 	HedgeDenial HedgeDenial
 }
 
-// HedgeDenial is why a hedge was not sent.
+// HedgeDenial is the reason why a hedge was not sent.
 type HedgeDenial string
 
 // The reasons not to send a hedge.
 const (
-	// DeniedBudget: the budget for hedges was spent.
+	// DeniedBudget means that the hedge budget was exhausted.
 	DeniedBudget HedgeDenial = "budget"
-	// DeniedOverload: the replicas had more to do than they bear.
+	// DeniedOverload means that the replicas were overloaded.
 	DeniedOverload HedgeDenial = "overload"
-	// DeniedDeadline: it could not have answered in time.
+	// DeniedDeadline means that the hedge could not have completed in time.
 	DeniedDeadline HedgeDenial = "time"
-	// DeniedAttempts: the policy's attempts were used up.
+	// DeniedAttempts means that the policy's attempts were used up.
 	DeniedAttempts HedgeDenial = "attempts"
-	// DeniedCrashes: replicas ended while they ran the query.
+	// DeniedCrashes means that replicas crashed while running the query.
 	DeniedCrashes HedgeDenial = "ended"
-	// DeniedNoReplica: no other replica was fit to be asked.
+	// DeniedNoReplica means that no other replica was available.
 	DeniedNoReplica HedgeDenial = "replicas"
 )
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -1,7 +1,8 @@
-// Package decision is the pure core of a query: which shards to ask, which
-// replica, when to hedge or retry, and when the answer is complete enough. It
-// has no I/O, clock, goroutine or global randomness; a shell feeds events and
-// carries out actions.
+// Package decision implements the scheduling logic of a query as a pure state
+// machine: which shards and replicas to query, when to hedge or retry, and when
+// the answer is complete enough. It performs no I/O, reads no clock, starts no
+// goroutines and uses no global randomness; the caller feeds it events and
+// carries out the actions that it returns.
 package decision
 
 import (
@@ -12,32 +13,32 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// maxAttempts is the greatest number of attempts to one shard that the
-// in-flight bits can hold.
+// maxAttempts is the maximum number of attempts per shard, limited by the size
+// of the in-flight bit set.
 const maxAttempts = 16
 
 type shardState struct {
-	// sent numbers the attempts; attempts counts those that may have come to a
-	// replica, which the policy bounds.
+	// sent numbers the attempts. attempts counts those that may have reached a
+	// replica; the policy limits it.
 	sent     int
 	attempts int
-	// inFlight has a bit for each attempt that runs.
+	// inFlight has a bit set for each attempt in flight.
 	inFlight uint16
-	// nextAt is when the next attempt, a hedge or a retry, is due; nextDelay is the
-	// wait before the next look when the budget does not allow it then.
+	// nextAt is when the next hedge or retry is due. nextDelay is the delay until
+	// it is due again if the budget denies it then.
 	nextAt    time.Duration
 	nextDelay time.Duration
 	// postponed is true while no attempt is in flight and the next one is due at
 	// nextAt.
 	postponed bool
-	// cause is that of the latest attempt, or of the next one while it is postponed.
+	// cause is the cause of the latest attempt, or of the next one while postponed.
 	cause Cause
-	// unsent counts the attempts that came to no replica, gone those of late, in a row,
-	// that met no process at all.
+	// unsent counts the attempts that reached no replica, connectFailures the
+	// latest consecutive ones that could not connect.
 	unsent          int
 	connectFailures int
-	// suspended is true while nothing is sent for the shard, as the query is cautious;
-	// canaries has a bit for each attempt that was sent while it was.
+	// suspended is true while the shard waits for the outcome of a canary.
+	// canaries has a bit set for each attempt sent in canary mode.
 	suspended       bool
 	canaries        uint16
 	settled         bool
@@ -46,7 +47,7 @@
 	diagnosis       ShardDiagnosis
 }
 
-// Query decides one query. It is not safe for concurrent use.
+// Query is the state machine of one query. It is not safe for concurrent use.
 type Query struct {
 	plan     Plan
 	shards   []shardState
@@ -56,18 +57,19 @@
 	target   int
 	graceEnd time.Duration
 	timerAt  time.Duration
-	// snapshotLost is set once a shard has settled for want of the snapshot.
+	// snapshotLost is true once a shard has settled because its replicas do not
+	// hold the pinned snapshot.
 	snapshotLost bool
-	// otherSnapshot is true while the query could start anew on another one.
+	// otherSnapshot is true when the query could be restarted on another snapshot.
 	otherSnapshot bool
 	finished      bool
 	crashState
 }
 
-// never is a time that does not come.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// New makes the core of a query.
+// New returns the state machine for a plan.
 func New(plan Plan) *Query {
 	count := len(plan.Shards)
 	return &Query{
@@ -81,8 +83,8 @@
 	}
 }
 
-// Step takes one event at a time since the query's start. The actions belong
-// to the caller only until the next Step.
+// Step processes one event and returns the actions to carry out. now is the
+// time since the query's start. The returned slice is valid until the next call.
 func (q *Query) Step(now time.Duration, event Event) []Action {
 	q.actions = q.actions[:0]
 	if q.finished {
@@ -112,10 +114,11 @@
 	return q.actions
 }
 
-// Status returns what became of a shard of the plan.
+// Status returns the status of the shard at an index of Plan.Shards.
 func (q *Query) Status(shard int) ShardStatus { return q.shards[shard].status }
 
-// Diagnosis explains the latency of a shard of the plan.
+// Diagnosis returns the latency diagnosis of the shard at an index of
+// Plan.Shards.
 func (q *Query) Diagnosis(shard int) ShardDiagnosis { return q.shards[shard].diagnosis }
 
 // Answered returns the number of shards that have answered.
@@ -184,7 +187,7 @@
 	}
 	if event.Outcome != NoReplica && q.canaryInFlight() && q.canaryMode {
 		state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
-		state.suspend() // its repeat has to wait
+		state.suspend() // retried after the canary has completed
 		return
 	}
 	if event.Outcome.NotSent() {
@@ -220,7 +223,7 @@
 	}
 }
 
-// settleShard closes a shard for good and gives up what it has in flight.
+// settleShard marks a shard as settled and cancels its attempts in flight.
 func (q *Query) settleShard(shard int) {
 	state := &q.shards[shard]
 	state.settled = true
@@ -240,13 +243,14 @@
 	}
 }
 
-// finishOrSetTimer ends the query if it is over, else sets the timer.
+// finishOrSetTimer finishes the query if a condition to finish holds, and
+// otherwise sets the timer.
 func (q *Query) finishOrSetTimer(now time.Duration) {
 	switch {
 	case q.finished:
 	case now >= q.abortAt:
 		q.finish(ReplicasCrashed, client.MissingFailed)
-	case q.AbortPending() && now < q.plan.Deadline: // though no shard can answer any more
+	case q.AbortPending() && now < q.plan.Deadline: // even when all shards have settled
 		q.setTimer()
 	case q.settled == len(q.shards):
 		q.finish(q.settledReason(), client.MissingFailed)
@@ -265,21 +269,21 @@
 	}
 }
 
-// expired is true when the time has come to end, whatever has answered: nothing
-// is sent any more then.
+// expired reports whether the deadline, the grace period or the soft deadline
+// ends the query at now. Nothing is sent from then on.
 func (q *Query) expired(now time.Duration) bool {
 	answerNow := q.canAnswer() && now >= q.plan.SoftDeadline
 	return now >= q.plan.Deadline || now >= q.graceEnd || answerNow
 }
 
-// connectFailureLimit attempts in a row that met no process, a shard is taken to have no replica
-// left for now.
+// connectFailureLimit is the number of consecutive connect failures after which
+// a shard is assumed to have no reachable replica.
 const connectFailureLimit = 2
 
-// countConnectFailure counts the attempts in a row that met no process.
+// countConnectFailure updates the number of consecutive connect failures.
 func (s *shardState) countConnectFailure(event Event) {
 	switch {
-	case event.Outcome == NoReplica: // nothing was tried
+	case event.Outcome == NoReplica: // no connection was attempted
 	case event.Outcome == ConnectFailed && !event.Busy:
 		s.connectFailures++
 	default:
@@ -287,9 +291,8 @@
 	}
 }
 
-// remainingUnreachable is true when all shards that have not settled have no replica left: an answer
-// that waited for them would most likely lack them all the same, and come late. (With one
-// shard's replicas ended for 8 s, 12 in place of 108 of 1,583 short requests were late.)
+// remainingUnreachable reports whether no shard that has not settled has a
+// reachable replica. Waiting for them would most likely only delay the answer.
 func (q *Query) remainingUnreachable() bool {
 	for i := range q.shards {
 		state := &q.shards[i]
@@ -300,14 +303,14 @@
 	return true
 }
 
-// tooFewShardsLeft is true when too few shards can still answer.
+// tooFewShardsLeft reports whether Plan.MinShards can no longer be reached.
 func (q *Query) tooFewShardsLeft() bool {
 	lost := q.settled - q.answered
 	return q.plan.MinShards > 0 && len(q.shards)-lost < q.plan.MinShards
 }
 
-// canAnswer is true when the plan names a time to answer and enough shards
-// have answered.
+// canAnswer reports whether the plan has a soft deadline and enough shards have
+// answered for a partial answer.
 func (q *Query) canAnswer() bool {
 	return q.plan.SoftDeadline > 0 && q.answered > 0 && q.answered >= q.plan.MinShards
 }
@@ -319,9 +322,10 @@
 	return AllSettled
 }
 
-// setTimer asks for the earliest moment at which something is due. Only sends
-// and the grace bring it forward, so it looks at the shards of this step's
-// sends; all of them are looked at after the timer has fired.
+// setTimer sets the timer to the earliest time at which something is due. While
+// a timer is set, only the sends of this step and the grace period can make it
+// earlier, so only the shards sent to are checked; after the timer has fired,
+// all shards are.
 func (q *Query) setTimer() {
 	next := min(q.plan.Deadline, q.graceEnd, q.abortAt)
 	if q.canAnswer() {
@@ -341,7 +345,7 @@
 	q.advanceTimer(next)
 }
 
-// advanceTimer brings the timer forward.
+// advanceTimer sets the timer to at if that is earlier than its current time.
 func (q *Query) advanceTimer(at time.Duration) {
 	if at < q.timerAt {
 		q.timerAt = at
