--- a/internal/decision/budget.go
+++ b/internal/decision/budget.go
@@ -5,51 +5,52 @@
 	"sync/atomic"
 )
 
-// Budget grants hedges and retries.
+// Budget limits hedges and retries.
 type Budget interface {
 	// Deposit is called once for each first attempt.
 	Deposit()
-	// Withdraw asks for a retry.
+	// Withdraw reports whether a retry is granted.
 	Withdraw() bool
-	// WithdrawHedge asks for a hedge.
+	// WithdrawHedge reports whether a hedge is granted.
 	WithdrawHedge() bool
 }
 
-// minBurst is the least number of tokens that may be saved up.
+// minBurst is the minimum capacity of a bucket, in tokens.
 const minBurst = 1
 
-// unitsPerToken is the number of budget units in one attempt.
+// unitsPerToken is the resolution of the bucket.
 const unitsPerToken = 1000
 
-// TokenBudget is a token bucket fed by first attempts. It is safe for
-// concurrent use.
+// TokenBudget is a token bucket that is refilled by first attempts. It is safe
+// for concurrent use.
 type TokenBudget struct {
 	units   atomic.Int64
 	deposit atomic.Int64
 	burst   atomic.Int64
-	// reserve is the share of the burst that hedges leave to retries.
+	// reserve is the fraction of the burst that hedges leave for retries.
 	reserve float64
 
-	// What has been asked of the budget since it was made.
+	// Totals since the budget was created.
 	firstAttempts, retries, hedges, deniedRetries, deniedHedges atomic.Int64
 }
 
-// BudgetUsage is what a budget has left, and what has been asked of it since it was made.
+// BudgetUsage is a budget's balance and its totals since it was created.
 type BudgetUsage struct {
-	// Tokens are saved up, of Burst at most; one is a retry or a hedge.
+	// Tokens is the balance; each retry or hedge costs one. Burst is its maximum.
 	Tokens float64 `json:"tokens"`
 	Burst  float64 `json:"burst"`
-	// FirstAttempts have earned the budget, Retries and Hedges were granted.
+	// FirstAttempts counts the deposits, Retries and Hedges the granted
+	// withdrawals.
 	FirstAttempts int64 `json:"first_attempts"`
 	Retries       int64 `json:"retries"`
 	Hedges        int64 `json:"hedges"`
-	// DeniedRetries and DeniedHedges found too few tokens. A hedge that is denied asks
-	// again, so that one may be counted several times.
+	// DeniedRetries and DeniedHedges count the denied withdrawals. A denied hedge
+	// is requested again, so it may be counted several times.
 	DeniedRetries int64 `json:"denied_retries"`
 	DeniedHedges  int64 `json:"denied_hedges"`
 }
 
-// Add adds up what two budgets say.
+// Add returns the sum of two usages.
 func (u BudgetUsage) Add(other BudgetUsage) BudgetUsage {
 	return BudgetUsage{
 		Tokens: u.Tokens + other.Tokens, Burst: u.Burst + other.Burst,
@@ -59,44 +60,44 @@
 	}
 }
 
-// Granted counts the retries and hedges that were granted.
+// Granted returns the number of retries and hedges that were granted.
 func (u BudgetUsage) Granted() int64 { return u.Retries + u.Hedges }
 
-// Denied counts the demands that were denied.
+// Denied returns the number of retries and hedges that were denied.
 func (u BudgetUsage) Denied() int64 { return u.DeniedRetries + u.DeniedHedges }
 
-// Exhausted tells whether not even a retry would be granted now.
+// Exhausted reports whether a retry would be denied now.
 func (u BudgetUsage) Exhausted() bool { return u.Tokens < 1 }
 
-// NewTokenBudget makes a full bucket: ratio tokens are earned by each first
-// attempt, and at most burst are saved up.
+// NewTokenBudget returns a full bucket. Each first attempt adds ratio tokens, up
+// to burst.
 func NewTokenBudget(ratio, burst float64) *TokenBudget {
 	return NewTokenBudgetWithReserve(ratio, burst, defaultReserve)
 }
 
-// NewTokenBudgetWithReserve is NewTokenBudget with the share of the burst that hedges
-// leave to retries.
+// NewTokenBudgetWithReserve is NewTokenBudget with the fraction of the burst that
+// hedges leave for retries.
 func NewTokenBudgetWithReserve(ratio, burst, reserve float64) *TokenBudget {
 	return NewTokenBudgetWithBalance(ratio, burst, burst, reserve)
 }
 
-// NewTokenBudgetWithBalance is NewReservingBudget with only so many tokens saved up at first.
-func NewTokenBudgetWithBalance(ratio, burst, saved, reserve float64) *TokenBudget {
+// NewTokenBudgetWithBalance is NewTokenBudgetWithReserve with an initial balance.
+func NewTokenBudgetWithBalance(ratio, burst, balance, reserve float64) *TokenBudget {
 	budget := &TokenBudget{reserve: reserve}
 	budget.Configure(ratio, burst)
-	budget.units.Store(int64(math.Round(saved * unitsPerToken)))
+	budget.units.Store(int64(math.Round(balance * unitsPerToken)))
 	return budget
 }
 
-// Configure changes the ratio and the burst; tokens saved up are kept as far
-// as the new burst allows. A burst under one token leaves room for one that was
-// earned, as otherwise nothing could ever be granted.
+// Configure changes the ratio and the burst. The balance is kept; deposits cap it
+// at the new burst. A burst of less than one token is raised to one, as nothing
+// could be granted otherwise.
 func (b *TokenBudget) Configure(ratio, burst float64) {
 	b.deposit.Store(int64(math.Round(ratio * unitsPerToken)))
 	b.burst.Store(int64(math.Round(max(burst, minBurst) * unitsPerToken)))
 }
 
-// Usage returns what is left and what has been asked so far.
+// Usage returns the balance and the totals.
 func (b *TokenBudget) Usage() BudgetUsage {
 	return BudgetUsage{
 		Tokens: float64(b.units.Load()) / unitsPerToken, Burst: float64(b.burst.Load()) / unitsPerToken,
@@ -106,7 +107,7 @@
 	}
 }
 
-// Deposit adds what one first attempt earns.
+// Deposit implements Budget.
 func (b *TokenBudget) Deposit() {
 	b.firstAttempts.Add(1)
 	deposit, burst := b.deposit.Load(), b.burst.Load()
@@ -119,22 +120,22 @@
 	}
 }
 
-// defaultReserve is the part of the burst that is left to retries: a retry saves
-// a shard's answer, a hedge only its time.
+// defaultReserve is the default fraction of the burst that is reserved for
+// retries: a retry recovers a shard's answer, a hedge only reduces its latency.
 const defaultReserve = 0.5
 
-// Withdraw takes one token if there is one.
+// Withdraw implements Budget.
 func (b *TokenBudget) Withdraw() bool {
 	return countWithdrawal(b.withdraw(0), &b.retries, &b.deniedRetries)
 }
 
-// WithdrawHedge takes one token if there are more than retries may need.
+// WithdrawHedge implements Budget. It leaves the reserve for retries.
 func (b *TokenBudget) WithdrawHedge() bool {
 	granted := b.withdraw(int64(b.reserve * float64(b.burst.Load())))
 	return countWithdrawal(granted, &b.hedges, &b.deniedHedges)
 }
 
-// countWithdrawal counts a demand and returns whether it was granted.
+// countWithdrawal adds a withdrawal to its total and returns granted.
 func countWithdrawal(granted bool, grants, denials *atomic.Int64) bool {
 	if granted {
 		grants.Add(1)
@@ -144,6 +145,8 @@
 	return granted
 }
 
+// withdraw takes one token if the balance covers it and the reserve, or if the
+// bucket is full.
 func (b *TokenBudget) withdraw(reserve int64) bool {
 	for {
 		units := b.units.Load()
--- a/internal/decision/choice.go
+++ b/internal/decision/choice.go
@@ -7,51 +7,54 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Candidate is a replica as seen by ChooseReplica.
+// Candidate is the state of a replica as seen by ChooseReplica.
 type Candidate struct {
 	Distance topology.Distance
-	// InFlight is this daemon's own requests; Limit is the most it may have.
+	// InFlight is the number of this daemon's requests in flight, Limit its
+	// maximum.
 	InFlight int
 	Limit    int
-	// ReportedLoad is in flight and queued at the replica by its last reply.
+	// ReportedLoad is the number of requests running and queued at the replica
+	// according to its latest reply.
 	ReportedLoad int
 	Slots        int
-	// LatencyEWMA is 0 while it is not known.
+	// LatencyEWMA is 0 if unknown.
 	LatencyEWMA time.Duration
-	// Warmth grows from 0 for a replica just started to 1.
+	// Warmth rises from 0 for a replica that has just started to 1.
 	Warmth  float64
 	Ejected bool
-	// BackingOff is true until the time to come back that the replica named
-	// when it last refused for load.
+	// BackingOff is true until the time to retry that the replica gave when it
+	// last shed load.
 	BackingOff bool
-	// Unresponsive is true while it holds requests and has answered none for longer
-	// than is usual.
+	// Unresponsive is true if the replica has requests in flight and has not
+	// replied to any for longer than expected.
 	Unresponsive bool
 	Tried        bool
-	// Excluded is true when the request must not go there: it is bound to other regions.
+	// Excluded is true if the request must not be sent to the replica, such as one
+	// restricted to other regions.
 	Excluded bool
-	// ConnectionAvailable is false when the connection budget is used up.
+	// ConnectionAvailable is false if the connection budget is exhausted.
 	ConnectionAvailable bool
 }
 
 func (c *Candidate) usable() bool { return !c.Tried && !c.Excluded && c.ConnectionAvailable }
 
-// NoCandidate is what ChooseReplica returns when none can be used.
+// NoCandidate is returned by ChooseReplica if no candidate can be used.
 const NoCandidate = -1
 
-// ChooseReplica picks by power of two choices in each ring of distance, and
-// prefers the nearer ring's pick until it is expected to take as many times
-// longer as the rings' weights are apart. Replicas that are saturated, then
-// silent ones, then ones that refused for load, and then ejected ones are taken
-// only when no other is left, so that ejection never empties a group.
-// The candidates' unknown latencies are filled in.
+// ChooseReplica returns the index of the candidate to use. It picks one at each
+// distance by the power of two choices, and among these the one with the lowest
+// expected latency divided by the weight of its distance. Saturated replicas are
+// used only if there is no other, then unresponsive ones, then ones that are
+// backing off, and then ejected ones, so that ejection never empties a group.
+// Unknown latencies of the candidates are filled in.
 func ChooseReplica(candidates []Candidate, weights policy.Replicas, random uint64) int {
 	return chooseUpTo(passEjected, candidates, weights, random)
 }
 
-// ChooseAlternate picks as ChooseReplica does for a hedge or a retry, which is
-// not sent to replicas that refuse or are ejected: it would most likely be
-// wasted, and multiply the load of an outage.
+// ChooseAlternate is ChooseReplica for hedges and retries. It does not use
+// replicas that are backing off or ejected, where a retry would most likely fail
+// and amplify an overload.
 func ChooseAlternate(candidates []Candidate, weights policy.Replicas, random uint64) int {
 	return chooseUpTo(passUnresponsive, candidates, weights, random)
 }
@@ -66,25 +69,27 @@
 	return NoCandidate
 }
 
-// chooseInPass compares the picks of the rings.
+// chooseInPass returns the best of the candidates picked at each distance.
 func chooseInPass(candidates []Candidate, weights policy.Replicas, p pass, random uint64) int {
-	best, least := NoCandidate, 0.0
-	for ring := topology.SameZone; ring <= topology.OtherRegion; ring++ {
-		weight := distanceWeight(weights, ring)
+	best, lowest := NoCandidate, 0.0
+	for distance := topology.SameZone; distance <= topology.OtherRegion; distance++ {
+		weight := distanceWeight(weights, distance)
 		if weight == 0 {
 			continue
 		}
-		chosen := chooseAtDistance(candidates, ring, p, random)
+		chosen := chooseAtDistance(candidates, distance, p, random)
 		if chosen == NoCandidate {
 			continue
 		}
-		if weighed := candidates[chosen].expectedLatency() / weight; best == NoCandidate || weighed < least {
-			best, least = chosen, weighed
+		if weighted := candidates[chosen].expectedLatency() / weight; best == NoCandidate || weighted < lowest {
+			best, lowest = chosen, weighted
 		}
 	}
 	return best
 }
 
+// pass is a pass over the candidates. Each pass also admits candidates that the
+// earlier ones do not.
 type pass int
 
 const (
@@ -95,8 +100,8 @@
 	passEjected
 )
 
-func distanceWeight(weights policy.Replicas, ring topology.Distance) float64 {
-	switch ring {
+func distanceWeight(weights policy.Replicas, distance topology.Distance) float64 {
+	switch distance {
 	case topology.SameZone:
 		return weights.ZoneWeight
 	case topology.SameRegion:
@@ -106,8 +111,8 @@
 	}
 }
 
-func (c *Candidate) eligible(ring topology.Distance, p pass) bool {
-	if c.Distance != ring || !c.usable() {
+func (c *Candidate) eligible(distance topology.Distance, p pass) bool {
+	if c.Distance != distance || !c.usable() {
 		return false
 	}
 	switch p {
@@ -124,31 +129,31 @@
 	}
 }
 
-func chooseAtDistance(candidates []Candidate, ring topology.Distance, p pass, random uint64) int {
+func chooseAtDistance(candidates []Candidate, distance topology.Distance, p pass, random uint64) int {
 	count := 0
 	for i := range candidates {
-		if candidates[i].eligible(ring, p) {
+		if candidates[i].eligible(distance, p) {
 			count++
 		}
 	}
 	if count == 0 {
 		return NoCandidate
 	}
-	first := nthEligible(candidates, ring, p, int(uint32(random))%count)
+	first := nthEligible(candidates, distance, p, int(uint32(random))%count)
 	if count == 1 {
 		return first
 	}
 	offset := 1 + int(random>>32)%(count-1)
-	second := nthEligible(candidates, ring, p, (int(uint32(random))%count+offset)%count)
+	second := nthEligible(candidates, distance, p, (int(uint32(random))%count+offset)%count)
 	if candidates[second].cost() < candidates[first].cost() {
 		return second
 	}
 	return first
 }
 
-func nthEligible(candidates []Candidate, ring topology.Distance, p pass, n int) int {
+func nthEligible(candidates []Candidate, distance topology.Distance, p pass, n int) int {
 	for i := range candidates {
-		if !candidates[i].eligible(ring, p) {
+		if !candidates[i].eligible(distance, p) {
 			continue
 		}
 		if n == 0 {
@@ -159,13 +164,13 @@
 	return NoCandidate
 }
 
-// minWarmth keeps the cost of a cold replica finite, so that it gets the
-// few requests that warm it.
+// minWarmth keeps the cost of a cold replica finite, so that it gets the few
+// requests that warm it up.
 const minWarmth = 0.1
 
-// fillUnknownLatencies takes a cold replica without a latency to be as fast as the
-// others on average. Taken to be fast, it would be sent more than its warmth
-// allows. A warm one is taken to be fast, so that it is tried soon.
+// fillUnknownLatencies sets the unknown latency of a cold replica to the average
+// of the known ones, so that it is not preferred beyond its warmth. A warm replica
+// keeps its unknown latency and is assumed to be fast, so that it is tried soon.
 func fillUnknownLatencies(candidates []Candidate) {
 	known, sum := 0, time.Duration(0)
 	for i := range candidates {
@@ -184,19 +189,18 @@
 	}
 }
 
-// minLatency bounds a latency from below, and stands for it where none of a
-// group's is known.
+// minLatency is a lower bound for latencies and the default for unknown ones.
 const minLatency = time.Millisecond
 
-// cost orders the replicas of one ring: the load a slot has, times the usual
-// latency.
+// cost is the load per slot times the latency. It compares the replicas at one
+// distance.
 func (c *Candidate) cost() float64 {
 	load := float64(1+c.load()) / float64(max(1, c.Slots))
 	return load * c.latency()
 }
 
-// expectedLatency is the expectedLatency time of a request, in nanoseconds, by which rings
-// are compared. Load counts only once it exceeds the slots.
+// expectedLatency is the expected time of a request in nanoseconds. It compares
+// replicas at different distances, so load counts only beyond the slots.
 func (c *Candidate) expectedLatency() float64 {
 	load := float64(1+c.load()) / float64(max(1, c.Slots))
 	return max(1, load) * c.latency()
--- a/internal/decision/cold.go
+++ b/internal/decision/cold.go
@@ -2,35 +2,36 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ColdRateLimit is how many requests a cold replica may receive in a second from all
-// nodes: the rate that it bears, times the overage, and the slack besides.
+// ColdRateLimit limits the requests per second that a cold replica receives from
+// all nodes together: its capacity while cold, times Overage, plus Slack.
 type ColdRateLimit struct{ Overage, Slack float64 }
 
-// coldUtilization is the part of the bound that is used. Nodes that see each other come or go at
-// different times divide it differently for a while: two divisions that have nothing in
-// common together still keep the bound.
+// coldUtilization is the fraction of the limit that is used. While nodes join or
+// leave, two sets of nodes may divide the limit independently of each other; half
+// of it for each set keeps their sum within the limit.
 const coldUtilization = 0.5
 
-// Rate returns the number of requests that all nodes together send to a cold replica in
-// any one second, 0 when the rate that it bears is not stated.
-func (b ColdRateLimit) Rate(borne float64) int {
-	if borne <= 0 {
+// Rate returns the number of requests per second that all nodes together may send
+// to a cold replica of a given capacity, 0 if the capacity is not configured.
+func (b ColdRateLimit) Rate(capacity float64) int {
+	if capacity <= 0 {
 		return 0
 	}
-	return max(1, int(coldUtilization*(borne*max(1, b.Overage)+b.Slack)))
+	return max(1, int(coldUtilization*(capacity*max(1, b.Overage)+b.Slack)))
 }
 
-// ColdRateShare returns how many of a cold replica's requests a second are this node's. The
-// nodes that share divide them by the hash of their IDs and the replica's zone, without a
-// message: where there are more nodes than requests, some have none, and those that have
-// one have it for all replicas of a zone, so that they can serve whole queries.
-func ColdRateShare(rate int, self string, sharing []string, zone string) int {
-	if len(sharing) == 0 {
+// ColdRateShare returns the share of a cold replica's rate that belongs to the
+// node self. Without any coordination, each node ranks all nodes by a hash of
+// their IDs and the replica's zone. If there are more nodes than requests per
+// second, only the first ones have a share. The ranks are the same for all
+// replicas of a zone, as a query needs replicas of all its shards.
+func ColdRateShare(rate int, self string, nodes []string, zone string) int {
+	if len(nodes) == 0 {
 		return 0
 	}
 	own := coldHash(self, zone)
 	rank, member := 0, false
-	for _, id := range sharing {
+	for _, id := range nodes {
 		member = member || id == self
 		if other := coldHash(id, zone); other < own || (other == own && id < self) {
 			rank++
@@ -39,10 +40,10 @@
 	switch {
 	case !member:
 		return 0
-	case rank < rate%len(sharing):
-		return rate/len(sharing) + 1
+	case rank < rate%len(nodes):
+		return rate/len(nodes) + 1
 	default:
-		return rate / len(sharing)
+		return rate / len(nodes)
 	}
 }
 
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -12,43 +12,43 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// ShardSelection is which shards of a snapshot a query asks. Together, Asked and
-// NotAsked name each shard of the searched indexes once.
+// ShardSelection is the set of shards that a query asks. Each shard of the
+// searched indexes is either in Asked or in NotAsked.
 type ShardSelection struct {
 	Asked    []ShardPlan
 	NotAsked []client.ShardReport
 }
 
-// SelectShards applies a policy's shard selection. The same query ID gives
-// the same choice. Hedge delays and budgets are left for the caller to fill.
+// SelectShards applies a policy's shard selection. The result is deterministic
+// for a query ID. The caller sets the hedge delays and budgets.
 func SelectShards(snapshot *catalogue.Snapshot, row *policy.Row, query *client.Query, queryID string) ShardSelection {
-	selected := ShardSelection{Asked: make([]ShardPlan, 0, snapshot.Shards())}
+	selection := ShardSelection{Asked: make([]ShardPlan, 0, snapshot.Shards())}
 	for i := range snapshot.Indexes {
 		index := &snapshot.Indexes[i]
 		if len(query.Indexes) > 0 && !slices.Contains(query.Indexes, index.Name) {
 			continue
 		}
-		selected.addIndex(index, row, query)
+		selection.addIndex(index, row, query)
 	}
 	if row.Shards.Fraction < 1 {
-		selected.sample(row, queryID)
+		selection.sample(row, queryID)
 	}
-	return selected
+	return selection
 }
 
 func (s *ShardSelection) addIndex(index *catalogue.Index, row *policy.Row, query *client.Query) {
 	shards := len(index.Groups)
 	skipped := indexWeight(row, index.Name) == 0
 	keyed := query.Card != "" && row.Shards.Selection != policy.SelectBroadcast && shards > 0
-	holder := 0
+	owner := 0
 	if keyed {
-		holder = catalogue.ShardOf(query.Card, shards)
+		owner = catalogue.ShardOf(query.Card, shards)
 	}
 	for shard, group := range index.Groups {
 		switch {
 		case skipped:
 			s.exclude(index.Name, shard, client.NotAskedPolicy)
-		case keyed && shard != holder:
+		case keyed && shard != owner:
 			s.exclude(index.Name, shard, client.NotAskedKey)
 		default:
 			s.Asked = append(s.Asked, ShardPlan{Index: index.Name, Shard: shard, ShardCount: shards, Group: group})
@@ -61,31 +61,31 @@
 }
 
 func indexWeight(row *policy.Row, index string) float64 {
-	weight, named := row.Shards.IndexWeights[index]
-	if !named {
+	weight, found := row.Shards.IndexWeights[index]
+	if !found {
 		return 1
 	}
 	return weight
 }
 
-// sample keeps a weighted share of the asked shards: each draws an
-// exponential variate of its weight from a hash, and the least are kept
+// sample keeps a weighted random sample of the asked shards: each draws an
+// exponential variate with its weight as rate, and the smallest are kept
 // (Efraimidis and Spirakis, 2006).
 func (s *ShardSelection) sample(row *policy.Row, queryID string) {
 	keep := int(math.Ceil(row.Shards.Fraction * float64(len(s.Asked))))
 	if keep >= len(s.Asked) {
 		return
 	}
-	draws := make([]float64, len(s.Asked))
+	variates := make([]float64, len(s.Asked))
 	for i := range s.Asked {
-		draws[i] = exponential(queryID, &s.Asked[i]) / indexWeight(row, s.Asked[i].Index)
+		variates[i] = exponential(queryID, &s.Asked[i]) / indexWeight(row, s.Asked[i].Index)
 	}
-	sorted := slices.Clone(draws)
+	sorted := slices.Clone(variates)
 	slices.Sort(sorted)
 	limit := sorted[keep-1]
 	kept := make([]ShardPlan, 0, keep)
 	for i, shard := range s.Asked {
-		if draws[i] <= limit && len(kept) < keep {
+		if variates[i] <= limit && len(kept) < keep {
 			kept = append(kept, shard)
 			continue
 		}
@@ -94,7 +94,8 @@
 	s.Asked = kept
 }
 
-// exponential returns an exponential variate of rate 1.
+// exponential returns an exponential variate of rate 1, derived from a hash of
+// the query ID and the shard.
 func exponential(queryID string, shard *ShardPlan) float64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(queryID) // never fails
