--- a/internal/decision/budget_test.go
+++ b/internal/decision/budget_test.go
@@ -2,32 +2,31 @@
 
 import "testing"
 
-// TestAPartUnderOneTokenIsEarned: a node whose part of a slack is under one
-// token has none at its start, and saves up one from its own requests.
-func TestAPartUnderOneTokenIsEarned(t *testing.T) {
+// A burst of less than one token grants nothing at first, but must not keep
+// deposits from adding up to a token.
+func TestTokenBudgetFractionalBurst(t *testing.T) {
 	budget := NewTokenBudgetWithReserve(0.2, 0.4, 0.2)
 	if budget.Withdraw() {
-		t.Fatal("a retry from less than one token")
+		t.Fatal("retry granted with less than one token")
 	}
 	for range 3 {
 		budget.Deposit()
 	}
 	if !budget.WithdrawHedge() {
-		t.Error("no hedge after one token was earned")
+		t.Error("hedge denied after one token was earned")
 	}
 	for range 100 {
 		budget.Deposit()
 	}
 	if !budget.Withdraw() || budget.Withdraw() {
-		t.Error("not just one token was saved up")
+		t.Error("balance is not exactly one token")
 	}
 }
 
-// TestABudgetTellsWhatWasAsked of it, and what it has left.
-func TestABudgetTellsWhatWasAsked(t *testing.T) {
+func TestTokenBudgetUsage(t *testing.T) {
 	budget := NewTokenBudgetWithBalance(0.5, 10, 4, 0.2)
 	budget.Deposit()
-	budget.Deposit() // 5 tokens; hedges leave 2
+	budget.Deposit() // 5 tokens, of which 2 are reserved for retries
 	for budget.WithdrawHedge() {
 	}
 	for budget.Withdraw() {
@@ -38,7 +37,7 @@
 		t.Errorf("usage %+v, want %+v", got, want)
 	}
 	if !got.Exhausted() || got.Granted() != 5 || got.Denied() != 2 {
-		t.Errorf("spent %t, %d granted, %d denied", got.Exhausted(), got.Granted(), got.Denied())
+		t.Errorf("exhausted %t, %d granted, %d denied", got.Exhausted(), got.Granted(), got.Denied())
 	}
 	doubled := BudgetUsage{Tokens: 0, Burst: 20, FirstAttempts: 4, Retries: 4, Hedges: 6, DeniedRetries: 2, DeniedHedges: 2}
 	if sum := got.Add(got); sum != doubled {
--- a/internal/decision/crash_test.go
+++ b/internal/decision/crash_test.go
@@ -19,18 +19,18 @@
 	})
 }
 
-func crashed(at time.Duration, shard, attempt int, blame float64) timedEvent {
-	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: blame}}
+func crashed(at time.Duration, shard, attempt int, attribution float64) timedEvent {
+	return timedEvent{at, Event{Kind: AttemptCompleted, Shard: shard, Attempt: attempt, Outcome: Crashed, Attribution: attribution}}
 }
 
-// TestAQueryThatEndsReplicasEnds: what was sent together counts once, then two canaries at
-// different shards, one after the other.
-func TestAQueryThatEndsReplicasEnds(t *testing.T) {
+// The crashes under the first sub-requests count as one incident; two canaries,
+// one after the other, make the evidence conclusive.
+func TestCrashingQueryIsAborted(t *testing.T) {
 	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	var canaries []Action
 	finished := false
-	take := func(timed timedEvent) {
+	step := func(timed timedEvent) {
 		for _, action := range query.Step(timed.at, timed.event) {
 			if action.Kind == Send {
 				canaries = append(canaries, action)
@@ -39,36 +39,36 @@
 		}
 	}
 	for shard := range 4 {
-		take(crashed(time.Duration(3+shard)*ms, shard, 0, 0.5))
+		step(crashed(time.Duration(3+shard)*ms, shard, 0, 0.5))
 	}
 	if len(canaries) != 1 || !canaries[0].Canary {
-		t.Fatalf("sent while the first canary runs: %+v", canaries)
+		t.Fatalf("sent while the first canary is in flight: %+v", canaries)
 	}
-	take(crashed(9*ms, canaries[0].Shard, canaries[0].Attempt, 1))
+	step(crashed(9*ms, canaries[0].Shard, canaries[0].Attempt, 1))
 	if len(canaries) != 2 || finished {
 		t.Fatalf("sent after the first canary: %+v, finished %v", canaries, finished)
 	}
-	take(crashed(12*ms, canaries[1].Shard, canaries[1].Attempt, 1))
+	step(crashed(12*ms, canaries[1].Shard, canaries[1].Attempt, 1))
 	if len(canaries) != 2 || finished || !query.AbortPending() {
-		t.Fatalf("sent while others may contest it: %+v, finished %v", canaries, finished)
+		t.Fatalf("sent while the abort is pending: %+v, finished %v", canaries, finished)
 	}
-	take(timedEvent{12*ms + disputeWindow, Event{Kind: TimerFired}})
-	found, survived := query.CrashEvidence()
-	if want := (CrashEvidence{Crashes: 6, Incidents: 3, Attribution: 3}); found != want || survived || !finished || len(canaries) != 2 {
-		t.Errorf("evidence %+v, survived %v, finished %v, %d canaries", found, survived, finished, len(canaries))
+	step(timedEvent{12*ms + disputeWindow, Event{Kind: TimerFired}})
+	evidence, survived := query.CrashEvidence()
+	if want := (CrashEvidence{Crashes: 6, Incidents: 3, Attribution: 3}); evidence != want || survived || !finished || len(canaries) != 2 {
+		t.Errorf("evidence %+v, survived %v, finished %v, %d canaries", evidence, survived, finished, len(canaries))
 	}
 }
 
-// TestAQueryThatSurvivesGoesOn: a replica that answers a canary, or what was sent before,
-// shows that the query does no harm, however many ended.
-func TestAQueryThatSurvivesGoesOn(t *testing.T) {
-	t.Run("the canary", func(t *testing.T) {
+// A query that one replica has survived is not aborted, however many others
+// crashed.
+func TestSurvivedQueryContinues(t *testing.T) {
+	t.Run("canary", func(t *testing.T) {
 		query := New(crashDetectionPlan(3, nil))
 		var sent []int // by step
 		for _, timed := range []timedEvent{
 			{0, Event{Kind: Started}},
 			crashed(3*ms, 0, 0, 1), crashed(3*ms, 1, 0, 1), crashed(3*ms, 2, 0, 1),
-			reply(9*ms, 0, 1, Success), // the two others follow at once
+			reply(9*ms, 0, 1, Success), // the other two are sent at once
 			crashed(12*ms, 1, 1, 1), reply(13*ms, 2, 1, Success),
 		} {
 			count := 0
@@ -82,11 +82,11 @@
 		if diff := cmp.Diff([]int{3, 1, 0, 0, 2, 0, 0}, sent); diff != "" {
 			t.Errorf("sent in each step (-want +got):\n%s", diff)
 		}
-		if found, survived := query.CrashEvidence(); found.Crashes != 3 || !survived || query.Answered() != 2 {
-			t.Errorf("evidence %+v, survived %v, %d answered", found, survived, query.Answered())
+		if evidence, survived := query.CrashEvidence(); evidence.Crashes != 3 || !survived || query.Answered() != 2 {
+			t.Errorf("evidence %+v, survived %v, %d answered", evidence, survived, query.Answered())
 		}
 	})
-	t.Run("one of the first", func(t *testing.T) {
+	t.Run("first attempt", func(t *testing.T) {
 		query := New(crashDetectionPlan(3, nil))
 		query.Step(0, Event{Kind: Started})
 		query.Step(2*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Success})
@@ -98,27 +98,26 @@
 				}
 			}
 		}
-		if found, survived := query.CrashEvidence(); sent != 2 || found.Crashes != 0 || !survived {
-			t.Errorf("%d repeats, evidence %+v, survived %v", sent, found, survived)
+		if evidence, survived := query.CrashEvidence(); sent != 2 || evidence.Crashes != 0 || !survived {
+			t.Errorf("%d retries, evidence %+v, survived %v", sent, evidence, survived)
 		}
 	})
-	t.Run("a replica's own failure", func(t *testing.T) {
+	t.Run("error reply", func(t *testing.T) {
 		query := New(crashDetectionPlan(2, nil))
 		query.Step(0, Event{Kind: Started})
 		query.Step(3*ms, Event{Kind: AttemptCompleted, Shard: 0, Outcome: Crashed, Attribution: 1})
 		query.Step(4*ms, Event{Kind: AttemptCompleted, Shard: 1, Outcome: Failed, Survived: true})
 		if _, survived := query.CrashEvidence(); !survived {
-			t.Error("the answer does not clear the query")
+			t.Error("survived is false after an error reply")
 		}
 	})
 }
 
-// TestASuspectBeginsWithACanary: and asks the other shards once a replica has survived it.
-func TestASuspectBeginsWithACanary(t *testing.T) {
-	suspected := func(plan *Plan, _ *policy.Row) {
+func TestPriorEvidenceStartsWithCanary(t *testing.T) {
+	withPrior := func(plan *Plan, _ *policy.Row) {
 		plan.CrashDetection.Prior = CrashEvidence{Crashes: 4, Incidents: 1, Attribution: 1}
 	}
-	query := New(crashDetectionPlan(3, suspected))
+	query := New(crashDetectionPlan(3, withPrior))
 	canary := query.Step(0, Event{Kind: Started})[0]
 	if len(query.actions) != 2 || canary.Kind != Send { // and the timer
 		t.Fatalf("actions at the start: %+v", query.actions)
@@ -130,13 +129,12 @@
 		}
 	}
 	if sent != 2 {
-		t.Errorf("%d sent after the canary's answer", sent)
+		t.Errorf("%d sent after the canary's reply, want 2", sent)
 	}
 }
 
-// TestACanaryThatDoesNotRunIsFollowedByAnother: one that is rejected, or reaches nobody,
-// tells nothing.
-func TestACanaryThatDoesNotRunIsFollowedByAnother(t *testing.T) {
+// A canary that neither crashed a replica nor survived proves nothing.
+func TestInconclusiveCanaryIsRepeated(t *testing.T) {
 	for _, outcome := range []Outcome{Shed, ConnectFailed, Failed, ResetAfterWrite} {
 		query := New(crashDetectionPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Prior.Incidents = 1 }))
 		canary := query.Step(0, Event{Kind: Started})[0]
@@ -147,14 +145,13 @@
 			}
 		}
 		if sent != 1 {
-			t.Errorf("after %v %d are sent", outcome, sent)
+			t.Errorf("%d sent after outcome %v, want 1", sent, outcome)
 		}
 	}
 }
 
-// TestASharedBlameIsNotEnough: a replica that was running several queries speaks less
-// against each of them.
-func TestASharedBlameIsNotEnough(t *testing.T) {
+// Crashes of replicas that were running several queries count less for each.
+func TestSharedAttributionIsInconclusive(t *testing.T) {
 	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
@@ -163,13 +160,13 @@
 	for range 2 {
 		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canaryShard, Attempt: 1, Outcome: Crashed, Attribution: 0.4})
 	}
-	if found, _ := query.CrashEvidence(); found.Incidents != 3 || query.finished {
-		t.Errorf("evidence %+v, finished %v", found, query.finished)
+	if evidence, _ := query.CrashEvidence(); evidence.Incidents != 3 || query.finished {
+		t.Errorf("evidence %+v, finished %v", evidence, query.finished)
 	}
 }
 
-// TestEndsAreFailuresWithoutALimit: the other programs do not watch for them.
-func TestEndsAreFailuresWithoutALimit(t *testing.T) {
+// Without crash detection, crashes are retried like other failures.
+func TestCrashDetectionDisabled(t *testing.T) {
 	plan := crashDetectionPlan(2, func(plan *Plan, _ *policy.Row) { plan.CrashDetection.Enabled = false })
 	query := New(plan)
 	query.Step(0, Event{Kind: Started})
@@ -182,12 +179,11 @@
 		}
 	}
 	if sent != 2 {
-		t.Errorf("%d repeats", sent)
+		t.Errorf("%d retries, want 2", sent)
 	}
 }
 
-// TestAContestedQueryIsTriedAgain: one more canary decides.
-func TestAContestedQueryIsTriedAgain(t *testing.T) {
+func TestDisputedEvidenceSendsAnotherCanary(t *testing.T) {
 	query := New(crashDetectionPlan(4, nil))
 	query.Step(0, Event{Kind: Started})
 	for shard := range 4 {
@@ -197,7 +193,7 @@
 		query.Step(6*ms, Event{Kind: AttemptCompleted, Shard: query.canaryShard, Attempt: query.shards[query.canaryShard].sent - 1, Outcome: Crashed, Attribution: 1})
 	}
 	if !query.AbortPending() {
-		t.Fatal("not convicted")
+		t.Fatal("abort is not pending")
 	}
 	sent := 0
 	for _, action := range query.Step(6*ms+disputeWindow, Event{Kind: EvidenceDisputed}) {
--- a/internal/decision/forward_test.go
+++ b/internal/decision/forward_test.go
@@ -8,7 +8,7 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// withSoftDeadline makes a plan that answers after 50 ms with two of its shards.
+// withSoftDeadline sets a soft deadline of 50 ms and a minimum of two shards.
 func withSoftDeadline(plan *Plan, row *policy.Row) {
 	plan.SoftDeadline = 50 * ms
 	plan.MinShards = min(2, len(plan.Shards))
@@ -25,7 +25,7 @@
 
 func fired(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
 
-// TestForwardedQuery has the decisions that only forwarded requests need.
+// The cases use plan fields and events that only forwarded requests have.
 func TestForwardedQuery(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -36,7 +36,7 @@
 		status []ShardStatus
 	}{
 		{
-			name: "answers with what is in when it is time", shards: 3, change: withSoftDeadline,
+			name: "partial answer at the soft deadline", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), fired(50 * ms)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -45,7 +45,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "goes on while too few are in, and ends with the one that is needed", shards: 3, change: withSoftDeadline,
+			name: "continues past the soft deadline until the minimum is reached", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), fired(50 * ms), reply(70*ms, 1, 0, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -54,7 +54,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "ends at once when too few can still answer", shards: 3,
+			name: "finishes at once when the minimum cannot be reached", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				withSoftDeadline(plan, row)
 				row.Retry.Attempts = 1
@@ -67,7 +67,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}, {Reason: client.MissingFailed}, {Reason: client.MissingFailed}},
 		},
 		{
-			name: "hedges after what is late for the chosen replica", shards: 1, change: withSoftDeadline,
+			name: "hedge delay of the chosen replica", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{dispatched(0, 0, 0, 20*ms), fired(20 * ms), reply(25*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "0s timer 20ms", "20ms hedge 0/1 in 80ms", "20ms timer 100ms",
@@ -76,7 +76,7 @@
 			status: []ShardStatus{{Answered: true}},
 		},
 		{
-			name: "sends no hedge that could not answer in time", shards: 3,
+			name: "no hedge that could not complete in time", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				withSoftDeadline(plan, row)
 				plan.Shards[2].ExpectedLatency = 20 * ms
@@ -91,7 +91,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {}},
 		},
 		{
-			name: "waits for a busy replica without using an attempt up", shards: 1, change: withSoftDeadline,
+			name: "busy replicas do not use up attempts", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{
 				busy(0, 0, 0), fired(2 * ms), busy(2*ms, 0, 0), fired(4 * ms), reply(9*ms, 0, 0, Failed), reply(12*ms, 0, 1, Success),
 			},
@@ -102,7 +102,7 @@
 			status: []ShardStatus{{Answered: true}},
 		},
 		{
-			name: "a request of one shard that cannot be offered soon ends without having run", shards: 1,
+			name: "dispatch deadline with busy replicas", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.DispatchDeadline = 5 * ms },
 			events: []timedEvent{busy(0, 0, 0), fired(2 * ms), busy(2*ms, 0, 0), fired(4 * ms), busy(4*ms, 0, 0)},
 			want: []string{
@@ -112,7 +112,7 @@
 			status: []ShardStatus{{Reason: client.MissingNoReplica}},
 		},
 		{
-			name: "sends nothing in the step that ends the query", shards: 3, change: withSoftDeadline,
+			name: "sends nothing in the step that finishes the query", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(10*ms, 0, 0, Success), reply(11*ms, 1, 0, Success), busy(47*ms, 2, 0), fired(52 * ms),
 			},
@@ -123,7 +123,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "an attempt that reached no replica does not count", shards: 1, change: withSoftDeadline,
+			name: "connect failures do not use up attempts", shards: 1, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), fired(42 * ms),
 				reply(43*ms, 0, 2, Failed), reply(44*ms, 0, 3, Failed),
@@ -135,7 +135,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
-			name: "a connection that was not accepted is tried again later, whatever the budget", shards: 3,
+			name: "reset before write is retried later without budget", shards: 3,
 			change: func(plan *Plan, row *policy.Row) {
 				withSoftDeadline(plan, row)
 				plan.MinShards = 3
@@ -154,7 +154,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}, {Answered: true}},
 		},
 		{
-			name: "ends when its time is over before the deadline", shards: 3, change: withSoftDeadline,
+			name: "interrupted before the deadline", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{reply(10*ms, 0, 0, Success), {20 * ms, Event{Kind: Interrupted}}},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s send 2/0 in 100ms", "0s timer 100ms",
@@ -163,7 +163,7 @@
 			status: []ShardStatus{{Answered: true}, {Reason: client.MissingTimeout}, {Reason: client.MissingTimeout}},
 		},
 		{
-			name: "an answer does not wait for a shard whose replicas are gone", shards: 3, change: withSoftDeadline,
+			name: "does not wait for unreachable replicas", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ConnectFailed), reply(2*ms, 0, 1, ConnectFailed), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success),
 			},
@@ -174,7 +174,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}, {Answered: true}, {Answered: true}},
 		},
 		{
-			name: "it waits for one whose replicas accept no connection", shards: 3, change: withSoftDeadline,
+			name: "waits for replicas that reset before write", shards: 3, change: withSoftDeadline,
 			events: []timedEvent{
 				reply(1*ms, 0, 0, ResetBeforeWrite), reply(10*ms, 1, 0, Success), reply(11*ms, 2, 0, Success), fired(21 * ms),
 				reply(22*ms, 0, 1, ResetBeforeWrite), fired(50 * ms),
@@ -186,7 +186,7 @@
 			status: []ShardStatus{{Reason: client.MissingComplete}, {Answered: true}, {Answered: true}},
 		},
 		{
-			name: "a reset of what was written draws on the budget", shards: 2,
+			name: "reset after write uses the budget", shards: 2,
 			change: func(plan *Plan, _ *policy.Row) {
 				plan.Shards[0].Budget = NewTokenBudget(0, 1)
 				plan.Shards[1].Budget = NewTokenBudget(0, 0)
@@ -198,7 +198,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}, {Reason: client.MissingFailed}},
 		},
 		{
-			name: "a reset of what was written uses an attempt up", shards: 1,
+			name: "reset after write uses up an attempt", shards: 1,
 			change: func(_ *Plan, row *policy.Row) { row.Retry.Attempts = 2 },
 			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite), reply(5*ms, 0, 1, ResetAfterWrite)},
 			want: []string{
@@ -207,7 +207,7 @@
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
-			name: "what may run once is tried again where no connection was accepted", shards: 1,
+			name: "at most once: retried after reset before write", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, ResetBeforeWrite), fired(23 * ms), reply(30*ms, 0, 1, Success)},
 			want: []string{
@@ -216,21 +216,21 @@
 			status: []ShardStatus{{Answered: true}},
 		},
 		{
-			name: "what may run once is not tried again after a reset", shards: 1,
+			name: "at most once: not retried after reset after write", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, ResetAfterWrite)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "3ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
-			name: "what may run once is not hedged, nor tried again after an unclear end", shards: 1,
+			name: "at most once: neither hedged nor retried after failure", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{dispatched(0, 0, 0, 10*ms), reply(30*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "30ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
-			name: "what may run once is tried again after a proof that it has not run", shards: 1,
+			name: "at most once: retried after proof that it has not run", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.AtMostOnce = true },
 			events: []timedEvent{reply(3*ms, 0, 0, Misdirected), reply(5*ms, 0, 1, Shed), reply(9*ms, 0, 2, Invalid)},
 			want: []string{
@@ -246,13 +246,13 @@
 	}
 }
 
-// TestUnreachedAttemptsEnd: however many replicas are not reached, a shard's
-// attempts are bounded.
-func TestUnreachedAttemptsEnd(t *testing.T) {
+// Attempts that fail to connect do not count towards the policy's limit, but are
+// bounded by maxAttempts.
+func TestConnectFailuresAreBounded(t *testing.T) {
 	query := New(testPlan(1, func(plan *Plan, _ *policy.Row) { plan.Deadline = time.Hour }))
 	sent, finished := 0, false
 	var at, wake time.Duration
-	feed := func(event Event) {
+	step := func(event Event) {
 		for _, action := range query.Step(at, event) {
 			switch action.Kind {
 			case Send:
@@ -264,12 +264,12 @@
 			}
 		}
 	}
-	feed(Event{Kind: Started})
+	step(Event{Kind: Started})
 	for !finished && sent < 100 {
-		feed(Event{Kind: AttemptCompleted, Attempt: sent - 1, Outcome: ConnectFailed})
+		step(Event{Kind: AttemptCompleted, Attempt: sent - 1, Outcome: ConnectFailed})
 		if !finished {
 			at = wake
-			feed(Event{Kind: TimerFired})
+			step(Event{Kind: TimerFired})
 		}
 	}
 	if !finished || sent > maxAttempts {
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestReservingBudget(t *testing.T) {
+func TestTokenBudgetWithReserve(t *testing.T) {
 	budget := NewTokenBudgetWithReserve(0, 10, 0.2)
 	hedges, retries := 0, 0
 	for budget.WithdrawHedge() {
@@ -291,20 +291,20 @@
 	}
 }
 
-func TestSilentReplicasAreChosenAfterBusyOnes(t *testing.T) {
+func TestChooseReplicaUnresponsive(t *testing.T) {
 	weights := policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}
-	room := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true}
-	saturated, silent, backing := room, room, room
-	saturated.InFlight, silent.Unresponsive, backing.BackingOff = 2, true, true
+	available := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true}
+	saturated, unresponsive, backingOff := available, available, available
+	saturated.InFlight, unresponsive.Unresponsive, backingOff.BackingOff = 2, true, true
 	for _, test := range []struct {
 		name       string
 		candidates []Candidate
 		want       int
 	}{
-		{"room first", []Candidate{silent, room}, 1},
-		{"saturated before silent", []Candidate{silent, saturated}, 1},
-		{"silent before refusing", []Candidate{backing, silent}, 1},
-		{"silent rather than none", []Candidate{silent}, 0},
+		{"available before unresponsive", []Candidate{unresponsive, available}, 1},
+		{"saturated before unresponsive", []Candidate{unresponsive, saturated}, 1},
+		{"unresponsive before backing off", []Candidate{backingOff, unresponsive}, 1},
+		{"unresponsive before none", []Candidate{unresponsive}, 0},
 	} {
 		if got := ChooseReplica(test.candidates, weights, 0); got != test.want {
 			t.Errorf("%s: chose %d, want %d", test.name, got, test.want)
--- a/internal/decision/query_test.go
+++ b/internal/decision/query_test.go
@@ -73,16 +73,16 @@
 	}
 }
 
-// checkTrace plays events and compares the actions, and what became of the
-// shards.
+// checkTrace feeds the events to a query and compares its actions and the status
+// of its shards.
 func checkTrace(t *testing.T, plan Plan, events []timedEvent, want []string, status []ShardStatus) {
 	t.Helper()
 	query := New(plan)
 	if diff := cmp.Diff(want, trace(query, events)); diff != "" {
 		t.Errorf("actions (-want +got):\n%s", diff)
 	}
-	for shard, wanted := range status {
-		if diff := cmp.Diff(wanted, query.Status(shard)); diff != "" {
+	for shard, wantStatus := range status {
+		if diff := cmp.Diff(wantStatus, query.Status(shard)); diff != "" {
 			t.Errorf("shard %d (-want +got):\n%s", shard, diff)
 		}
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	timer := func(at time.Duration) timedEvent { return timedEvent{at, Event{Kind: TimerFired}} }
-	lost := Event{Kind: AttemptCompleted, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
+	snapshotLost := Event{Kind: AttemptCompleted, Shard: 0, Outcome: SnapshotNotHeld, OtherSnapshot: true}
 	cases := []struct {
 		name   string
 		shards int
@@ -105,7 +105,7 @@
 		status []ShardStatus
 	}{
 		{
-			name: "no shards finish at once", want: []string{"0s finish 0"},
+			name: "no shards", want: []string{"0s finish 0"},
 		},
 		{
 			name: "all answer", shards: 2,
@@ -114,7 +114,7 @@
 			status: []ShardStatus{{Answered: true}, {Answered: true}},
 		},
 		{
-			name: "hedge wins and the loser is cancelled; its late reply is ignored", shards: 1, change: hedged,
+			name: "hedge wins, other attempt is canceled, late reply is ignored", shards: 1, change: hedged,
 			events: []timedEvent{timer(10 * ms), reply(12*ms, 0, 1, Success), reply(13*ms, 0, 0, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 10ms", "10ms hedge 0/1 in 90ms", "10ms timer 20ms",
@@ -135,7 +135,7 @@
 			status: []ShardStatus{{Reason: client.MissingTimeout}},
 		},
 		{
-			name: "a hedge without budget is asked for again", shards: 1,
+			name: "denied hedge is requested again", shards: 1,
 			change: func(plan *Plan, row *policy.Row) {
 				hedged(plan, row)
 				plan.Shards[0].Budget = &delayedBudget{denials: 1}
@@ -149,7 +149,7 @@
 			status: []ShardStatus{{Reason: client.MissingTimeout}},
 		},
 		{
-			name: "retry after a failure, up to the attempts", shards: 1,
+			name: "retries up to the attempt limit", shards: 1,
 			events: []timedEvent{reply(1*ms, 0, 0, Failed), reply(2*ms, 0, 1, Shed), reply(3*ms, 0, 2, Invalid)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 100ms", "1ms send 0/1 in 99ms", "2ms send 0/2 in 98ms", "3ms finish 0",
@@ -157,20 +157,20 @@
 			status: []ShardStatus{{Reason: client.MissingInvalidReply}},
 		},
 		{
-			name: "no retry that could not answer in time", shards: 1,
+			name: "no retry that could not complete in time", shards: 1,
 			change: func(plan *Plan, _ *policy.Row) { plan.Shards[0].ExpectedLatency = 20 * ms },
 			events: []timedEvent{reply(80*ms, 0, 0, Failed)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "80ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingFailed}},
 		},
 		{
-			name: "no replica keeps the earlier reason", shards: 1,
+			name: "no replica left keeps the earlier reason", shards: 1,
 			events: []timedEvent{reply(1*ms, 0, 0, Shed), reply(1*ms, 0, 1, NoReplica)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "1ms send 0/1 in 99ms", "1ms finish 0"},
 			status: []ShardStatus{{Reason: client.MissingShed}},
 		},
 		{
-			name: "a failed attempt waits for the hedge in flight", shards: 1, change: hedged,
+			name: "failed attempt waits for hedge in flight", shards: 1, change: hedged,
 			events: []timedEvent{timer(10 * ms), reply(11*ms, 0, 0, Failed), reply(12*ms, 0, 1, Success)},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s timer 10ms", "10ms hedge 0/1 in 90ms", "10ms timer 20ms", "12ms finish 0",
@@ -178,7 +178,7 @@
 			status: []ShardStatus{{Answered: true}},
 		},
 		{
-			name: "grace after the target", shards: 2,
+			name: "grace period after the target", shards: 2,
 			change: func(_ *Plan, row *policy.Row) {
 				row.Completeness = policy.Completeness{Target: 0.5, Grace: policy.Duration(5 * ms)}
 			},
@@ -190,22 +190,22 @@
 			status: []ShardStatus{{Answered: true}, {Reason: client.MissingComplete}},
 		},
 		{
-			name: "caller gives up", shards: 1,
+			name: "caller cancels", shards: 1,
 			events: []timedEvent{{5 * ms, Event{Kind: Canceled}}, reply(6*ms, 0, 0, Success)},
 			want:   []string{"0s send 0/0 in 100ms", "0s timer 100ms", "5ms cancel 0/0", "5ms finish 3"},
 			status: []ShardStatus{{Reason: client.MissingTimeout}},
 		},
 		{
-			name: "snapshot lost with another to go to", shards: 2,
+			name: "snapshot lost with another available", shards: 2,
 			change: func(_ *Plan, row *policy.Row) { row.Retry.Attempts = 1 },
-			events: []timedEvent{{5 * ms, lost}},
+			events: []timedEvent{{5 * ms, snapshotLost}},
 			want: []string{
 				"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s timer 100ms", "5ms cancel 1/0", "5ms finish 4",
 			},
 			status: []ShardStatus{{Reason: client.MissingSnapshot}, {Reason: client.MissingSnapshot}},
 		},
 		{
-			name: "duplicate reply counts once", shards: 2,
+			name: "duplicate reply is ignored", shards: 2,
 			events: []timedEvent{reply(1*ms, 0, 0, Success), reply(2*ms, 0, 0, Success)},
 			want:   []string{"0s send 0/0 in 100ms", "0s send 1/0 in 100ms", "0s timer 100ms"},
 			status: []ShardStatus{{Answered: true}, {}},
@@ -218,7 +218,7 @@
 	}
 }
 
-// delayedBudget refuses a number of hedges and then grants them.
+// delayedBudget denies a number of hedges before it grants them.
 type delayedBudget struct{ denials int }
 
 func (b *delayedBudget) Deposit()       {}
@@ -228,7 +228,7 @@
 	return b.denials < 0
 }
 
-func TestHedgesLeaveHalfTheBurstToRetries(t *testing.T) {
+func TestTokenBudgetDefaultReserve(t *testing.T) {
 	budget := NewTokenBudget(0, 4)
 	hedges, retries := 0, 0
 	for budget.WithdrawHedge() {
@@ -244,22 +244,22 @@
 
 func TestTokenBudget(t *testing.T) {
 	budget := NewTokenBudget(0.25, 2)
-	taken := 0
+	withdrawn := 0
 	for budget.Withdraw() {
-		taken++
+		withdrawn++
 	}
 	for range 8 {
 		budget.Deposit()
 	}
 	for budget.Withdraw() {
-		taken++
+		withdrawn++
 	}
-	if taken != 4 {
-		t.Errorf("withdrew %d tokens, want 2 saved and 2 earned", taken)
+	if withdrawn != 4 {
+		t.Errorf("withdrew %d tokens, want 2 initial and 2 deposited", withdrawn)
 	}
 }
 
-// BenchmarkQuery runs the core of a query to 390 shards that all answer.
+// BenchmarkQuery measures a query of 390 shards that all answer.
 func BenchmarkQuery(b *testing.B) {
 	const shards = 390
 	plan := testPlan(shards, func(plan *Plan, _ *policy.Row) {
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestSelectShards(t *testing.T) {
-	busHolder, ferryHolder := catalogue.ShardOf("1234", 3), catalogue.ShardOf("1234", 2)
+	busOwner, ferryOwner := catalogue.ShardOf("1234", 3), catalogue.ShardOf("1234", 2)
 	cases := []struct {
 		name   string
 		query  client.Query
@@ -29,25 +29,25 @@
 		asked  []string
 		reason map[client.MissingReason]int
 	}{
-		{name: "phrase asks all", query: client.Query{Phrase: "x"}, asked: []string{"bus/0", "bus/1", "bus/2", "ferry/0", "ferry/1"}},
+		{name: "phrase asks all shards", query: client.Query{Phrase: "x"}, asked: []string{"bus/0", "bus/1", "bus/2", "ferry/0", "ferry/1"}},
 		{
-			name: "card asks its holder in each index", query: client.Query{Card: "1234"},
-			asked:  []string{fmt.Sprint("bus/", busHolder), fmt.Sprint("ferry/", ferryHolder)},
+			name: "card asks its shard in each index", query: client.Query{Card: "1234"},
+			asked:  []string{fmt.Sprint("bus/", busOwner), fmt.Sprint("ferry/", ferryOwner)},
 			reason: map[client.MissingReason]int{client.NotAskedKey: 3},
 		},
 		{
-			name: "broadcast asks all for a card", query: client.Query{Card: "1234"},
+			name: "broadcast asks all shards for a card", query: client.Query{Card: "1234"},
 			change: func(row *policy.Row) { row.Shards.Selection = policy.SelectBroadcast },
 			asked:  []string{"bus/0", "bus/1", "bus/2", "ferry/0", "ferry/1"},
 		},
 		{
-			name: "weight 0 leaves an index out", query: client.Query{Phrase: "x"},
+			name: "weight 0 excludes an index", query: client.Query{Phrase: "x"},
 			change: func(row *policy.Row) { row.Shards.IndexWeights = map[string]float64{"bus": 0} },
 			asked:  []string{"ferry/0", "ferry/1"},
 			reason: map[client.MissingReason]int{client.NotAskedPolicy: 3},
 		},
 		{
-			name: "an index that is not wanted is not mentioned", query: client.Query{Phrase: "x", Indexes: []string{"ferry"}},
+			name: "unsearched index is not reported", query: client.Query{Phrase: "x", Indexes: []string{"ferry"}},
 			asked: []string{"ferry/0", "ferry/1"},
 		},
 	}
@@ -57,13 +57,13 @@
 			if test.change != nil {
 				test.change(row)
 			}
-			selected := SelectShards(testSnapshot(), row, &test.query, "id")
+			selection := SelectShards(testSnapshot(), row, &test.query, "id")
 			var asked []string
-			for _, shard := range selected.Asked {
+			for _, shard := range selection.Asked {
 				asked = append(asked, fmt.Sprint(shard.Index, "/", shard.Shard))
 			}
 			reasons := map[client.MissingReason]int{}
-			for _, report := range selected.NotAsked {
+			for _, report := range selection.NotAsked {
 				reasons[report.Reason]++
 			}
 			if test.reason == nil {
@@ -90,10 +90,10 @@
 		first := SelectShards(testSnapshot(), row, &client.Query{Phrase: "x"}, id)
 		second := SelectShards(testSnapshot(), row, &client.Query{Phrase: "x"}, id)
 		if diff := cmp.Diff(first, second); diff != "" {
-			t.Fatalf("the same query selects differently:\n%s", diff)
+			t.Fatalf("selections of the same query differ:\n%s", diff)
 		}
 		if len(first.Asked) != 2 || len(first.NotAsked) != 3 {
-			t.Fatalf("asked %d and left out %d, want 2 and 3", len(first.Asked), len(first.NotAsked))
+			t.Fatalf("%d shards asked and %d not asked, want 2 and 3", len(first.Asked), len(first.NotAsked))
 		}
 		for _, shard := range first.Asked {
 			if shard.Index == "ferry" {
@@ -102,7 +102,7 @@
 		}
 	}
 	if share := float64(ferry) / (2 * queries); share < 0.7 {
-		t.Errorf("the heavier index got a share of %.2f", share)
+		t.Errorf("share of the heavier index is %.2f, want at least 0.70", share)
 	}
 }
 
@@ -121,28 +121,28 @@
 	unconnected := with(near, func(c *Candidate) { c.ConnectionAvailable = false })
 	slow := with(near, func(c *Candidate) { c.LatencyEWMA = 20 * time.Millisecond })
 	cold := with(near, func(c *Candidate) { c.Warmth = 0 })
-	backing := with(near, func(c *Candidate) { c.BackingOff = true })
+	backingOff := with(near, func(c *Candidate) { c.BackingOff = true })
 	busy := with(near, func(c *Candidate) { c.ReportedLoad = 9 })
-	barred := with(near, func(c *Candidate) { c.Excluded = true })
+	excluded := with(near, func(c *Candidate) { c.Excluded = true })
 	cases := []struct {
 		name       string
 		candidates []Candidate
 		want       int
 	}{
 		{"none", nil, NoCandidate},
-		{"refusing spills to the region", []Candidate{backing, region}, 1},
-		{"saturated before refusing", []Candidate{backing, saturated}, 1},
-		{"refusing before ejected", []Candidate{ejected, backing}, 1},
+		{"backing off spills to the region", []Candidate{backingOff, region}, 1},
+		{"saturated before backing off", []Candidate{backingOff, saturated}, 1},
+		{"backing off before ejected", []Candidate{ejected, backingOff}, 1},
 		{"slow spills to the region", []Candidate{slow, region}, 1},
 		{"queueing spills to the region", []Candidate{busy, region}, 1},
 		{"nearest first", []Candidate{region, near}, 1},
 		{"saturated spills to the region", []Candidate{saturated, region}, 1},
 		{"ejected spills to the region", []Candidate{ejected, region}, 1},
 		{"saturated before ejected", []Candidate{ejected, saturated}, 1},
-		{"ejected rather than none", []Candidate{ejected, tried}, 0},
+		{"ejected before none", []Candidate{ejected, tried}, 0},
 		{"weight 0 is never used", []Candidate{far}, NoCandidate},
-		{"barred is never used, though the other is ejected", []Candidate{barred, ejected}, 1},
-		{"barred is never used, though there is no other", []Candidate{barred, barred}, NoCandidate},
+		{"excluded is never used, even before ejected", []Candidate{excluded, ejected}, 1},
+		{"excluded is never used, even without an alternative", []Candidate{excluded, excluded}, NoCandidate},
 		{"tried is never used", []Candidate{tried}, NoCandidate},
 		{"no connection is never used", []Candidate{unconnected}, NoCandidate},
 		{"slow loses to fast", []Candidate{slow, near}, 1},
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestChooseAnother(t *testing.T) {
+func TestChooseAlternate(t *testing.T) {
 	weights := policy.Replicas{ZoneWeight: 1}
 	near := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true}
 	cases := []struct {
@@ -167,9 +167,9 @@
 		change func(*Candidate)
 		want   int
 	}{
-		{"with room", func(*Candidate) {}, 0},
+		{"available", func(*Candidate) {}, 0},
 		{"saturated", func(c *Candidate) { c.InFlight = 2 }, 0},
-		{"refusing", func(c *Candidate) { c.BackingOff = true }, NoCandidate},
+		{"backing off", func(c *Candidate) { c.BackingOff = true }, NoCandidate},
 		{"ejected", func(c *Candidate) { c.Ejected = true }, NoCandidate},
 		{"tried", func(c *Candidate) { c.Tried = true }, NoCandidate},
 	}
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestRingsAreWeighed(t *testing.T) {
+func TestChooseReplicaDistanceWeights(t *testing.T) {
 	near := Candidate{Limit: 2, Slots: 2, Warmth: 1, ConnectionAvailable: true, LatencyEWMA: 30 * time.Millisecond}
 	region := near
 	region.Distance = topology.SameRegion
@@ -195,7 +195,7 @@
 	}{{4, 0}, {2, 1}} {
 		weights := policy.Replicas{ZoneWeight: test.zoneWeight, RegionWeight: 1}
 		if got := ChooseReplica([]Candidate{near, region}, weights, 0); got != test.want {
-			t.Errorf("with zone weight %g, a near replica 3 times slower: chose %d, want %d", test.zoneWeight, got, test.want)
+			t.Errorf("zone weight %g, near replica 3 times slower: chose %d, want %d", test.zoneWeight, got, test.want)
 		}
 	}
 }
