--- a/internal/decision/budget_test.go
+++ b/internal/decision/budget_test.go
@@ -13,7 +13,7 @@
 		budget.Deposit()
 	}
 	if !budget.WithdrawHedge() {
-		t.Error("hedge denied after one token was earned")
+		t.Error("hedge denied after one token was deposited")
 	}
 	for range 100 {
 		budget.Deposit()
--- a/internal/decision/cold.go
+++ b/internal/decision/cold.go
@@ -13,11 +13,11 @@
 
 // Rate returns the number of requests per second that all nodes together may send
 // to a cold replica of a given capacity, 0 if the capacity is not configured.
-func (b ColdRateLimit) Rate(capacity float64) int {
+func (l ColdRateLimit) Rate(capacity float64) int {
 	if capacity <= 0 {
 		return 0
 	}
-	return max(1, int(coldUtilization*(capacity*max(1, b.Overage)+b.Slack)))
+	return max(1, int(coldUtilization*(capacity*max(1, l.Overage)+l.Slack)))
 }
 
 // ColdRateShare returns the share of a cold replica's rate that belongs to the
--- a/internal/policy/index_test.go
+++ b/internal/policy/index_test.go
@@ -49,6 +49,6 @@
 	}
 	const want, tolerance = callers * 3 / 4, callers / 50
 	if got < want-tolerance || got > want+tolerance {
-		t.Errorf("%d of %d callers got the policy with 3/4 of the weight, want %d ± %d", got, callers, want, tolerance)
+		t.Errorf("%d of %d callers got the policy with 3/4 of the weight, want %d within %d", got, callers, want, tolerance)
 	}
 }
