--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -6,122 +6,122 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// A shard that has not settled is in one of three states:
+// A shard is in one of these states:
 //
-//	in flight   an attempt runs; at nextAt a hedge joins it, if the budget allows
-//	postponed   none runs; at nextAt the next one is sent
+//	in flight   an attempt is in flight; at nextAt a hedge is sent, if the budget allows
+//	postponed   no attempt is in flight; at nextAt the next one is sent
+//	suspended   nothing is sent until a canary has completed (see crashState)
 //	settled     it has answered, or no further attempt is allowed
 //
-// An attempt that fails leads from in flight to the next attempt at once (mayRetry),
-// one that was not sent to postponed (retryLater), and so does one that found
-// all replicas busy (postpone). What is due is sent by fire.
+// A failed attempt is retried at once (acquireRetry). One that was not sent
+// (scheduleRetry), or that found all replicas busy (postpone), is retried after a
+// delay. sendDue sends what is due.
 
-// dispatched sets the hedge by what is usual for the chosen replica.
+// dispatched replaces the hedge delay by that of the chosen replica.
 func (q *Query) dispatched(now time.Duration, event Event) {
 	state := &q.shards[event.Shard]
 	latest := event.Attempt == state.sent-1
 	if event.HedgeDelay <= 0 || !latest || state.settled {
 		return
 	}
-	if !q.mayHedge(state) {
-		state.diagnosis.HedgeDenial = q.whyNoHedge(state)
+	if !q.canHedge(state) {
+		state.diagnosis.HedgeDenial = q.hedgeDenial(state)
 		return
 	}
 	state.nextAt = now + event.HedgeDelay
 	state.nextDelay = event.HedgeDelay
-	q.wakeBy(state.nextAt)
+	q.advanceTimer(state.nextAt)
 }
 
-// mayHedge is true while another attempt beside those in flight is allowed.
-func (q *Query) mayHedge(state *shardState) bool {
-	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgeOff && state.attempts < q.attemptLimit() && state.sent < maxAttempts
+// canHedge reports whether the plan and the attempt limit allow a hedge.
+func (q *Query) canHedge(state *shardState) bool {
+	return !q.plan.AtMostOnce && !q.plan.NoHedges && !state.hedgingDisabled && state.attempts < q.attemptLimit() && state.sent < maxAttempts
 }
 
-// whyNoHedge explains mayHedge.
-func (q *Query) whyNoHedge(state *shardState) HedgeDenial {
+// hedgeDenial returns the reason why canHedge is false.
+func (q *Query) hedgeDenial(state *shardState) HedgeDenial {
 	switch {
 	case q.plan.NoHedges:
 		return DeniedOverload
-	case state.hedgeOff:
+	case state.hedgingDisabled:
 		return DeniedNoReplica
 	default:
 		return DeniedAttempts
 	}
 }
 
-// The wait before a sub-request that found all replicas busy is tried again:
-// a part of the usual time of a reply, within bounds.
+// The delay before retrying a sub-request that found all replicas busy: a
+// fraction of the expected latency, within bounds.
 const (
-	busyShare   = 4
-	busyAtLeast = 2 * time.Millisecond
-	busyAtMost  = 20 * time.Millisecond
+	busyDelayDivisor = 4
+	minBusyDelay     = 2 * time.Millisecond
+	maxBusyDelay     = 20 * time.Millisecond
 )
 
-// postpone takes an attempt back that was not sent, as all replicas were busy,
-// and sets the time to try again. It returns false when there would be no time
-// left then.
+// postpone takes back an attempt that was not sent because all replicas were
+// busy, and schedules the next one. It returns false if that would be too late.
 func (q *Query) postpone(now time.Duration, state *shardState, shard int) bool {
 	state.sent--
 	state.attempts--
-	wait := min(max(q.plan.Shards[shard].ExpectedLatency/busyShare, busyAtLeast), busyAtMost)
-	if state.inFlight == 0 && !q.mayAttempt(now+wait, shard) {
+	delay := min(max(q.plan.Shards[shard].ExpectedLatency/busyDelayDivisor, minBusyDelay), maxBusyDelay)
+	if state.inFlight == 0 && !q.canAttempt(now+delay, shard) {
 		return false
 	}
-	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+wait > q.plan.DispatchDeadline {
+	if q.plan.DispatchDeadline > 0 && len(q.shards) == 1 && state.attempts == 0 && now+delay > q.plan.DispatchDeadline {
 		return false
 	}
-	state.nextAt = now + wait
-	state.nextDelay = wait
+	state.nextAt = now + delay
+	state.nextDelay = delay
 	state.postponed = state.inFlight == 0
-	q.wakeBy(state.nextAt)
+	q.advanceTimer(state.nextAt)
 	return true
 }
 
-// The wait after an attempt that was not sent, before the next: it doubles with each, as
-// a replica that is full needs time.
+// The exponential backoff after attempts that were not sent, which gives a
+// replica at its connection limit time to recover.
 const (
-	unsentWait        = 20 * time.Millisecond
-	unsentWaitAtMost  = 200 * time.Millisecond
-	unsentWaitDoubles = 4
+	minUnsentDelay     = 20 * time.Millisecond
+	maxUnsentDelay     = 200 * time.Millisecond
+	maxUnsentDoublings = 4
 )
 
-// retryLater sets the time for another attempt after one that was not sent. It returns
-// false when there can be no other.
-func (q *Query) retryLater(now time.Duration, event Event) bool {
+// scheduleRetry schedules another attempt after one that was not sent. It returns
+// false if no further attempt is allowed.
+func (q *Query) scheduleRetry(now time.Duration, event Event) bool {
 	state := &q.shards[event.Shard]
-	wait := min(unsentWait<<min(state.unsent, unsentWaitDoubles), unsentWaitAtMost)
+	delay := min(minUnsentDelay<<min(state.unsent, maxUnsentDoublings), maxUnsentDelay)
 	if event.Outcome == ConnectFailed && state.unsent == 0 {
-		wait = 0 // most likely that process has ended, and others have not
+		delay = 0 // the other replicas are most likely reachable
 	}
-	if !q.mayAttempt(now+wait, event.Shard) {
+	if !q.canAttempt(now+delay, event.Shard) {
 		return false
 	}
 	state.unsent++
-	state.status.Reason = reasonAfter(state.status.Reason, event.Outcome)
-	if wait == 0 && state.inFlight == 0 {
-		q.send(now, event.Shard, event.Outcome.repeatCause())
+	state.status.Reason = mergeReason(state.status.Reason, event.Outcome)
+	if delay == 0 && state.inFlight == 0 {
+		q.send(now, event.Shard, event.Outcome.retryCause())
 		return true
 	}
-	state.nextAt = now + wait
-	state.nextDelay = max(wait, unsentWait) // the budget that denies it then is no better off at once
+	state.nextAt = now + delay
+	state.nextDelay = max(delay, minUnsentDelay) // a budget that denies it needs time to refill
 	state.postponed = state.inFlight == 0
-	state.cause = event.Outcome.repeatCause()
-	q.wakeBy(state.nextAt)
+	state.cause = event.Outcome.retryCause()
+	q.advanceTimer(state.nextAt)
 	return true
 }
 
 func (q *Query) attemptLimit() int { return min(q.plan.Policy.Retry.Attempts, maxAttempts) }
 
-// reasonAfter keeps the reason of an attempt that reached a replica when a
-// later one finds no replica left.
-func reasonAfter(earlier client.MissingReason, outcome Outcome) client.MissingReason {
+// mergeReason returns the missing reason after an outcome. An earlier reason is
+// kept if no replica was left for the latest attempt.
+func mergeReason(earlier client.MissingReason, outcome Outcome) client.MissingReason {
 	if outcome == NoReplica && earlier != "" {
 		return earlier
 	}
-	return outcome.missing()
+	return outcome.missingReason()
 }
 
-func (o Outcome) missing() client.MissingReason {
+func (o Outcome) missingReason() client.MissingReason {
 	switch o {
 	case Shed, Draining, Misdirected:
 		return client.MissingShed
@@ -138,8 +138,10 @@
 	}
 }
 
-func (q *Query) mayRetry(now time.Duration, shard int, outcome Outcome) bool {
-	if outcome == DeadlineExceeded || !q.mayAttempt(now, shard) {
+// acquireRetry reports whether a retry after an outcome is allowed, and withdraws
+// it from the budget.
+func (q *Query) acquireRetry(now time.Duration, shard int, outcome Outcome) bool {
+	if outcome == DeadlineExceeded || !q.canAttempt(now, shard) {
 		return false
 	}
 	if q.plan.AtMostOnce && !outcome.provesNotRun() {
@@ -148,16 +150,19 @@
 	return q.withdraw(shard)
 }
 
-func (q *Query) mayAttempt(now time.Duration, shard int) bool {
+// canAttempt reports whether the attempt limit and the time left allow an attempt
+// that is sent at now.
+func (q *Query) canAttempt(now time.Duration, shard int) bool {
 	if q.shards[shard].attempts >= q.attemptLimit() || q.shards[shard].sent >= maxAttempts {
 		return false
 	}
-	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceAt, q.answerBy(now))
+	return now+q.plan.Shards[shard].ExpectedLatency < min(q.plan.Deadline, q.graceEnd, q.softDeadline(now))
 }
 
-// answerBy is when the query ends if no more shards answer.
-func (q *Query) answerBy(now time.Duration) time.Duration {
-	if q.mayAnswer() && now < q.plan.SoftDeadline {
+// softDeadline returns when the query finishes if no more shards answer, never if
+// too few have answered.
+func (q *Query) softDeadline(now time.Duration) time.Duration {
+	if q.canAnswer() && now < q.plan.SoftDeadline {
 		return q.plan.SoftDeadline
 	}
 	return never
@@ -173,15 +178,15 @@
 	return budget != nil && budget.WithdrawHedge()
 }
 
-// fire sends the hedges that are due.
-func (q *Query) fire(now time.Duration) {
+// sendDue sends the hedges and postponed attempts that are due.
+func (q *Query) sendDue(now time.Duration) {
 	for i := range q.shards {
 		state := &q.shards[i]
 		if state.settled || state.nextAt > now {
 			continue
 		}
-		if q.mustWait(i) {
-			q.waitForCanary(now, i)
+		if q.mustAwaitCanary(i) {
+			q.deferForCanary(now, i)
 			continue
 		}
 		state.nextAt = never
@@ -191,36 +196,36 @@
 			continue
 		}
 		switch {
-		case !q.mayAttempt(now, i):
+		case !q.canAttempt(now, i):
 			state.diagnosis.HedgeDenial = DeniedDeadline
 		case q.withdrawHedge(i):
 			q.send(now, i, CauseHedge)
 		default:
 			state.diagnosis.HedgeDenial = DeniedBudget
-			state.nextAt = now + state.nextDelay // the budget may be better off then
+			state.nextAt = now + state.nextDelay // the budget may have refilled by then
 		}
 	}
 }
 
-// mustWait tells whether what is due for a shard has to wait for a canary. A canary of its
-// own that is late may have a hedge, as its replica may be silent for long.
-func (q *Query) mustWait(shard int) bool {
-	return q.cautious && shard != q.canary && (q.canaryInFlight() || !q.shards[shard].postponed)
+// mustAwaitCanary reports whether what is due for a shard has to wait for a
+// canary. A late canary may itself be hedged, as its replica may be unresponsive.
+func (q *Query) mustAwaitCanary(shard int) bool {
+	return q.canaryMode && shard != q.canaryShard && (q.canaryInFlight() || !q.shards[shard].postponed)
 }
 
-// waitForCanary puts off what is due for a shard: a hedge is looked at again later, and a
-// repeat is held back.
-func (q *Query) waitForCanary(now time.Duration, shard int) {
+// deferForCanary delays a hedge that is due, or suspends a shard whose postponed
+// attempt is due.
+func (q *Query) deferForCanary(now time.Duration, shard int) {
 	state := &q.shards[shard]
 	if state.postponed {
-		state.hold()
+		state.suspend()
 		return
 	}
 	state.diagnosis.HedgeDenial = DeniedCrashes
-	state.nextAt = now + max(state.nextDelay, busyAtMost)
+	state.nextAt = now + max(state.nextDelay, maxBusyDelay)
 }
 
-func (q *Query) nextTime(shard int) time.Duration {
+func (q *Query) nextDue(shard int) time.Duration {
 	if q.shards[shard].settled {
 		return never
 	}
