--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -117,7 +117,7 @@
 	announcer *announce.Announcer
 	// quarantine is nil when it is off.
 	quarantine *quarantine.List
-	keeper     *quarantine.Keeper
+	keeper     *quarantine.Persister
 	follower   *follower.Follower
 	registry   *registry.Registry
 	// meter tells for how long this process has run.
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -30,7 +30,7 @@
 		Caller: netip.MustParseAddr("2001:db8:1111:2222:3333:4444:5555:6666"),
 	}
 	told := 0
-	list := quarantine.New(quarantine.Config{Tell: func(record quarantine.Record) {
+	list := quarantine.New(quarantine.Config{Broadcast: func(record quarantine.Record) {
 		told++
 		notice, err := msgpack.Marshal(&record)
 		if err != nil {
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -25,10 +25,10 @@
 		return
 	}
 	n.quarantine = quarantine.New(quarantine.Config{
-		For: n.settings.Quarantine.For, Most: n.settings.Quarantine.Most,
-		Tell: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
+		Duration: n.settings.Quarantine.For, MaxEntries: n.settings.Quarantine.Most,
+		Broadcast: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
 	})
-	n.keeper = quarantine.NewKeeper(quarantine.KeeperConfig{
+	n.keeper = quarantine.NewPersister(quarantine.PersisterConfig{
 		Store: source, Prefix: n.platform.Keys.Quarantine, List: n.quarantine, Rank: n.rank, Logger: n.logger,
 	})
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -29,14 +29,14 @@
 
 // Config is what a List is made of. Zero values take defaults.
 type Config struct {
-	// For is for how long a request is refused, Most the number of requests that are
+	// Duration is for how long a request is refused, Most the number of requests that are
 	// known. Beyond it the suspect that is forgotten soonest makes room, and a new one is
 	// not kept when all are quarantined.
-	For  time.Duration
-	Most int
-	// Tell tells other nodes of a request; nil means that there are none. It must not
+	Duration   time.Duration
+	MaxEntries int
+	// Broadcast tells other nodes of a request; nil means that there are none. It must not
 	// block.
-	Tell       func(record Record)
+	Broadcast  func(record Record)
 	Registerer prometheus.Registerer
 	Logger     *slog.Logger
 	Now        func() time.Time
@@ -80,14 +80,14 @@
 
 // New makes a List.
 func New(config Config) *List {
-	if config.For <= 0 {
-		config.For = DefaultFor
+	if config.Duration <= 0 {
+		config.Duration = DefaultDuration
 	}
-	if config.Most <= 0 {
-		config.Most = DefaultMost
+	if config.MaxEntries <= 0 {
+		config.MaxEntries = DefaultMaxEntries
 	}
-	if config.Tell == nil {
-		config.Tell = func(Record) {}
+	if config.Broadcast == nil {
+		config.Broadcast = func(Record) {}
 	}
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -165,7 +165,7 @@
 	known.quarantined, known.stored, known.own = false, false, false
 	known.record.RefuseMilliseconds = 0
 	known.record.setEvidence(known.record.Evidence().Lapsed())
-	known.until = l.config.Now().Add(l.config.For)
+	known.until = l.config.Now().Add(l.config.Duration)
 	l.log("quarantine is over; the request will be tried on one replica", &known.record)
 }
 
@@ -198,7 +198,7 @@
 	}
 	if evidence.Convicts() || l.told.AllowN(l.config.Now(), 1) {
 		known.told = true
-		l.config.Tell(known.record)
+		l.config.Broadcast(known.record)
 	}
 }
 
@@ -215,13 +215,13 @@
 		return
 	}
 	record := known.record
-	record.RefuseMilliseconds = l.config.For.Milliseconds()
+	record.RefuseMilliseconds = l.config.Duration.Milliseconds()
 	l.merge(record)
 	known.own = true
 	l.metrics.found.Inc()
 	l.log("request quarantined: replicas end by running it", &known.record)
 	l.wakeKeeper()
-	l.config.Tell(known.record)
+	l.config.Broadcast(known.record)
 }
 
 // Contested tells whether all replicas that ended by canaries of a request have ended by those
@@ -273,7 +273,7 @@
 	}
 	if known.quarantined {
 		l.log("request released: a replica has answered it", &known.record)
-		l.config.Tell(Record{Identity: identity, Released: true})
+		l.config.Broadcast(Record{Identity: identity, Released: true})
 	}
 	l.remove(identity)
 }
@@ -284,7 +284,7 @@
 	if l == nil {
 		return false
 	}
-	record.RefuseMilliseconds = min(record.RefuseMilliseconds, l.config.For.Milliseconds())
+	record.RefuseMilliseconds = min(record.RefuseMilliseconds, l.config.Duration.Milliseconds())
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if record.Released {
@@ -333,7 +333,7 @@
 
 // makeRoom tells whether there is room for another entry, and makes some if there is not.
 func (l *List) makeRoom() bool {
-	if len(l.entries) < l.config.Most {
+	if len(l.entries) < l.config.MaxEntries {
 		return true
 	}
 	var soonest *entry
@@ -367,7 +367,7 @@
 	if !l.release(identity) {
 		return false
 	}
-	l.config.Tell(Record{Identity: identity, Released: true})
+	l.config.Broadcast(Record{Identity: identity, Released: true})
 	return true
 }
 
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -78,7 +78,7 @@
 func newTestList(change func(*Config)) (*List, *clock, *[]Record) {
 	time0 := &clock{now: time.Unix(1000, 0)}
 	told := &[]Record{}
-	config := Config{Now: time0.read, Tell: func(record Record) { *told = append(*told, record) }}
+	config := Config{Now: time0.read, Broadcast: func(record Record) { *told = append(*told, record) }}
 	if change != nil {
 		change(&config)
 	}
@@ -110,10 +110,10 @@
 	}
 	list.Convict(message(nil))
 	list.Convict(message(nil))
-	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultFor {
+	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultDuration {
 		t.Fatalf("quarantined: %+v", got)
 	}
-	if len(*told) != 3 || (*told)[1].RefuseMilliseconds != 0 || (*told)[2].RefuseFor() != DefaultFor {
+	if len(*told) != 3 || (*told)[1].RefuseMilliseconds != 0 || (*told)[2].RefuseFor() != DefaultDuration {
 		t.Errorf("told: %+v", *told)
 	}
 	if got := list.Quarantined(target(1)); got {
@@ -122,7 +122,7 @@
 	if other := list.Suspicion(target(1)); other != (Suspicion{}) {
 		t.Errorf("another request: %+v", other)
 	}
-	now.now = now.now.Add(DefaultFor)
+	now.now = now.now.Add(DefaultDuration)
 	got := list.Suspicion(message(nil))
 	if got.RefuseFor != 0 || !got.Evidence.Suspects() || got.Evidence.Convicts() {
 		t.Fatalf("after its time: %+v", got)
@@ -167,7 +167,7 @@
 	if !list.Hear(record) || list.Hear(record) {
 		t.Error("it is not news exactly once")
 	}
-	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultFor {
+	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultDuration {
 		t.Errorf("heard of: %+v", got)
 	}
 	if len(*told) != 0 || len(list.unstored(-1)) != 0 || len(list.unstored(0)) != 1 || len(from.unstored(-1)) != 1 {
@@ -187,7 +187,7 @@
 // TestTheListIsBounded: suspects make room for others, what is quarantined does not.
 func TestTheListIsBounded(t *testing.T) {
 	const most = 8
-	list, now, told := newTestList(func(config *Config) { config.Most = most })
+	list, now, told := newTestList(func(config *Config) { config.MaxEntries = most })
 	for n := range 3 * most {
 		now.now = now.now.Add(time.Millisecond)
 		list.Note(target(n), testRoute, "", suspected)
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/persister.go
@@ -18,8 +18,8 @@
 	store.Leaser
 }
 
-// KeeperConfig is what a Keeper is made of.
-type KeeperConfig struct {
+// PersisterConfig is what a Keeper is made of.
+type PersisterConfig struct {
 	Store Store
 	// Prefix begins the keys; the rest is the identity.
 	Prefix string
@@ -29,21 +29,21 @@
 	Logger *slog.Logger
 }
 
-// Keeper writes what is quarantined into the store, so that it outlasts the loss of all
+// Persister writes what is quarantined into the store, so that it outlasts the loss of all
 // nodes, and reaches those that start later or cannot be reached by the others. Without a
 // quarantined request it calls nothing.
-type Keeper struct {
-	config KeeperConfig
+type Persister struct {
+	config PersisterConfig
 	// pause is the wait after a call that has failed; it doubles.
 	pause time.Duration
 }
 
-// NewKeeper makes a Keeper.
-func NewKeeper(config KeeperConfig) *Keeper {
+// NewPersister makes a Keeper.
+func NewPersister(config PersisterConfig) *Persister {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Keeper{config: config}
+	return &Persister{config: config}
 }
 
 // The times of a Keeper.
@@ -64,7 +64,7 @@
 )
 
 // Run writes until ctx ends, and returns nil then.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Persister) Run(ctx context.Context) error {
 	ticker := time.NewTicker(keepInterval)
 	defer ticker.Stop()
 	for {
@@ -84,7 +84,7 @@
 
 // wait is how long after it has heard of a request this node writes it in place of another;
 // negative means never.
-func (k *Keeper) wait() time.Duration {
+func (k *Persister) wait() time.Duration {
 	rank := k.config.Rank()
 	if rank >= standIns {
 		return -1
@@ -93,7 +93,7 @@
 }
 
 // keep writes a record, and pauses after a failure.
-func (k *Keeper) keep(ctx context.Context, record Record) bool {
+func (k *Persister) keep(ctx context.Context, record Record) bool {
 	err := k.write(ctx, record)
 	if err == nil {
 		k.pause = 0
@@ -115,7 +115,7 @@
 
 // write puts a record under a lease that ends with the quarantine. Writing it twice does no
 // harm.
-func (k *Keeper) write(ctx context.Context, record Record) error {
+func (k *Persister) write(ctx context.Context, record Record) error {
 	lease, err := k.config.Store.Grant(ctx, max(record.RefuseFor(), time.Second))
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 	return k.put(ctx, record, lease)
 }
 
-func (k *Keeper) put(ctx context.Context, record Record, lease store.Lease) error {
+func (k *Persister) put(ctx context.Context, record Record, lease store.Lease) error {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return eris.Wrap(err, "encode a quarantined request")
@@ -137,8 +137,8 @@
 // Release ends the quarantine of a request on all nodes. The store is told first: a node that
 // hears nothing else follows it. The entry stays there as released for as long as a
 // quarantine lasts, so that no node writes it again.
-func (k *Keeper) Release(ctx context.Context, identity Identity) error {
-	lease, err := k.config.Store.Grant(ctx, k.config.List.config.For)
+func (k *Persister) Release(ctx context.Context, identity Identity) error {
+	lease, err := k.config.Store.Grant(ctx, k.config.List.config.Duration)
 	if err != nil {
 		return eris.Wrap(err, "release a request")
 	}
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/persister_test.go
@@ -66,13 +66,13 @@
 }
 
 // keep runs a Keeper of a rank on a virtual clock.
-func keep(t *testing.T, rank int, play func(kept *fakeStore, list *List, keeper *Keeper)) {
+func keep(t *testing.T, rank int, play func(kept *fakeStore, list *List, keeper *Persister)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		kept := &fakeStore{written: map[string][]byte{}}
 		list := New(Config{})
-		keeper := NewKeeper(KeeperConfig{Store: kept, Prefix: "q/", List: list, Rank: func() int { return rank }})
+		keeper := NewPersister(PersisterConfig{Store: kept, Prefix: "q/", List: list, Rank: func() int { return rank }})
 		ended := make(chan error)
 		go func() { ended <- keeper.Run(ctx) }()
 		play(kept, list, keeper)
@@ -88,7 +88,7 @@
 // TestWhatIsFoundIsWritten: at once, also after the store was away, and adopted by a node
 // that knows nothing; without it, nothing is called.
 func TestWhatIsFoundIsWritten(t *testing.T) {
-	keep(t, standIns, func(kept *fakeStore, list *List, _ *Keeper) {
+	keep(t, standIns, func(kept *fakeStore, list *List, _ *Persister) {
 		time.Sleep(time.Minute)
 		if _, calls := kept.value(key); calls != 0 {
 			t.Errorf("%d calls without a quarantined request", calls)
@@ -103,7 +103,7 @@
 		time.Sleep(2 * longestPause)
 		value, calls := kept.value(key)
 		time.Sleep(time.Minute)
-		if _, later := kept.value(key); value == nil || later != calls || kept.ttl > DefaultFor {
+		if _, later := kept.value(key); value == nil || later != calls || kept.ttl > DefaultDuration {
 			t.Errorf("value %s, %d calls after it was written, lease %v", value, later-calls, kept.ttl)
 		}
 		started := New(Config{})
@@ -121,7 +121,7 @@
 // TestOthersStandIn: the first nodes by rank write what the node that has found it does not.
 func TestOthersStandIn(t *testing.T) {
 	for rank, want := range map[int]bool{0: true, standIns - 1: true, standIns: false} {
-		keep(t, rank, func(kept *fakeStore, list *List, _ *Keeper) {
+		keep(t, rank, func(kept *fakeStore, list *List, _ *Persister) {
 			list.Hear(Record{Identity: IdentityOf(message(nil)), Ended: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
 			time.Sleep(standInAfter / 2)
 			if value, _ := kept.value(key); value != nil {
@@ -138,7 +138,7 @@
 // TestAReleaseIsKept: nodes that hear nothing but the store follow it, and none writes the
 // request again.
 func TestAReleaseIsKept(t *testing.T) {
-	keep(t, 0, func(kept *fakeStore, list *List, keeper *Keeper) {
+	keep(t, 0, func(kept *fakeStore, list *List, keeper *Persister) {
 		convict(list, message(nil))
 		time.Sleep(time.Second)
 		kept.setAway(true)
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -21,11 +21,11 @@
 
 // The defaults of a Config.
 const (
-	// DefaultFor is for how long a request is refused: as long as the store's longest
+	// DefaultDuration is for how long a request is refused: as long as the store's longest
 	// lease, which keeps it.
-	DefaultFor = 10 * time.Minute
-	// DefaultMost bounds the requests that are known, some 400 bytes each.
-	DefaultMost = 1024
+	DefaultDuration = 10 * time.Minute
+	// DefaultMaxEntries bounds the requests that are known, some 400 bytes each.
+	DefaultMaxEntries = 1024
 )
 
 // suspectFor is for how long a suspect is remembered that is not quarantined: longer than
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -13,7 +13,7 @@
 	f.Add("", []byte("{"))
 	f.Add(known[1:], []byte(`{"refuse_ms":-1}`))
 	f.Fuzz(func(t *testing.T, identity string, value []byte) {
-		list := New(Config{For: time.Minute, Most: 1, Tell: func(Record) {}})
+		list := New(Config{Duration: time.Minute, MaxEntries: 1, Broadcast: func(Record) {}})
 		list.Adopt(identity, value)
 		list.Adopt(known, value)
 		if held := len(list.Records()); held > 1 {
--- a/internal/query/crash_network_test.go
+++ b/internal/query/crash_network_test.go
@@ -135,7 +135,7 @@
 func newLinkedQuarantines(nodes int) []*quarantine.List {
 	lists := make([]*quarantine.List, nodes)
 	for i := range lists {
-		lists[i] = quarantine.New(quarantine.Config{Tell: func(record quarantine.Record) {
+		lists[i] = quarantine.New(quarantine.Config{Broadcast: func(record quarantine.Record) {
 			time.AfterFunc(spreadDelay, func() {
 				for other := range lists {
 					if other != i {
