--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -43,9 +43,9 @@
 	evidence := decision.Evidence{Ended: 1 << 20, Rounds: 1 << 20, Blame: 1 << 20}
 	for replica := range 8 {
 		evidence.Rounds++
-		list.Note(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
+		list.RecordCrash(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
 	}
-	list.Convict(message)
+	list.Quarantine(message)
 	if told < 2 {
 		t.Errorf("%d records were told", told)
 	}
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -76,7 +76,7 @@
 		n.logger.Debug("a notice was not read", "error", err.Error())
 		return
 	}
-	if n.quarantine.Hear(record) && (record.RefuseMilliseconds > 0 || record.Released) {
+	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
 		_ = n.announcer.Spread(notice) // as long as when it came
 	}
 }
--- a/internal/inspect/quarantine.go
+++ b/internal/inspect/quarantine.go
@@ -46,7 +46,7 @@
 				joined[one.Identity] = one
 				continue
 			}
-			known.Ended = max(known.Ended, one.Ended)
+			known.CrashedReplicas = max(known.CrashedReplicas, one.CrashedReplicas)
 			known.Rounds = max(known.Rounds, one.Rounds)
 			known.Blame = max(known.Blame, one.Blame)
 			known.RefuseMilliseconds = max(known.RefuseMilliseconds, one.RefuseMilliseconds)
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -42,7 +42,7 @@
 		if one.RefuseMilliseconds > 0 {
 			left = one.RefuseFor().Round(time.Second).String()
 		}
-		lines.row(one.Identity, one.Route, one.Caller, oneLine(one.Target), one.Ended, left, one.Refusing, one.Nodes)
+		lines.row(one.Identity, one.Route, one.Caller, oneLine(one.Target), one.CrashedReplicas, left, one.Refusing, one.Nodes)
 	}
 	lines.end()
 }
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -31,7 +31,7 @@
 		Evacuated: map[string]int{"adum": 4}, Cold: 3,
 		Quarantined: []inspect.Request{{
 			Identity: "5f1c", Nodes: 3, Refusing: 2,
-			Record: quarantine.Record{Ended: 12, RefuseMilliseconds: 599_600, Route: "search", Caller: "10.9.0.1", Target: "/p/\x1b1"},
+			Record: quarantine.Record{CrashedReplicas: 12, RefuseMilliseconds: 599_600, Route: "search", Caller: "10.9.0.1", Target: "/p/\x1b1"},
 		}},
 		Budgets: []inspect.Budget{{Group: "shard-1", BudgetUsage: decision.BudgetUsage{
 			Tokens: 1.25, Burst: 9, FirstAttempts: 800, Retries: 30, Hedges: 40, DeniedRetries: 5, DeniedHedges: 6,
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -103,19 +103,19 @@
 	return l
 }
 
-// Suspicion returns what is known of a request that comes.
-func (l *List) Suspicion(message *upstream.Message) Suspicion {
+// Lookup returns what is known of a request that comes.
+func (l *List) Lookup(message *upstream.Message) Status {
 	if l == nil || l.size.Load() == 0 {
-		return Suspicion{}
+		return Status{}
 	}
 	identity := IdentityOf(message)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.current(identity)
 	if known == nil || l.answered.recently(message, l.config.Now()) {
-		return Suspicion{}
+		return Status{}
 	}
-	found := Suspicion{Evidence: known.record.Evidence()}
+	found := Status{Evidence: known.record.Evidence()}
 	if known.quarantined {
 		found.RefuseFor = known.until.Sub(l.config.Now())
 		return found
@@ -129,8 +129,8 @@
 	return found
 }
 
-// Quarantined tells whether a request is refused by the verdict of a node.
-func (l *List) Quarantined(message *upstream.Message) bool {
+// IsQuarantined tells whether a request is refused by the verdict of a node.
+func (l *List) IsQuarantined(message *upstream.Message) bool {
 	if l == nil || l.size.Load() == 0 {
 		return false
 	}
@@ -141,8 +141,8 @@
 	return known != nil && known.quarantined
 }
 
-// Refused counts a request that was refused.
-func (l *List) Refused() { l.metrics.refused.Inc() }
+// CountRefused counts a request that was refused.
+func (l *List) CountRefused() { l.metrics.refused.Inc() }
 
 // current returns the entry of a request, nil if there is none or its time is over. It must
 // be called with the mutex held, as must all functions below that are not exported.
@@ -176,10 +176,10 @@
 	Shards int
 }
 
-// Note takes in that replicas ended while they ran a request that none has survived, unless
+// RecordCrash takes in that replicas ended while they ran a request that none has survived, unless
 // one has answered it of late: the evidence is all there is by now. canary names the replica that ended last, if it was tried
 // there alone.
-func (l *List) Note(message *upstream.Message, route Route, canary string, evidence decision.Evidence) {
+func (l *List) RecordCrash(message *upstream.Message, route Route, canary string, evidence decision.Evidence) {
 	if l == nil || l.answered.recently(message, l.config.Now()) {
 		return
 	}
@@ -193,7 +193,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed, known := l.merge(record)
-	if known == nil || known.quarantined || known.record.Ended < min(toldFrom, route.Shards) || (known.told && !changed) {
+	if known == nil || known.quarantined || known.record.CrashedReplicas < min(toldFrom, route.Shards) || (known.told && !changed) {
 		return
 	}
 	if evidence.Convicts() || l.told.AllowN(l.config.Now(), 1) {
@@ -202,9 +202,9 @@
 	}
 }
 
-// Convict quarantines a suspect: enough speaks against it, and no other node has contested
+// Quarantine quarantines a suspect: enough speaks against it, and no other node has contested
 // that.
-func (l *List) Convict(message *upstream.Message) {
+func (l *List) Quarantine(message *upstream.Message) {
 	if l == nil {
 		return
 	}
@@ -224,9 +224,9 @@
 	l.config.Broadcast(known.record)
 }
 
-// Contested tells whether all replicas that ended by canaries of a request have ended by those
+// Ambiguous tells whether all replicas that ended by canaries of a request have ended by those
 // of another one as well, so that nothing tells which of them it was.
-func (l *List) Contested(message *upstream.Message) bool {
+func (l *List) Ambiguous(message *upstream.Message) bool {
 	if l == nil {
 		return false
 	}
@@ -254,9 +254,9 @@
 	return true
 }
 
-// Answered takes in that a replica has run a request and answered: it does no harm. Another
+// RecordAnswer takes in that a replica has run a request and answered: it does no harm. Another
 // node that has quarantined it is told.
-func (l *List) Answered(message *upstream.Message) {
+func (l *List) RecordAnswer(message *upstream.Message) {
 	if l == nil {
 		return
 	}
@@ -278,9 +278,9 @@
 	l.remove(identity)
 }
 
-// Hear takes in what another node tells. It returns whether that was news, which should be
+// Receive takes in what another node tells. It returns whether that was news, which should be
 // passed on.
-func (l *List) Hear(record Record) (news bool) {
+func (l *List) Receive(record Record) (news bool) {
 	if l == nil {
 		return false
 	}
@@ -383,5 +383,5 @@
 
 func (l *List) log(message string, record *Record) {
 	l.config.Logger.Warn(message, "identity", record.Identity.String(), "route", record.Route, "caller", record.Caller,
-		"target", record.Target, "replicas_ended", record.Ended, "blame", record.Blame, "refused_for_ms", record.RefuseMilliseconds)
+		"target", record.Target, "replicas_ended", record.CrashedReplicas, "blame", record.Blame, "refused_for_ms", record.RefuseMilliseconds)
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -86,8 +86,8 @@
 }
 
 func convict(list *List, found *upstream.Message) {
-	list.Note(found, testRoute, "", convicted)
-	list.Convict(found)
+	list.RecordCrash(found, testRoute, "", convicted)
+	list.Quarantine(found)
 }
 
 func target(n int) *upstream.Message {
@@ -97,33 +97,33 @@
 // TestASuspectBecomesQuarantined: others are told of it, and it is tried again after its time.
 func TestASuspectBecomesQuarantined(t *testing.T) {
 	list, now, told := newTestList(nil)
-	if got := list.Suspicion(message(nil)); got != (Suspicion{}) {
+	if got := list.Lookup(message(nil)); got != (Status{}) {
 		t.Fatalf("unknown: %+v", got)
 	}
-	list.Note(message(nil), testRoute, "", suspected)
-	if got := list.Suspicion(message(nil)); got.Evidence != suspected || got.RefuseFor != 0 {
+	list.RecordCrash(message(nil), testRoute, "", suspected)
+	if got := list.Lookup(message(nil)); got.Evidence != suspected || got.RefuseFor != 0 {
 		t.Fatalf("suspect: %+v", got)
 	}
-	list.Note(message(nil), testRoute, "a/1", convicted)
-	if got := list.Suspicion(message(nil)); got.RefuseFor != verdictDue {
+	list.RecordCrash(message(nil), testRoute, "a/1", convicted)
+	if got := list.Lookup(message(nil)); got.RefuseFor != verdictDue {
 		t.Fatalf("before the verdict: %+v", got)
 	}
-	list.Convict(message(nil))
-	list.Convict(message(nil))
-	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultDuration {
+	list.Quarantine(message(nil))
+	list.Quarantine(message(nil))
+	if got := list.Lookup(message(nil)); got.RefuseFor != DefaultDuration {
 		t.Fatalf("quarantined: %+v", got)
 	}
 	if len(*told) != 3 || (*told)[1].RefuseMilliseconds != 0 || (*told)[2].RefuseFor() != DefaultDuration {
 		t.Errorf("told: %+v", *told)
 	}
-	if got := list.Quarantined(target(1)); got {
+	if got := list.IsQuarantined(target(1)); got {
 		t.Error("another request is quarantined")
 	}
-	if other := list.Suspicion(target(1)); other != (Suspicion{}) {
+	if other := list.Lookup(target(1)); other != (Status{}) {
 		t.Errorf("another request: %+v", other)
 	}
 	now.now = now.now.Add(DefaultDuration)
-	got := list.Suspicion(message(nil))
+	got := list.Lookup(message(nil))
 	if got.RefuseFor != 0 || !got.Evidence.Suspects() || got.Evidence.Convicts() {
 		t.Fatalf("after its time: %+v", got)
 	}
@@ -132,8 +132,8 @@
 	if !again.Convicts() {
 		t.Error("another end does not convict it again")
 	}
-	list.Answered(message(nil))
-	if got := list.Suspicion(message(nil)); got != (Suspicion{}) {
+	list.RecordAnswer(message(nil))
+	if got := list.Lookup(message(nil)); got != (Status{}) {
 		t.Errorf("after an answer: %+v", got)
 	}
 }
@@ -141,9 +141,9 @@
 // TestASuspectIsForgotten: nothing is kept or asked afterwards.
 func TestASuspectIsForgotten(t *testing.T) {
 	list, now, _ := newTestList(nil)
-	list.Note(message(nil), testRoute, "", suspected)
+	list.RecordCrash(message(nil), testRoute, "", suspected)
 	now.now = now.now.Add(suspectFor)
-	if got := list.Suspicion(message(nil)); got != (Suspicion{}) || list.size.Load() != 0 {
+	if got := list.Lookup(message(nil)); got != (Status{}) || list.size.Load() != 0 {
 		t.Errorf("%+v, %d are kept", got, list.size.Load())
 	}
 }
@@ -164,10 +164,10 @@
 	if diff := cmp.Diff((*heard)[1], record); diff != "" {
 		t.Errorf("record (-told +heard):\n%s", diff)
 	}
-	if !list.Hear(record) || list.Hear(record) {
+	if !list.Receive(record) || list.Receive(record) {
 		t.Error("it is not news exactly once")
 	}
-	if got := list.Suspicion(message(nil)); got.RefuseFor != DefaultDuration {
+	if got := list.Lookup(message(nil)); got.RefuseFor != DefaultDuration {
 		t.Errorf("heard of: %+v", got)
 	}
 	if len(*told) != 0 || len(list.unstored(-1)) != 0 || len(list.unstored(0)) != 1 || len(from.unstored(-1)) != 1 {
@@ -176,10 +176,10 @@
 	if !list.Release(IdentityOf(message(nil))) || list.Release(IdentityOf(message(nil))) {
 		t.Error("it is not released exactly once")
 	}
-	if len(*told) != 1 || !(*told)[0].Released || !from.Hear((*told)[0]) {
+	if len(*told) != 1 || !(*told)[0].Released || !from.Receive((*told)[0]) {
 		t.Errorf("told of the release: %+v", *told)
 	}
-	if got := from.Suspicion(message(nil)); got != (Suspicion{}) {
+	if got := from.Lookup(message(nil)); got != (Status{}) {
 		t.Errorf("released by another node: %+v", got)
 	}
 }
@@ -190,9 +190,9 @@
 	list, now, told := newTestList(func(config *Config) { config.MaxEntries = most })
 	for n := range 3 * most {
 		now.now = now.now.Add(time.Millisecond)
-		list.Note(target(n), testRoute, "", suspected)
+		list.RecordCrash(target(n), testRoute, "", suspected)
 	}
-	if size := list.size.Load(); size != most || list.Suspicion(target(3*most-1)) == (Suspicion{}) {
+	if size := list.size.Load(); size != most || list.Lookup(target(3*most-1)) == (Status{}) {
 		t.Errorf("%d are kept, and not the latest", size)
 	}
 	if len(*told) > toldAtOnce+1 {
@@ -201,7 +201,7 @@
 	for n := range 3 * most {
 		convict(list, target(n))
 	}
-	if got := list.Suspicion(target(0)); got.RefuseFor == 0 || list.size.Load() != most {
+	if got := list.Lookup(target(0)); got.RefuseFor == 0 || list.size.Load() != most {
 		t.Errorf("the first quarantined: %+v, %d are kept", got, list.size.Load())
 	}
 }
@@ -210,10 +210,10 @@
 func TestAListThatIsOff(t *testing.T) {
 	var list *List
 	convict(list, message(nil))
-	list.Answered(message(nil))
+	list.RecordAnswer(message(nil))
 	list.Adopt("x", nil)
 	list.Forgotten("x")
-	if list.Hear(Record{}) || list.Release(Identity{}) || list.Suspicion(message(nil)) != (Suspicion{}) || len(list.Records()) != 0 {
+	if list.Receive(Record{}) || list.Release(Identity{}) || list.Lookup(message(nil)) != (Status{}) || len(list.Records()) != 0 {
 		t.Error("it knows something")
 	}
 }
@@ -223,14 +223,14 @@
 	b.Run("nobody suspected", func(b *testing.B) {
 		list := New(Config{})
 		for b.Loop() {
-			list.Suspicion(asked)
+			list.Lookup(asked)
 		}
 	})
 	b.Run("somebody suspected, 1 KiB", func(b *testing.B) {
 		list := New(Config{})
 		convict(list, target(1))
 		for b.Loop() {
-			list.Suspicion(asked)
+			list.Lookup(asked)
 		}
 	})
 }
@@ -240,26 +240,26 @@
 	list, now, _ := newTestList(nil)
 	from, _, heard := newTestList(nil)
 	for _, canary := range []string{"a/1", "b/2"} {
-		list.Note(message(nil), testRoute, canary, suspected)
-		from.Note(target(1), testRoute, canary, suspected)
+		list.RecordCrash(message(nil), testRoute, canary, suspected)
+		from.RecordCrash(target(1), testRoute, canary, suspected)
 	}
-	list.Note(message(nil), testRoute, "b/2", convicted)
-	if list.Contested(message(nil)) {
+	list.RecordCrash(message(nil), testRoute, "b/2", convicted)
+	if list.Ambiguous(message(nil)) {
 		t.Error("contested before anything is heard")
 	}
-	from.Note(target(1), testRoute, "b/2", convicted)
+	from.RecordCrash(target(1), testRoute, "b/2", convicted)
 	for _, record := range *heard {
-		list.Hear(record)
+		list.Receive(record)
 	}
-	if !list.Contested(message(nil)) {
+	if !list.Ambiguous(message(nil)) {
 		t.Error("not contested by a request that was tried at the same replicas")
 	}
-	list.Note(message(nil), testRoute, "c/3", convicted)
-	if list.Contested(message(nil)) {
+	list.RecordCrash(message(nil), testRoute, "c/3", convicted)
+	if list.Ambiguous(message(nil)) {
 		t.Error("contested by a request that was not tried at the last one")
 	}
 	now.now = now.now.Add(verdictDue)
-	if got := list.Suspicion(message(nil)); got.RefuseFor != 0 || got.Evidence.Convicts() || !got.Evidence.Suspects() {
+	if got := list.Lookup(message(nil)); got.RefuseFor != 0 || got.Evidence.Convicts() || !got.Evidence.Suspects() {
 		t.Errorf("without a verdict: %+v", got)
 	}
 }
@@ -267,28 +267,28 @@
 // TestARequestThatWasAnsweredIsNoSuspect: for a while, as it is not what ends replicas now.
 func TestARequestThatWasAnsweredIsNoSuspect(t *testing.T) {
 	list, now, told := newTestList(nil)
-	list.Answered(message(nil))
+	list.RecordAnswer(message(nil))
 	now.now = now.now.Add(answeredFor)
 	convict(list, message(nil))
-	if list.Quarantined(message(nil)) || list.size.Load() != 0 {
+	if list.IsQuarantined(message(nil)) || list.size.Load() != 0 {
 		t.Error("it is suspected though it was answered")
 	}
 	convict(list, target(1))
-	if !list.Quarantined(target(1)) {
+	if !list.IsQuarantined(target(1)) {
 		t.Error("another request is not")
 	}
-	list.Hear(Record{Identity: IdentityOf(message(nil)), Ended: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
-	if got := list.Suspicion(message(nil)); got != (Suspicion{}) {
+	list.Receive(Record{Identity: IdentityOf(message(nil)), CrashedReplicas: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
+	if got := list.Lookup(message(nil)); got != (Status{}) {
 		t.Errorf("it is refused as another node says: %+v", got)
 	}
-	list.Answered(message(nil))
+	list.RecordAnswer(message(nil))
 	if last := (*told)[len(*told)-1]; !last.Released || last.Identity != IdentityOf(message(nil)) {
 		t.Errorf("the other nodes are not told of the answer: %+v", last)
 	}
 	now.now = now.now.Add(answeredFor)
 	now.now = now.now.Add(2 * time.Second)
 	convict(list, message(nil))
-	if !list.Quarantined(message(nil)) {
+	if !list.IsQuarantined(message(nil)) {
 		t.Error("an answer counts for longer than it should")
 	}
 }
@@ -297,7 +297,7 @@
 	asked := message(func(m *upstream.Message) { m.Body = make([]byte, 1024) })
 	list := New(Config{})
 	for b.Loop() {
-		list.Answered(asked)
+		list.RecordAnswer(asked)
 	}
 }
 
@@ -308,7 +308,7 @@
 func TestOtherNodesAreToldOfTwoEndsUnderOneRequest(t *testing.T) {
 	for _, test := range []struct{ ended, told int }{{1, 0}, {2, 1}} {
 		list, _, told := newTestList(nil)
-		list.Note(message(nil), Route{Name: "r", Shards: 4}, "", decision.Evidence{Ended: test.ended, Rounds: 1, Blame: 1})
+		list.RecordCrash(message(nil), Route{Name: "r", Shards: 4}, "", decision.Evidence{Ended: test.ended, Rounds: 1, Blame: 1})
 		if len(*told) != test.told {
 			t.Errorf("%d ended: told %d times", test.ended, len(*told))
 		}
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -108,7 +108,7 @@
 		}
 		started := New(Config{})
 		started.Adopt(IdentityOf(message(nil)).String(), value)
-		if !started.Quarantined(message(nil)) || len(started.unstored(0)) != 0 {
+		if !started.IsQuarantined(message(nil)) || len(started.unstored(0)) != 0 {
 			t.Error("a node that reads it does not take it over")
 		}
 		started.Forgotten(IdentityOf(message(nil)).String())
@@ -122,7 +122,7 @@
 func TestOthersStandIn(t *testing.T) {
 	for rank, want := range map[int]bool{0: true, standIns - 1: true, standIns: false} {
 		keep(t, rank, func(kept *fakeStore, list *List, _ *Persister) {
-			list.Hear(Record{Identity: IdentityOf(message(nil)), Ended: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
+			list.Receive(Record{Identity: IdentityOf(message(nil)), CrashedReplicas: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
 			time.Sleep(standInAfter / 2)
 			if value, _ := kept.value(key); value != nil {
 				t.Errorf("rank %d: written without a wait", rank)
@@ -142,11 +142,11 @@
 		convict(list, message(nil))
 		time.Sleep(time.Second)
 		kept.setAway(true)
-		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err == nil || !list.Quarantined(message(nil)) {
+		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err == nil || !list.IsQuarantined(message(nil)) {
 			t.Error("released though the store does not know")
 		}
 		kept.setAway(false)
-		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err != nil || list.Quarantined(message(nil)) {
+		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err != nil || list.IsQuarantined(message(nil)) {
 			t.Errorf("not released: %v", err)
 		}
 		value, _ := kept.value(key)
@@ -157,7 +157,7 @@
 		other := New(Config{})
 		convict(other, message(nil))
 		other.Adopt(IdentityOf(message(nil)).String(), value)
-		if other.Quarantined(message(nil)) {
+		if other.IsQuarantined(message(nil)) {
 			t.Error("a node that reads the release goes on refusing")
 		}
 	})
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -73,8 +73,8 @@
 	return identity, true
 }
 
-// Suspicion is what is known of a request that comes.
-type Suspicion struct {
+// Status is what is known of a request that comes.
+type Status struct {
 	// Evidence is what speaks against it; zero for nothing.
 	Evidence decision.Evidence
 	// RefuseFor is for how long it is still quarantined; 0 when it is not.
@@ -85,10 +85,10 @@
 // lengths, as clocks of nodes differ.
 type Record struct {
 	Identity Identity `msgpack:"i" json:"-"`
-	// Ended, Rounds and Blame are the evidence.
-	Ended  int     `msgpack:"e" json:"ended"`
-	Rounds int     `msgpack:"m" json:"rounds"`
-	Blame  float64 `msgpack:"b" json:"blame"`
+	// CrashedReplicas, Rounds and Blame are the evidence.
+	CrashedReplicas int     `msgpack:"e" json:"ended"`
+	Rounds          int     `msgpack:"m" json:"rounds"`
+	Blame           float64 `msgpack:"b" json:"blame"`
 	// RefuseMilliseconds is for how long it is still quarantined; 0 when it is a suspect.
 	RefuseMilliseconds int64 `msgpack:"r,omitempty" json:"refuse_ms"`
 	// Canaries names the latest replicas that ended by canaries of the request.
@@ -108,11 +108,11 @@
 
 // Evidence is what speaks against the request.
 func (r *Record) Evidence() decision.Evidence {
-	return decision.Evidence{Ended: r.Ended, Rounds: r.Rounds, Blame: r.Blame}
+	return decision.Evidence{Ended: r.CrashedReplicas, Rounds: r.Rounds, Blame: r.Blame}
 }
 
 func (r *Record) setEvidence(found decision.Evidence) {
-	r.Ended, r.Rounds, r.Blame = found.Ended, found.Rounds, found.Blame
+	r.CrashedReplicas, r.Rounds, r.Blame = found.Ended, found.Rounds, found.Blame
 }
 
 // The bounds of what names a request, in bytes: a record fits into a datagram.
--- a/internal/quarantine/stored.go
+++ b/internal/quarantine/stored.go
@@ -18,7 +18,7 @@
 		return
 	}
 	record.Identity = read
-	l.Hear(record)
+	l.Receive(record)
 	l.markStored(read)
 }
 
--- a/internal/query/crash_network_test.go
+++ b/internal/query/crash_network_test.go
@@ -139,7 +139,7 @@
 			time.AfterFunc(spreadDelay, func() {
 				for other := range lists {
 					if other != i {
-						lists[other].Hear(record)
+						lists[other].Receive(record)
 					}
 				}
 			})
--- a/internal/query/ended.go
+++ b/internal/query/ended.go
@@ -18,13 +18,13 @@
 
 // isQuarantined tells whether another node has found meanwhile that the request ends replicas.
 func (r *forwardRun) isQuarantined() bool {
-	return r.service.options.Quarantine.Quarantined(r.forwarding.Message)
+	return r.service.options.Quarantine.IsQuarantined(r.forwarding.Message)
 }
 
 // isContested tells whether the request is convicted by ends of replicas that may all have
 // been another request's doing.
 func (r *forwardRun) isContested() bool {
-	return r.core.AwaitsVerdict() && r.service.options.Quarantine.Contested(r.forwarding.Message)
+	return r.core.AwaitsVerdict() && r.service.options.Quarantine.Ambiguous(r.forwarding.Message)
 }
 
 // noteEnded tells the quarantine, while the request still runs, that a replica ended under
@@ -33,7 +33,7 @@
 func (r *forwardRun) noteEnded(canary string) {
 	if evidence, survived := r.core.Evidence(); !survived {
 		route := quarantine.Route{Name: r.forwarding.Route.Name, Shards: len(r.shards)}
-		r.service.options.Quarantine.Note(r.forwarding.Message, route, canary, evidence)
+		r.service.options.Quarantine.RecordCrash(r.forwarding.Message, route, canary, evidence)
 	}
 }
 
@@ -41,8 +41,8 @@
 func (r *forwardRun) concludeEnds() {
 	list := r.service.options.Quarantine
 	if _, survived := r.core.Evidence(); survived {
-		list.Answered(r.forwarding.Message)
+		list.RecordAnswer(r.forwarding.Message)
 	} else if r.reason == decision.ReplicasEnded {
-		list.Convict(r.forwarding.Message)
+		list.Quarantine(r.forwarding.Message)
 	}
 }
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -122,9 +122,9 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return Forwarded{}, err
 	}
-	suspicion := s.options.Quarantine.Suspicion(forwarding.Message)
+	suspicion := s.options.Quarantine.Lookup(forwarding.Message)
 	if suspicion.RefuseFor > 0 {
-		s.options.Quarantine.Refused()
+		s.options.Quarantine.CountRefused()
 		err := failure.New(failure.Quarantined, "replicas have ended by running this request").WithRetryAfter(suspicion.RefuseFor)
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return Forwarded{}, err
