--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -59,9 +59,9 @@
 	Store Store
 	Codec Codec
 	Keys  follower.Keys
-	// Ready and Directory make the handlers of the platform's calls.
-	Ready     func(ready func() bool) http.Handler
-	Directory func(resolve func(host string, caller topology.Place) (directory.Answer, bool)) http.Handler
+	// ReadinessHandler and Directory make the handlers of the platform's calls.
+	ReadinessHandler func(ready func() bool) http.Handler
+	DirectoryHandler func(resolve func(host string, caller topology.Place) (directory.Answer, bool)) http.Handler
 }
 
 // Options are what a Node is made of.
@@ -202,7 +202,7 @@
 	n.follower = follower.New(follower.Options{
 		Source: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
 		Regions: n.settings.Regions, Self: n.self, Logger: n.logger, EntryNodes: n.settings.Bounds.EntryNodes(),
-		Peers: n.announcer, News: n.settings.Bounds.News(),
+		Peers: n.announcer, News: n.settings.Bounds.MaxStaleness(),
 		Others: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
 		Relays: relay.New(relay.Config{
 			HTTP: relayClient(), Wait: relayWait, Slack: relaySlack,
@@ -214,7 +214,7 @@
 	})
 	n.addNewsMetrics(registerer)
 	n.registry = registry.New(registry.Config{
-		Store: source, Key: n.platform.Keys.Nodes + n.settings.Node, TTL: max(entryTTL, n.settings.Store.LeastTTL),
+		Store: source, Key: n.platform.Keys.Nodes + n.settings.Node, TTL: max(entryTTL, n.settings.Store.MinTTL),
 		Listed: n.listed, Era: n.storeEra,
 		Node: func() topology.Node {
 			recorded := n.self
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -21,11 +21,11 @@
 
 // addQuarantine makes the quarantine and what keeps it in the store, unless it is off.
 func (n *Node) addQuarantine(source quarantine.Store, registerer prometheus.Registerer) {
-	if n.settings.Quarantine.Off {
+	if n.settings.Quarantine.Disabled {
 		return
 	}
 	n.quarantine = quarantine.New(quarantine.Config{
-		Duration: n.settings.Quarantine.For, MaxEntries: n.settings.Quarantine.Most,
+		Duration: n.settings.Quarantine.Duration, MaxEntries: n.settings.Quarantine.MaxEntries,
 		Broadcast: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
 	})
 	n.keeper = quarantine.NewPersister(quarantine.PersisterConfig{
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -119,7 +119,7 @@
 
 // TestTheQuarantineCanBeOff: then ends of replicas are failures like others.
 func TestTheQuarantineCanBeOff(t *testing.T) {
-	s := startSystem(t, func(settings *edge.Settings) { settings.Quarantine.Off = true })
+	s := startSystem(t, func(settings *edge.Settings) { settings.Quarantine.Disabled = true })
 	for range 2 {
 		if response, err := s.sendEnding(s.nodes[0]); err != nil || response.Status == http.StatusOK {
 			t.Fatalf("status %d, error %v", response.Status, err)
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -56,9 +56,9 @@
 	requests, answerNow := context.WithCancelCause(context.Background())
 	n.server.BaseContext = func(net.Listener) context.Context { return requests }
 	n.answerNow = answerNow
-	n.auxiliary["readiness"].server = n.newServer(n.platform.Ready(n.ready))
+	n.auxiliary["readiness"].server = n.newServer(n.platform.ReadinessHandler(n.ready))
 	n.auxiliary["state"].server = n.newServer(n.stateHandler())
-	n.auxiliary["directory"].server = n.newServer(n.platform.Directory(n.resolve))
+	n.auxiliary["directory"].server = n.newServer(n.platform.DirectoryHandler(n.resolve))
 	if n.metrics != nil {
 		n.auxiliary["metrics"].server = n.newServer(promhttp.HandlerFor(n.metrics, promhttp.HandlerOpts{}))
 	}
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -39,19 +39,19 @@
 
 // QuarantineSettings say how requests are treated under which replicas end.
 type QuarantineSettings struct {
-	// Off makes ends of replicas failures like others: no request is refused for them.
-	Off bool `yaml:"off"`
-	// For is for how long a request is refused; 0 means 10 minutes, the longest lease of
+	// Disabled makes ends of replicas failures like others: no request is refused for them.
+	Disabled bool `yaml:"off"`
+	// Duration is for how long a request is refused; 0 means 10 minutes, the longest lease of
 	// the store.
-	For time.Duration `yaml:"for" validate:"gte=0,lte=10m"`
-	// Most bounds the requests that are known; 0 means 1,024.
-	Most int `yaml:"most" validate:"gte=0,lte=100000"`
+	Duration time.Duration `yaml:"for" validate:"gte=0,lte=10m"`
+	// MaxEntries bounds the requests that are known; 0 means 1,024.
+	MaxEntries int `yaml:"most" validate:"gte=0,lte=100000"`
 }
 
 // StoreSettings is the platform's store.
 type StoreSettings struct {
-	URL      string        `yaml:"url" validate:"required,http_url"`
-	LeastTTL time.Duration `yaml:"least_ttl" validate:"gte=0,lte=10m"`
+	URL    string        `yaml:"url" validate:"required,http_url"`
+	MinTTL time.Duration `yaml:"least_ttl" validate:"gte=0,lte=10m"`
 }
 
 // LimitSettings is what the node may use.
@@ -109,8 +109,8 @@
 	return l.ProcessorShare
 }
 
-// News is the time within which news from the store must have been acted on.
-func (b BoundsSettings) News() time.Duration {
+// MaxStaleness is the time within which news from the store must have been acted on.
+func (b BoundsSettings) MaxStaleness() time.Duration {
 	if b.Evacuate > 0 {
 		return min(b.Drain, b.Apply, b.Evacuate)
 	}
--- a/internal/edge/settings_test.go
+++ b/internal/edge/settings_test.go
@@ -84,7 +84,7 @@
 	if len(loaded.Seeds) != 2 || loaded.Seeds[1].String() != "10.0.0.2:4" || loaded.State != "10.0.0.1:4" {
 		t.Errorf("state %s, seeds %v", loaded.State, loaded.Seeds)
 	}
-	if loaded.Bounds.News() != 2*time.Second || loaded.Bounds.Grace != 6*time.Second || loaded.Bounds.RetrySlack != 58 {
+	if loaded.Bounds.MaxStaleness() != 2*time.Second || loaded.Bounds.Grace != 6*time.Second || loaded.Bounds.RetrySlack != 58 {
 		t.Errorf("bounds %+v", loaded.Bounds)
 	}
 }
@@ -98,8 +98,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if with.Bounds.Evacuate != 1500*time.Millisecond || with.Bounds.News() != with.Bounds.Evacuate {
-		t.Errorf("bounds %+v, time for news %v", with.Bounds, with.Bounds.News())
+	if with.Bounds.Evacuate != 1500*time.Millisecond || with.Bounds.MaxStaleness() != with.Bounds.Evacuate {
+		t.Errorf("bounds %+v, time for news %v", with.Bounds, with.Bounds.MaxStaleness())
 	}
 	if with.Bounds.ColdOverage != 1.5 || with.Bounds.ColdSlack != 5 || without.Bounds.ColdOverage != 0 {
 		t.Errorf("bounds %+v and %+v", with.Bounds, without.Bounds)
@@ -107,8 +107,8 @@
 	if with.Bounds.RetryWindow != 10*time.Second || without.Bounds.RetryWindow != 0 {
 		t.Errorf("windows of the retry budget %v and %v", with.Bounds.RetryWindow, without.Bounds.RetryWindow)
 	}
-	if without.Bounds.Evacuate != 0 || without.Bounds.News() != 2*time.Second {
-		t.Errorf("bounds %+v, time for news %v", without.Bounds, without.Bounds.News())
+	if without.Bounds.Evacuate != 0 || without.Bounds.MaxStaleness() != 2*time.Second {
+		t.Errorf("bounds %+v, time for news %v", without.Bounds, without.Bounds.MaxStaleness())
 	}
 }
 
