--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -30,7 +30,7 @@
 		Caller: netip.MustParseAddr("2001:db8:1111:2222:3333:4444:5555:6666"),
 	}
 	told := 0
-	list := quarantine.New(quarantine.Config{Tell: func(record quarantine.Record) {
+	list := quarantine.New(quarantine.Config{Broadcast: func(record quarantine.Record) {
 		told++
 		notice, err := msgpack.Marshal(&record)
 		if err != nil {
@@ -43,9 +43,9 @@
 	evidence := decision.CrashEvidence{Crashes: 1 << 20, Incidents: 1 << 20, Attribution: 1 << 20}
 	for replica := range 8 {
 		evidence.Incidents++
-		list.Note(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
+		list.RecordCrash(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
 	}
-	list.Convict(message)
+	list.Quarantine(message)
 	if told < 2 {
 		t.Errorf("%d records were told", told)
 	}
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -21,14 +21,14 @@
 
 // addQuarantine makes the quarantine and what keeps it in the store, unless it is off.
 func (n *Node) addQuarantine(source quarantine.Store, registerer prometheus.Registerer) {
-	if n.settings.Quarantine.Off {
+	if n.settings.Quarantine.Disabled {
 		return
 	}
 	n.quarantine = quarantine.New(quarantine.Config{
-		For: n.settings.Quarantine.For, Most: n.settings.Quarantine.Most,
-		Tell: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
+		Duration: n.settings.Quarantine.Duration, MaxEntries: n.settings.Quarantine.MaxEntries,
+		Broadcast: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
 	})
-	n.keeper = quarantine.NewKeeper(quarantine.KeeperConfig{
+	n.keeper = quarantine.NewPersister(quarantine.PersisterConfig{
 		Store: source, Prefix: n.platform.Keys.Quarantine, List: n.quarantine, Rank: n.rank, Logger: n.logger,
 	})
 }
@@ -76,7 +76,7 @@
 		n.logger.Debug("a notice was not read", "error", err.Error())
 		return
 	}
-	if n.quarantine.Hear(record) && (record.RefuseMilliseconds > 0 || record.Released) {
+	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
 		_ = n.announcer.Spread(notice) // as long as when it came
 	}
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -29,14 +29,14 @@
 
 // Config is what a List is made of. Zero values take defaults.
 type Config struct {
-	// For is for how long a request is refused, Most the number of requests that are
+	// Duration is for how long a request is refused, Most the number of requests that are
 	// known. Beyond it the suspect that is forgotten soonest makes room, and a new one is
 	// not kept when all are quarantined.
-	For  time.Duration
-	Most int
-	// Tell tells other nodes of a request; nil means that there are none. It must not
+	Duration   time.Duration
+	MaxEntries int
+	// Broadcast tells other nodes of a request; nil means that there are none. It must not
 	// block.
-	Tell       func(record Record)
+	Broadcast  func(record Record)
 	Registerer prometheus.Registerer
 	Logger     *slog.Logger
 	Now        func() time.Time
@@ -80,14 +80,14 @@
 
 // New makes a List.
 func New(config Config) *List {
-	if config.For <= 0 {
-		config.For = DefaultFor
+	if config.Duration <= 0 {
+		config.Duration = DefaultDuration
 	}
-	if config.Most <= 0 {
-		config.Most = DefaultMost
+	if config.MaxEntries <= 0 {
+		config.MaxEntries = DefaultMaxEntries
 	}
-	if config.Tell == nil {
-		config.Tell = func(Record) {}
+	if config.Broadcast == nil {
+		config.Broadcast = func(Record) {}
 	}
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -103,19 +103,19 @@
 	return l
 }
 
-// Suspicion returns what is known of a request that comes.
-func (l *List) Suspicion(message *upstream.Message) Suspicion {
+// Lookup returns what is known of a request that comes.
+func (l *List) Lookup(message *upstream.Message) Status {
 	if l == nil || l.size.Load() == 0 {
-		return Suspicion{}
+		return Status{}
 	}
 	identity := IdentityOf(message)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.current(identity)
 	if known == nil || l.answered.recently(message, l.config.Now()) {
-		return Suspicion{}
+		return Status{}
 	}
-	found := Suspicion{Evidence: known.record.Evidence()}
+	found := Status{Evidence: known.record.Evidence()}
 	if known.quarantined {
 		found.RefuseFor = known.until.Sub(l.config.Now())
 		return found
@@ -129,8 +129,8 @@
 	return found
 }
 
-// Quarantined tells whether a request is refused by the verdict of a node.
-func (l *List) Quarantined(message *upstream.Message) bool {
+// IsQuarantined tells whether a request is refused by the verdict of a node.
+func (l *List) IsQuarantined(message *upstream.Message) bool {
 	if l == nil || l.size.Load() == 0 {
 		return false
 	}
@@ -141,8 +141,8 @@
 	return known != nil && known.quarantined
 }
 
-// Refused counts a request that was refused.
-func (l *List) Refused() { l.metrics.refused.Inc() }
+// CountRefused counts a request that was refused.
+func (l *List) CountRefused() { l.metrics.refused.Inc() }
 
 // current returns the entry of a request, nil if there is none or its time is over. It must
 // be called with the mutex held, as must all functions below that are not exported.
@@ -165,7 +165,7 @@
 	known.quarantined, known.stored, known.own = false, false, false
 	known.record.RefuseMilliseconds = 0
 	known.record.setEvidence(known.record.Evidence().Decayed())
-	known.until = l.config.Now().Add(l.config.For)
+	known.until = l.config.Now().Add(l.config.Duration)
 	l.log("quarantine is over; the request will be tried on one replica", &known.record)
 }
 
@@ -176,10 +176,10 @@
 	Shards int
 }
 
-// Note takes in that replicas ended while they ran a request that none has survived, unless
+// RecordCrash takes in that replicas ended while they ran a request that none has survived, unless
 // one has answered it of late: the evidence is all there is by now. canary names the replica that ended last, if it was tried
 // there alone.
-func (l *List) Note(message *upstream.Message, route Route, canary string, evidence decision.CrashEvidence) {
+func (l *List) RecordCrash(message *upstream.Message, route Route, canary string, evidence decision.CrashEvidence) {
 	if l == nil || l.answered.recently(message, l.config.Now()) {
 		return
 	}
@@ -193,18 +193,18 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed, known := l.merge(record)
-	if known == nil || known.quarantined || known.record.Ended < min(toldFrom, route.Shards) || (known.told && !changed) {
+	if known == nil || known.quarantined || known.record.CrashedReplicas < min(toldFrom, route.Shards) || (known.told && !changed) {
 		return
 	}
 	if evidence.Conclusive() || l.told.AllowN(l.config.Now(), 1) {
 		known.told = true
-		l.config.Tell(known.record)
+		l.config.Broadcast(known.record)
 	}
 }
 
-// Convict quarantines a suspect: enough speaks against it, and no other node has contested
+// Quarantine quarantines a suspect: enough speaks against it, and no other node has contested
 // that.
-func (l *List) Convict(message *upstream.Message) {
+func (l *List) Quarantine(message *upstream.Message) {
 	if l == nil {
 		return
 	}
@@ -215,18 +215,18 @@
 		return
 	}
 	record := known.record
-	record.RefuseMilliseconds = l.config.For.Milliseconds()
+	record.RefuseMilliseconds = l.config.Duration.Milliseconds()
 	l.merge(record)
 	known.own = true
 	l.metrics.found.Inc()
 	l.log("request quarantined: replicas end by running it", &known.record)
 	l.wakeKeeper()
-	l.config.Tell(known.record)
+	l.config.Broadcast(known.record)
 }
 
-// Contested tells whether all replicas that ended by canaries of a request have ended by those
+// Ambiguous tells whether all replicas that ended by canaries of a request have ended by those
 // of another one as well, so that nothing tells which of them it was.
-func (l *List) Contested(message *upstream.Message) bool {
+func (l *List) Ambiguous(message *upstream.Message) bool {
 	if l == nil {
 		return false
 	}
@@ -254,9 +254,9 @@
 	return true
 }
 
-// Answered takes in that a replica has run a request and answered: it does no harm. Another
+// RecordAnswer takes in that a replica has run a request and answered: it does no harm. Another
 // node that has quarantined it is told.
-func (l *List) Answered(message *upstream.Message) {
+func (l *List) RecordAnswer(message *upstream.Message) {
 	if l == nil {
 		return
 	}
@@ -273,18 +273,18 @@
 	}
 	if known.quarantined {
 		l.log("request released: a replica has answered it", &known.record)
-		l.config.Tell(Record{Identity: identity, Released: true})
+		l.config.Broadcast(Record{Identity: identity, Released: true})
 	}
 	l.remove(identity)
 }
 
-// Hear takes in what another node tells. It returns whether that was news, which should be
+// Receive takes in what another node tells. It returns whether that was news, which should be
 // passed on.
-func (l *List) Hear(record Record) (news bool) {
+func (l *List) Receive(record Record) (news bool) {
 	if l == nil {
 		return false
 	}
-	record.RefuseMilliseconds = min(record.RefuseMilliseconds, l.config.For.Milliseconds())
+	record.RefuseMilliseconds = min(record.RefuseMilliseconds, l.config.Duration.Milliseconds())
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if record.Released {
@@ -333,7 +333,7 @@
 
 // makeRoom tells whether there is room for another entry, and makes some if there is not.
 func (l *List) makeRoom() bool {
-	if len(l.entries) < l.config.Most {
+	if len(l.entries) < l.config.MaxEntries {
 		return true
 	}
 	var soonest *entry
@@ -367,7 +367,7 @@
 	if !l.release(identity) {
 		return false
 	}
-	l.config.Tell(Record{Identity: identity, Released: true})
+	l.config.Broadcast(Record{Identity: identity, Released: true})
 	return true
 }
 
@@ -383,5 +383,5 @@
 
 func (l *List) log(message string, record *Record) {
 	l.config.Logger.Warn(message, "identity", record.Identity.String(), "route", record.Route, "caller", record.Caller,
-		"target", record.Target, "replicas_ended", record.Ended, "blame", record.Blame, "refused_for_ms", record.RefuseMilliseconds)
+		"target", record.Target, "replicas_ended", record.CrashedReplicas, "blame", record.Blame, "refused_for_ms", record.RefuseMilliseconds)
 }
