--- a/internal/follower/cold_test.go
+++ b/internal/follower/cold_test.go
@@ -32,7 +32,7 @@
 		state = topology.ReplicaCold
 	}
 	replica := topology.Replica{Address: "a:1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state, ColdFor: left}
-	return store.KeyValue{Key: "replicas/a", Value: encoded(t, replica), ModRevision: revision}
+	return store.KeyValue{Key: "replicas/a", Value: mustEncode(t, replica), ModRevision: revision}
 }
 
 // TestAReplicaIsColdForItsTime: as its entries say, and no longer when none comes, as
@@ -53,7 +53,7 @@
 	now = now.Add(1500 * time.Millisecond)
 	state.put(coldReplica(t, 3, time.Second))
 	expect("as it says again", topology.ReplicaCold, testColdRate)
-	if got := state.dueAt(); got.IsZero() || got.After(now.Add(time.Second)) {
+	if got := state.nextDeadline(); got.IsZero() || got.After(now.Add(time.Second)) {
 		t.Errorf("due at %v", got)
 	}
 	now = now.Add(time.Second)
--- a/internal/follower/evacuation.go
+++ b/internal/follower/evacuation.go
@@ -11,23 +11,23 @@
 	}
 	s.evacuated[zone] = true
 	s.replicasChanged = true
-	s.options.Logger.Info("zone evacuated", "zone", zone, "replicas", s.replicasIn(zone))
+	s.options.Logger.Info("zone evacuated", "zone", zone, "replicas", s.countReplicas(zone))
 }
 
-// readmit takes in that an evacuation was withdrawn. The zone's replicas may be cold
+// endEvacuation takes in that an evacuation was withdrawn. The zone's replicas may be cold
 // then, and no entry says so.
-func (s *state) readmit(now time.Time, zone string) {
+func (s *state) endEvacuation(now time.Time, zone string) {
 	if !s.evacuated[zone] {
 		return
 	}
 	delete(s.evacuated, zone)
-	s.readmitted[zone] = now
+	s.evacuationEnded[zone] = now
 	s.replicasChanged = true
-	s.options.Logger.Info("zone no longer evacuated", "zone", zone, "replicas", s.replicasIn(zone))
+	s.options.Logger.Info("zone no longer evacuated", "zone", zone, "replicas", s.countReplicas(zone))
 }
 
-// replicasIn counts the replicas that stand in a zone.
-func (s *state) replicasIn(zone string) int {
+// countReplicas counts the replicas that stand in a zone.
+func (s *state) countReplicas(zone string) int {
 	count := 0
 	for _, entry := range s.replicas {
 		if entry.replica.Place.Zone == zone {
--- a/internal/follower/evacuation_test.go
+++ b/internal/follower/evacuation_test.go
@@ -45,7 +45,7 @@
 	for _, step := range steps {
 		step.change()
 		state.publish(start)
-		if diff := cmp.Diff(step.want, states(board)); diff != "" {
+		if diff := cmp.Diff(step.want, replicaStates(board)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", step.name, diff)
 		}
 	}
--- a/internal/follower/event_loop.go
+++ b/internal/follower/event_loop.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// ask attends while a question to the store, which must end by itself, waits for its answer.
-func (f *Follower) ask(question func()) { f.attendFrom(f.options.Now(), question) }
+// callStore attends while a question to the store, which must end by itself, waits for its answer.
+func (f *Follower) callStore(question func()) { f.handleEvents(f.options.Now(), question) }
 
-// attend publishes what falls due and hears other nodes while some
+// handleEventsDuring publishes what falls due and hears other nodes while some
 // work, which must end by itself, waits for an answer.
-func (f *Follower) attend(work func()) { f.attendFrom(time.Time{}, work) }
+func (f *Follower) handleEventsDuring(work func()) { f.handleEvents(time.Time{}, work) }
 
-// attendFrom is attend; asked is when the store was asked, zero when it was not.
-func (f *Follower) attendFrom(asked time.Time, work func()) {
+// handleEvents is attend; asked is when the store was asked, zero when it was not.
+func (f *Follower) handleEvents(asked time.Time, work func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -21,51 +21,51 @@
 	}()
 	for {
 		f.state.publish(f.options.Now())
-		f.noteUnanswered(asked)
-		f.allow()
-		timer := time.NewTimer(min(f.untilDue(), f.options.share(askShare)))
+		f.recordUnanswered(asked)
+		f.publishWindow()
+		timer := time.NewTimer(min(f.untilDeadline(), f.options.fraction(callTimeoutFraction)))
 		select {
 		case <-done:
 			timer.Stop()
 			return
 		case <-timer.C:
 		case news := <-f.options.Announcer.Received():
-			f.told(news)
+			f.handleAnnouncement(news)
 		case found := <-f.suspected:
-			f.suspect(found)
+			f.handleSuspicions(found)
 		}
 		timer.Stop()
 	}
 }
 
-// noteUnanswered notes that a question asked some time ago has found nobody so far, once it has
+// recordUnanswered notes that a question asked some time ago has found nobody so far, once it has
 // waited for long enough. After a pause of the process that cannot be told: its answer may lie
 // unread.
-func (f *Follower) noteUnanswered(asked time.Time) {
-	patience := f.options.share(askShare)
+func (f *Follower) recordUnanswered(asked time.Time) {
+	patience := f.options.fraction(callTimeoutFraction)
 	unanswered := f.options.Now().Add(-patience)
 	if !asked.IsZero() && !unanswered.Before(asked) && f.options.RanWithoutPause(patience) {
-		f.validity.tried(unanswered)
+		f.validity.recordFailedAttempt(unanswered)
 	}
 }
 
-// untilDue is the time until the state has to be published anew at the latest.
-func (f *Follower) untilDue() time.Duration {
-	at := f.state.dueAt()
+// untilDeadline is the time until the state has to be published anew at the latest.
+func (f *Follower) untilDeadline() time.Duration {
+	at := f.state.nextDeadline()
 	if at.IsZero() {
-		return longestPause
+		return maxBackoff
 	}
 	return at.Sub(f.options.Now())
 }
 
-// wait lets some time pass, and ends sooner when another node knows more, or a
+// waitForRetry lets some time pass, and ends sooner when another node knows more, or a
 // request cannot be handled before the store was asked.
-func (f *Follower) wait(ctx context.Context, pause time.Duration) {
+func (f *Follower) waitForRetry(ctx context.Context, pause time.Duration) {
 	until := f.options.Now().Add(pause)
 	for {
 		f.state.publish(f.options.Now())
-		f.allow()
-		timer := time.NewTimer(min(until.Sub(f.options.Now()), f.untilDue()))
+		f.publishWindow()
+		timer := time.NewTimer(min(until.Sub(f.options.Now()), f.untilDeadline()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -75,15 +75,15 @@
 				return
 			}
 		case news := <-f.options.Announcer.Received():
-			f.told(news)
-			if f.staleness.confirmed > f.staleness.known {
+			f.handleAnnouncement(news)
+			if f.staleness.confirmed > f.staleness.applied {
 				timer.Stop()
 				return
 			}
 		case found := <-f.suspected:
-			f.suspect(found)
-		case <-f.asked:
-			if !f.permit.Load().holds(f.options.Now()) {
+			f.handleSuspicions(found)
+		case <-f.refreshRequested:
+			if !f.window.Load().contains(f.options.Now()) {
 				timer.Stop()
 				return
 			}
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -47,7 +47,7 @@
 
 var testKeys = Keys{Configuration: "table", Replicas: "replicas/", Nodes: "nodes/", Evacuations: "evacuated/"}
 
-func encoded(t *testing.T, value any) []byte {
+func mustEncode(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -58,18 +58,18 @@
 
 func tableAt(t *testing.T, revision int64, version uint64) store.KeyValue {
 	t.Helper()
-	return store.KeyValue{Key: "table", Value: encoded(t, testTable{Version: version, Limit: 9}), ModRevision: revision}
+	return store.KeyValue{Key: "table", Value: mustEncode(t, testTable{Version: version, Limit: 9}), ModRevision: revision}
 }
 
 func replicaAt(t *testing.T, revision int64, name string, state topology.ReplicaState) store.KeyValue {
 	t.Helper()
 	replica := topology.Replica{Address: name + ":1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state}
-	return store.KeyValue{Key: "replicas/" + name, Value: encoded(t, replica), ModRevision: revision}
+	return store.KeyValue{Key: "replicas/" + name, Value: mustEncode(t, replica), ModRevision: revision}
 }
 
 func nodeAt(t *testing.T, revision int64, id string) store.KeyValue {
 	t.Helper()
-	return store.KeyValue{Key: "nodes/" + id, Value: encoded(t, topology.Node{ID: id, Ready: true}), ModRevision: revision}
+	return store.KeyValue{Key: "nodes/" + id, Value: mustEncode(t, topology.Node{ID: id, Ready: true}), ModRevision: revision}
 }
 
 func newTestState(t *testing.T) (*state, *blackboard.Board) {
@@ -84,7 +84,7 @@
 
 var start = time.Unix(1000, 0)
 
-func states(board *blackboard.Board) map[string]topology.ReplicaState {
+func replicaStates(board *blackboard.Board) map[string]topology.ReplicaState {
 	found := map[string]topology.ReplicaState{}
 	for _, replica := range board.Replicas.Load().Groups["g"] {
 		found[replica.Incarnation] = replica.State
@@ -92,81 +92,81 @@
 	return found
 }
 
-// fakeSource is a store whose watch can be deaf, and which can be silent.
-type fakeSource struct {
+// fakeStore is a store whose watch can be deaf, and which can be silent.
+type fakeStore struct {
 	mutex    sync.Mutex
 	values   []store.KeyValue
 	revision int64
-	// watchAfter is how long a watch takes to begin.
-	watchAfter time.Duration
-	deaf       bool
-	silent     bool
-	lists      int
-	stales     int
-	// compacted is the number of watches that ask for what is no longer kept.
-	compacted int
-	gets      int
-	watching  []chan store.WatchBatch
+	// watchDelay is how long a watch takes to begin.
+	watchDelay   time.Duration
+	stalled      bool
+	unresponsive bool
+	lists        int
+	staleLists   int
+	// compactedWatches is the number of watches that ask for what is no longer kept.
+	compactedWatches int
+	gets             int
+	watchers         []chan store.WatchBatch
 	// history is told to a watch that begins after it was made.
 	history []store.WatchBatch
 }
 
-// tell adds a change to the history and brings it to the watches that hear.
-func (s *fakeSource) tell(batch store.WatchBatch, deaf bool) {
+// emit adds a change to the history and brings it to the watches that hear.
+func (s *fakeStore) emit(batch store.WatchBatch, deaf bool) {
 	s.history = append(s.history, batch)
 	if deaf {
 		return
 	}
-	for _, watch := range s.watching {
+	for _, watch := range s.watchers {
 		watch <- batch
 	}
 }
 
-func (s *fakeSource) put(value store.KeyValue) {
+func (s *fakeStore) put(value store.KeyValue) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision = value.ModRevision
 	s.values = slices.DeleteFunc(s.values, func(one store.KeyValue) bool { return one.Key == value.Key })
 	s.values = append(s.values, value)
-	s.tell(store.WatchBatch{Revision: s.revision, Events: []store.Event{{KeyValue: value}}}, s.deaf)
+	s.emit(store.WatchBatch{Revision: s.revision, Events: []store.Event{{KeyValue: value}}}, s.stalled)
 }
 
-func (s *fakeSource) remove(key string) {
+func (s *fakeStore) remove(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
 	s.values = slices.DeleteFunc(s.values, func(one store.KeyValue) bool { return one.Key == key })
 	removed := store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true}
-	s.tell(store.WatchBatch{Revision: s.revision, Events: []store.Event{removed}}, false)
+	s.emit(store.WatchBatch{Revision: s.revision, Events: []store.Event{removed}}, false)
 }
 
 // breakWatches ends all watches.
-func (s *fakeSource) breakWatches() {
+func (s *fakeStore) breakWatches() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, watch := range s.watching {
+	for _, watch := range s.watchers {
 		close(watch)
 	}
-	s.watching = nil
+	s.watchers = nil
 }
 
-func (s *fakeSource) set(deaf, silent bool) {
+func (s *fakeStore) setFaults(deaf, silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.deaf, s.silent = deaf, silent
+	s.stalled, s.unresponsive = deaf, silent
 }
 
-func (s *fakeSource) counts() (lists, gets int) {
+func (s *fakeStore) counts() (lists, gets int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lists, s.gets
 }
 
 // call waits as the store does that says nothing.
-func (s *fakeSource) call(ctx context.Context, count *int) error {
+func (s *fakeStore) call(ctx context.Context, count *int) error {
 	s.mutex.Lock()
 	*count++
-	silent := s.silent
+	silent := s.unresponsive
 	s.mutex.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (s *fakeSource) Get(ctx context.Context, _ string) (store.KeyValue, bool, int64, error) {
+func (s *fakeStore) Get(ctx context.Context, _ string) (store.KeyValue, bool, int64, error) {
 	if err := s.call(ctx, &s.gets); err != nil {
 		return store.KeyValue{}, false, 0, err
 	}
@@ -184,7 +184,7 @@
 	return store.KeyValue{}, false, s.revision, nil
 }
 
-func (s *fakeSource) List(ctx context.Context, _ string, _ int) ([]store.KeyValue, int64, error) {
+func (s *fakeStore) List(ctx context.Context, _ string, _ int) ([]store.KeyValue, int64, error) {
 	if err := s.call(ctx, &s.lists); err != nil {
 		return nil, 0, err
 	}
@@ -195,36 +195,36 @@
 
 // ListStale implements store.StaleReader. It counts as a list, and is counted apart
 // as well.
-func (s *fakeSource) ListStale(ctx context.Context, prefix string) ([]store.KeyValue, int64, error) {
+func (s *fakeStore) ListStale(ctx context.Context, prefix string) ([]store.KeyValue, int64, error) {
 	if err := s.call(ctx, &s.lists); err != nil {
 		return nil, 0, err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stales++
+	s.staleLists++
 	values := slices.DeleteFunc(slices.Clone(s.values), func(one store.KeyValue) bool { return !strings.HasPrefix(one.Key, prefix) })
 	return values, s.revision, nil
 }
 
-func (s *fakeSource) Watch(ctx context.Context, _ string, fromRevision int64, deliver func(store.WatchBatch) error) error {
-	time.Sleep(s.watchAfter)
+func (s *fakeStore) Watch(ctx context.Context, _ string, fromRevision int64, deliver func(store.WatchBatch) error) error {
+	time.Sleep(s.watchDelay)
 	s.mutex.Lock()
-	if s.silent { // the connection is refused, where calls on open ones hang
+	if s.unresponsive { // the connection is refused, where calls on open ones hang
 		s.mutex.Unlock()
 		return store.ErrUnavailable
 	}
-	if s.compacted > 0 {
-		s.compacted--
+	if s.compactedWatches > 0 {
+		s.compactedWatches--
 		s.mutex.Unlock()
 		return store.ErrCompacted
 	}
 	events := make(chan store.WatchBatch, 16+len(s.history))
 	for _, batch := range s.history {
-		if !s.deaf && batch.Revision >= fromRevision {
+		if !s.stalled && batch.Revision >= fromRevision {
 			events <- batch
 		}
 	}
-	s.watching = append(s.watching, events)
+	s.watchers = append(s.watchers, events)
 	s.mutex.Unlock()
 	for {
 		select {
@@ -241,22 +241,22 @@
 	}
 }
 
-// fakePeers collects what is sent and hands over what is received.
-type fakePeers struct {
+// fakeAnnouncer collects what is sent and hands over what is received.
+type fakeAnnouncer struct {
 	received chan announce.Announcement
 	mutex    sync.Mutex
 	sent     []announce.Announcement
 }
 
-func (p *fakePeers) Send(news announce.Announcement) {
+func (p *fakeAnnouncer) Send(news announce.Announcement) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.sent = append(p.sent, news)
 }
 
-func (p *fakePeers) Received() <-chan announce.Announcement { return p.received }
+func (p *fakeAnnouncer) Received() <-chan announce.Announcement { return p.received }
 
-func (p *fakePeers) highest() int64 {
+func (p *fakeAnnouncer) highestSent() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	highest := int64(0)
@@ -267,14 +267,14 @@
 }
 
 // startFollower runs a follower with so much time for news.
-func startFollower(t *testing.T, source *fakeSource, news time.Duration) (*blackboard.Board, *fakePeers) {
+func startFollower(t *testing.T, source *fakeStore, news time.Duration) (*blackboard.Board, *fakeAnnouncer) {
 	t.Helper()
-	board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
+	board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
 	made := New(Options{
 		Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
 		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
 	})
-	run(t, made)
+	runFollower(t, made)
 	return board, peers
 }
 
@@ -291,15 +291,15 @@
 	}
 }
 
-func inForce(board *blackboard.Board, version uint64) func() bool {
+func tableActive(board *blackboard.Board, version uint64) func() bool {
 	return func() bool {
 		table := board.Routes.Load()
 		return table != nil && table.Version == version
 	}
 }
 
-// run runs a follower until the test ends.
-func run(t *testing.T, made *Follower) {
+// runFollower runs a follower until the test ends.
+func runFollower(t *testing.T, made *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -312,22 +312,22 @@
 	})
 }
 
-// fakeRelays are other nodes that may be watched.
-type fakeRelays struct {
+// fakeRelayClient are other nodes that may be watched.
+type fakeRelayClient struct {
 	mu     sync.Mutex
 	broken bool
-	// forgetful nodes do not keep the changes that are asked for.
-	forgetful bool
+	// compacted nodes do not keep the changes that are asked for.
+	compacted bool
 	// silent are the ports of nodes that do not answer.
 	silent  map[uint16]bool
 	watched []netip.AddrPort
 	batches chan store.WatchBatch
 }
 
-func (r *fakeRelays) Watch(ctx context.Context, node netip.AddrPort, _ int64, deliver func(store.WatchBatch) error) error {
+func (r *fakeRelayClient) Watch(ctx context.Context, node netip.AddrPort, _ int64, deliver func(store.WatchBatch) error) error {
 	r.mu.Lock()
 	r.watched = append(r.watched, node)
-	broken, silent, forgetful := r.broken, r.silent[node.Port()], r.forgetful
+	broken, silent, forgetful := r.broken, r.silent[node.Port()], r.compacted
 	r.mu.Unlock()
 	if forgetful {
 		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrForgotten)
@@ -350,27 +350,27 @@
 	}
 }
 
-func (r *fakeRelays) asked() []netip.AddrPort {
+func (r *fakeRelayClient) watchedNodes() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]netip.AddrPort(nil), r.watched...)
 }
 
-// nodeWith is a node's entry with its state address.
-func nodeWith(t *testing.T, revision int64, id, address string) store.KeyValue {
+// nodeAtAddress is a node's entry with its state address.
+func nodeAtAddress(t *testing.T, revision int64, id, address string) store.KeyValue {
 	t.Helper()
 	node := topology.Node{ID: id, Ready: true, StateAddress: address}
-	return store.KeyValue{Key: "nodes/" + id, Value: encoded(t, node), ModRevision: revision}
+	return store.KeyValue{Key: "nodes/" + id, Value: mustEncode(t, node), ModRevision: revision}
 }
 
 // startRelayed runs a follower of node "self", beside others that are recorded.
-func startRelayed(t *testing.T, source *fakeSource, relays *fakeRelays, others []store.KeyValue) *blackboard.Board {
+func startRelayed(t *testing.T, source *fakeStore, relays *fakeRelayClient, others []store.KeyValue) *blackboard.Board {
 	t.Helper()
-	return startTold(t, source, relays, others, &fakePeers{received: make(chan announce.Announcement)}, time.Minute)
+	return startRelayedWith(t, source, relays, others, &fakeAnnouncer{received: make(chan announce.Announcement)}, time.Minute)
 }
 
-// startTold is startRelayed with what other nodes announce, and the time for news.
-func startTold(t *testing.T, source *fakeSource, relays *fakeRelays, others []store.KeyValue, peers *fakePeers, news time.Duration) *blackboard.Board {
+// startRelayedWith is startRelayed with what other nodes announce, and the time for news.
+func startRelayedWith(t *testing.T, source *fakeStore, relays *fakeRelayClient, others []store.KeyValue, peers *fakeAnnouncer, news time.Duration) *blackboard.Board {
 	t.Helper()
 	for _, other := range others {
 		source.put(other)
@@ -382,11 +382,11 @@
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2,
 		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
 	})
-	run(t, made)
+	runFollower(t, made)
 	return board
 }
 
-func twoOthers(t *testing.T) []store.KeyValue {
+func twoPeers(t *testing.T) []store.KeyValue {
 	t.Helper()
-	return []store.KeyValue{nodeWith(t, 2, "a", "127.0.0.1:1001"), nodeWith(t, 3, "b", "127.0.0.1:1002")}
+	return []store.KeyValue{nodeAtAddress(t, 2, "a", "127.0.0.1:1001"), nodeAtAddress(t, 3, "b", "127.0.0.1:1002")}
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -115,106 +115,108 @@
 
 // The parts of the time for news.
 const (
-	// checkShare is how long a confirmation counts.
-	checkShare = 0.4
-	// rankShare is divided among the nodes, so that they ask one after the
+	// confirmationFraction is how long a confirmation counts.
+	confirmationFraction = 0.4
+	// rankFraction is divided among the nodes, so that they ask one after the
 	// other.
-	rankShare = 0.2
-	// graceShare is what a watch may take to tell what others know already; it
+	rankFraction = 0.2
+	// graceFraction is what a watch may take to tell what others know already; it
 	// is over gatherShare. A watch of another node has relayShare longer: that node gives
 	// its own watch up at the same time, and what it then reads comes a moment later.
-	graceShare = 0.3
-	relayShare = 0.05
-	// askShare bounds one question, and the first attempt to read everything. It is also
+	graceFraction      = 0.3
+	relayGraceFraction = 0.05
+	// callTimeoutFraction bounds one question, and the first attempt to read everything. It is also
 	// what the store's watch may take after another node's has told nothing: the two
 	// graces would add up to the whole time for news.
-	askShare = 0.15
-	// gatherShare is how long after a change the next one is waited for, so
+	callTimeoutFraction = 0.15
+	// batchFraction is how long after a change the next one is waited for, so
 	// that changes that come together cost one call.
-	gatherShare = 0.1
-	// adoptShare is how long a configuration may wait for replicas of its new
+	batchFraction = 0.1
+	// activationFraction is how long a configuration may wait for replicas of its new
 	// groups.
-	adoptShare = 0.3
+	activationFraction = 0.3
 )
 
-func (o *Options) share(of float64) time.Duration { return time.Duration(of * float64(o.MaxStaleness)) }
+func (o *Options) fraction(of float64) time.Duration {
+	return time.Duration(of * float64(o.MaxStaleness))
+}
 
 // Follower follows the store; Run starts it.
 type Follower struct {
-	options   Options
-	state     *state
-	staleness staleness
-	validity  validity
-	reached   bool
-	// mustRead is true while everything has to be read before it is watched: at the
+	options        Options
+	state          *state
+	staleness      staleness
+	validity       validity
+	storeReachable bool
+	// needsResync is true while everything has to be read before it is watched: at the
 	// start, and when the store's history or a watch has let changes pass.
-	mustRead bool
-	// relayBehind is true from when a node that was watched did not tell what others know
+	needsResync bool
+	// relayLagged is true from when a node that was watched did not tell what others know
 	// until the store has spoken.
-	relayBehind bool
-	// answers counts the answers of the store.
-	answers int
-	// refusals counts the readings in a row that were followed by a refused watch.
-	refusals int
-	// refused is true while the store is left alone for a pause.
-	refused bool
-	// patience bounds the next reading of everything. A call that the store has
+	relayLagged bool
+	// storeResponses counts the storeResponses of the store.
+	storeResponses int
+	// watchRejections counts the readings in a row that were followed by a refused watch.
+	watchRejections int
+	// backingOff is true while the store is left alone for a pause.
+	backingOff bool
+	// listTimeout bounds the next reading of everything. A call that the store has
 	// left without an answer will have none, so the first ones are given up
 	// soon; each failure doubles the time, for a store that is slow.
-	patience time.Duration
-	// permit is the validity's, for the goroutines of requests, which ask for another one
+	listTimeout time.Duration
+	// window is the validity's, for the goroutines of requests, which ask for another one
 	// over asked. hurried is true from then on until there is one.
-	permit  atomic.Pointer[permit]
-	asked   chan struct{}
-	hurried bool
-	// waits counts the requests that have waited, vainWaits those that did so in vain.
-	waits, vainWaits atomic.Int64
+	window           atomic.Pointer[validityWindow]
+	refreshRequested chan struct{}
+	refreshing       bool
+	// waits counts the requests that have waited, failedWaits those that did so in vain.
+	waits, failedWaits atomic.Int64
 	// snapshot is what is handed over to other nodes, feed what those that watch
 	// this one are told.
 	snapshot atomic.Pointer[snapshot]
 	feed     relay.Feed
-	// relaysFailed counts the watches of other nodes that have failed of late,
+	// relayFailures counts the watches of other nodes that have failed of late,
 	// relayFailedAt is when the last did.
-	relaysFailed  int
-	relayFailedAt time.Time
-	// needsStore is true from when the node that was watched no longer had the changes
+	relayFailures    int
+	lastRelayFailure time.Time
+	// needsStoreWatch is true from when the node that was watched no longer had the changes
 	// that this one lacks until the store has told them.
-	needsStore bool
-	// silentInTurn counts the nodes that were watched one after the other and did not
+	needsStoreWatch bool
+	// consecutiveSilent counts the nodes that were watched one after the other and did not
 	// answer.
-	silentInTurn int
+	consecutiveSilent int
 	// suspected brings what is found out about other nodes.
 	suspected chan []relay.Suspicion
 }
 
 // The pauses between two attempts to read the store while it fails.
 const (
-	shortestPause = 100 * time.Millisecond
-	longestPause  = time.Second
-	// eagerNodes, and those that watch the store for their zones, pause for no longer
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
+	// fastRetryNodes, and those that watch the store for their zones, pause for no longer
 	// than longestPause; the others, which hear from them that the store is back, for
 	// patientShare of the time for news.
-	eagerNodes   = 3
-	patientShare = 0.6
+	fastRetryNodes    = 3
+	slowRetryFraction = 0.6
 )
 
-// longestPause is this node's longest pause. Calls that the store refuses are
+// maxBackoff is this node's longest pause. Calls that the store refuses are
 // priced as well.
-func (f *Follower) longestPause() time.Duration {
-	if f.rank() < eagerNodes || f.isWatcher() {
-		return longestPause
+func (f *Follower) maxBackoff() time.Duration {
+	if f.rank() < fastRetryNodes || f.isZoneWatcher() {
+		return maxBackoff
 	}
-	return max(longestPause, f.options.share(patientShare))
+	return max(maxBackoff, f.options.fraction(slowRetryFraction))
 }
 
-// nextPause is the pause after another one. A node that knows others which call the
+// nextBackoff is the pause after another one. A node that knows others which call the
 // store again soon leaves it alone for the longest at once.
-func (f *Follower) nextPause(last time.Duration) time.Duration {
-	longest := f.longestPause()
-	if longest > longestPause {
+func (f *Follower) nextBackoff(last time.Duration) time.Duration {
+	longest := f.maxBackoff()
+	if longest > maxBackoff {
 		return longest
 	}
-	return min(max(shortestPause, 2*last), longest)
+	return min(max(minBackoff, 2*last), longest)
 }
 
 // New makes a Follower.
@@ -232,12 +234,12 @@
 		options.Quarantine = noQuarantine{}
 	}
 	f := &Follower{
-		options: options, state: newState(&options), reached: true, mustRead: true, patience: options.share(askShare),
-		staleness: staleness{checkAfter: options.share(checkShare), grace: options.share(graceShare)},
-		validity:  validity{bound: options.share(validShare)},
-		suspected: make(chan []relay.Suspicion, 1), asked: make(chan struct{}, 1),
+		options: options, state: newState(&options), storeReachable: true, needsResync: true, listTimeout: options.fraction(callTimeoutFraction),
+		staleness: staleness{checkInterval: options.fraction(confirmationFraction), grace: options.fraction(graceFraction)},
+		validity:  validity{bound: options.fraction(validityFraction)},
+		suspected: make(chan []relay.Suspicion, 1), refreshRequested: make(chan struct{}, 1),
 	}
-	f.permit.Store(&permit{replaced: make(chan struct{})})
+	f.window.Store(&validityWindow{replaced: make(chan struct{})})
 	f.feed.Suspected = f.suspicions
 	return f
 }
@@ -256,13 +258,13 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		f.lost(err)
+		f.recordFailure(err)
 		if heard {
 			pause = 0
 			continue // it has answered since; call it again at once
 		}
-		pause = f.nextPause(pause)
-		f.withoutStore(ctx, pause)
+		pause = f.nextBackoff(pause)
+		f.backOff(ctx, pause)
 	}
 	return nil
 }
@@ -281,56 +283,56 @@
 // heard is true when the store has answered, also that its history has gone: then it
 // is read at once.
 func (f *Follower) follow(ctx context.Context) (heard bool, err error) {
-	hasRead := f.mustRead
-	if f.mustRead {
-		if err := f.read(ctx); err != nil {
+	hasRead := f.needsResync
+	if f.needsResync {
+		if err := f.resync(ctx); err != nil {
 			return false, err
 		}
 	}
-	answers := f.answers
-	err = f.watch(ctx, f.staleness.known)
-	f.mustRead = errors.Is(err, store.ErrCompacted) || errors.Is(err, errBehind)
-	told := f.answers > answers
-	if !hasRead || !f.mustRead || told {
-		f.refusals = 0
-		return f.mustRead || told || hasRead, err
+	answers := f.storeResponses
+	err = f.watch(ctx, f.staleness.applied)
+	f.needsResync = errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging)
+	told := f.storeResponses > answers
+	if !hasRead || !f.needsResync || told {
+		f.watchRejections = 0
+		return f.needsResync || told || hasRead, err
 	}
-	f.refusals++
-	return f.refusals <= mostRefusals, err
+	f.watchRejections++
+	return f.watchRejections <= maxWatchRejections, err
 }
 
-// mostRefusals is how often a watch may be refused, though everything has just been read, and be
+// maxWatchRejections is how often a watch may be refused, though everything has just been read, and be
 // followed by another reading at once: the first reading may be older than what the store keeps.
 // More readings would bring no more. (Without the bound, three nodes made 5,000 in 3 s.)
-const mostRefusals = 1
+const maxWatchRejections = 1
 
-// read takes everything in.
-func (f *Follower) read(ctx context.Context) error {
-	if f.staleness.known == 0 {
-		return f.readFirst(ctx)
+// resync takes everything in.
+func (f *Follower) resync(ctx context.Context) error {
+	if f.staleness.applied == 0 {
+		return f.initialSync(ctx)
 	}
 	began := f.options.Now()
-	values, revision, err := f.list(ctx, f.readAll)
+	values, revision, err := f.listWithTimeout(ctx, f.listAll)
 	if err != nil {
 		return err
 	}
-	if revision < f.staleness.known {
-		return eris.Wrapf(errOlder, "revision %d, where %d is known", revision, f.staleness.known)
+	if revision < f.staleness.applied {
+		return eris.Wrapf(errRevisionRegressed, "revision %d, where %d is known", revision, f.staleness.applied)
 	}
-	now := f.takeIn(values, revision)
-	f.learned(now, revision)
+	now := f.applyListing(values, revision)
+	f.announceApplied(now, revision)
 	f.validity.confirm(began)
-	f.allow()
+	f.publishWindow()
 	return nil
 }
 
-// errOlder ends a reading that has brought an older state than the one known.
-var errOlder = eris.New("the store has told an older state than before, without a new era")
+// errRevisionRegressed ends a reading that has brought an older state than the one known.
+var errRevisionRegressed = eris.New("the store has told an older state than before, without a new era")
 
-// takeIn puts a whole reading of a revision in force, and returns when.
-func (f *Follower) takeIn(values []store.KeyValue, revision int64) time.Time {
+// applyListing puts a whole reading of a revision in force, and returns when.
+func (f *Follower) applyListing(values []store.KeyValue, revision int64) time.Time {
 	now := f.options.Now()
-	f.heard(now)
+	f.recordResponse(now)
 	f.replace(now, values, revision)
 	f.state.publish(now)
 	return now
@@ -339,7 +341,7 @@
 // replace puts a whole reading in the place of what is known. The first of a later era of the
 // store is of a copy, which may lack what its writers have not written again yet.
 func (f *Follower) replace(now time.Time, values []store.KeyValue, revision int64) {
-	known := f.staleness.known
+	known := f.staleness.applied
 	if known == 0 || store.EraOf(revision) == store.EraOf(known) {
 		f.state.replace(now, values)
 		return
@@ -347,67 +349,67 @@
 	f.options.Logger.Warn("the store has come back from a copy",
 		"era", store.EraOf(revision), "revision", store.NumberOf(revision),
 		"known_era", store.EraOf(known), "known_revision", store.NumberOf(known))
-	f.state.replaceByCopy(now, values)
+	f.state.replaceAfterRestore(now, values)
 }
 
-// reading reads everything from the store.
-type reading func(ctx context.Context) ([]store.KeyValue, int64, error)
+// listFunc reads everything from the store.
+type listFunc func(ctx context.Context) ([]store.KeyValue, int64, error)
 
-func (f *Follower) readAll(ctx context.Context) ([]store.KeyValue, int64, error) {
+func (f *Follower) listAll(ctx context.Context) ([]store.KeyValue, int64, error) {
 	return f.options.Store.List(ctx, "", 0)
 }
 
-// list makes a reading within the node's patience.
-func (f *Follower) list(ctx context.Context, read reading) ([]store.KeyValue, int64, error) {
-	bounded, cancel := context.WithTimeout(ctx, f.patience)
+// listWithTimeout makes a reading within the node's patience.
+func (f *Follower) listWithTimeout(ctx context.Context, read listFunc) ([]store.KeyValue, int64, error) {
+	bounded, cancel := context.WithTimeout(ctx, f.listTimeout)
 	defer cancel()
 	var values []store.KeyValue
 	var revision int64
 	var err error
 	began := f.options.Now()
-	f.ask(func() { values, revision, err = read(bounded) })
+	f.callStore(func() { values, revision, err = read(bounded) })
 	if err != nil {
-		f.noteUnreachable(began)
-		f.patience = min(2*f.patience, f.options.MaxStaleness)
+		f.recordUnreachable(began)
+		f.listTimeout = min(2*f.listTimeout, f.options.MaxStaleness)
 		return nil, 0, err
 	}
-	f.patience = f.options.share(askShare)
+	f.listTimeout = f.options.fraction(callTimeoutFraction)
 	return values, revision, nil
 }
 
-// told takes in what another node has heard, and passes news on.
-func (f *Follower) told(news announce.Announcement) {
+// handleAnnouncement takes in what another node has heard, and passes news on.
+func (f *Follower) handleAnnouncement(news announce.Announcement) {
 	now := f.options.Now()
-	f.claimed(now.Add(-news.Age()), news.Revision)
+	f.observe(now.Add(-news.Age()), news.Revision)
 	if f.confirm(now, now.Add(-news.Age()), news.Revision) {
 		f.options.Announcer.Send(news)
 	}
 }
 
-func (f *Follower) deliver(batch store.WatchBatch) {
+func (f *Follower) handleBatch(batch store.WatchBatch) {
 	now := f.options.Now()
 	for _, event := range batch.Events {
 		f.state.apply(now, event)
 	}
 	f.state.publish(now)
 	if batch.Relayed {
-		f.know(batch.Revision)
-		f.feedOthers()
-		f.enterEra()
+		f.markApplied(batch.Revision)
+		f.publishFeed()
+		f.snapshotNewEra()
 		return
 	}
-	f.needsStore = false
-	f.heard(now)
-	f.claimed(now, batch.Revision)
-	f.learned(now, batch.Revision)
+	f.needsStoreWatch = false
+	f.recordResponse(now)
+	f.observe(now, batch.Revision)
+	f.announceApplied(now, batch.Revision)
 }
 
-// enterEra keeps what is known for others as soon as it is of a later era of the store. The
+// snapshotNewEra keeps what is known for others as soon as it is of a later era of the store. The
 // next confirmation comes up to the time for news later, and this node would go on holding the
 // lease of an era that is over.
-func (f *Follower) enterEra() {
-	if held := f.snapshot.Load(); held != nil && store.EraOf(held.revision) < store.EraOf(f.staleness.known) {
-		f.keepSnapshot()
+func (f *Follower) snapshotNewEra() {
+	if held := f.snapshot.Load(); held != nil && store.EraOf(held.revision) < store.EraOf(f.staleness.applied) {
+		f.updateSnapshot()
 	}
 }
 
@@ -415,48 +417,48 @@
 // whether others should hear of it.
 func (f *Follower) confirm(now, at time.Time, revision int64) (news bool) {
 	news = f.staleness.confirm(now, at, revision)
-	if f.staleness.known >= f.staleness.confirmed {
-		f.keepSnapshot()
+	if f.staleness.applied >= f.staleness.confirmed {
+		f.updateSnapshot()
 	}
 	return news
 }
 
-// learned notes that everything up to a revision is known now, and tells the
+// announceApplied notes that everything up to a revision is known now, and tells the
 // others when that is news.
-func (f *Follower) learned(now time.Time, revision int64) {
-	f.know(revision)
-	f.feedOthers()
+func (f *Follower) announceApplied(now time.Time, revision int64) {
+	f.markApplied(revision)
+	f.publishFeed()
 	if f.confirm(now, now, revision) {
 		f.options.Announcer.Send(announce.Announcement{Revision: revision})
 	}
 }
 
-// heard notes that the store has spoken.
-func (f *Follower) heard(now time.Time) {
-	f.answers++
-	f.relayBehind = false
-	if f.reached && f.options.Board.Store.Load() != nil {
+// recordResponse notes that the store has spoken.
+func (f *Follower) recordResponse(now time.Time) {
+	f.storeResponses++
+	f.relayLagged = false
+	if f.storeReachable && f.options.Board.Store.Load() != nil {
 		return
 	}
-	f.reached = true
+	f.storeReachable = true
 	f.options.Board.Store.Publish(&blackboard.StoreStatus{Reachable: true, Since: now})
 	f.options.Logger.Info("store reached")
 }
 
-// lost notes that the store has failed.
-func (f *Follower) lost(err error) {
-	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errBehind) {
-		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.known), "known_revision", store.NumberOf(f.staleness.known))
+// recordFailure notes that the store has failed.
+func (f *Follower) recordFailure(err error) {
+	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging) {
+		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied))
 		return
 	}
-	if !f.reached {
+	if !f.storeReachable {
 		return
 	}
-	f.reached = false
+	f.storeReachable = false
 	now := f.options.Now()
 	f.options.Board.Store.Publish(&blackboard.StoreStatus{Since: now, LastError: err.Error()})
 	f.options.Logger.Warn("store lost; going on with what is known",
-		"error", err.Error(), "known_era", store.EraOf(f.staleness.known), "known_revision", store.NumberOf(f.staleness.known), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
+		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
 }
 
 // hasPrefix tells whether a key belongs to a part of the store that is used.
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -16,38 +16,38 @@
 )
 
 func TestADeafWatchIsNoticedByTheNodeItself(t *testing.T) {
-	source := &fakeSource{}
+	source := &fakeStore{}
 	source.put(tableAt(t, 1, 1))
 	board, peers := startFollower(t, source, 300*time.Millisecond)
-	eventually(t, "the first table is in force", inForce(board, 1))
-	source.set(true, false)
+	eventually(t, "the first table is in force", tableActive(board, 1))
+	source.setFaults(true, false)
 	source.put(tableAt(t, 2, 2))
-	eventually(t, "the second table is in force", inForce(board, 2))
-	if got := peers.highest(); got != 2 {
+	eventually(t, "the second table is in force", tableActive(board, 2))
+	if got := peers.highestSent(); got != 2 {
 		t.Errorf("told the others of revision %d", got)
 	}
 }
 
 // TestADeafWatchIsNoticedByAPeersWord: the node itself would ask later.
 func TestADeafWatchIsNoticedByAPeersWord(t *testing.T) {
-	source := &fakeSource{}
+	source := &fakeStore{}
 	source.put(tableAt(t, 1, 1))
 	board, peers := startFollower(t, source, 6*time.Second)
-	eventually(t, "the first table is in force", inForce(board, 1))
-	source.set(true, false)
+	eventually(t, "the first table is in force", tableActive(board, 1))
+	source.setFaults(true, false)
 	source.put(tableAt(t, 2, 2))
 	peers.received <- announce.Announcement{Revision: 2}
-	eventually(t, "the second table is in force", inForce(board, 2))
+	eventually(t, "the second table is in force", tableActive(board, 2))
 	if lists, gets := source.counts(); lists != 2 || gets != 0 {
 		t.Errorf("%d readings and %d questions", lists, gets)
 	}
 }
 
 func TestConfirmationsOfOthersSaveCalls(t *testing.T) {
-	source := &fakeSource{}
+	source := &fakeStore{}
 	source.put(tableAt(t, 1, 1))
 	board, peers := startFollower(t, source, time.Second)
-	eventually(t, "the table is in force", inForce(board, 1))
+	eventually(t, "the table is in force", tableActive(board, 1))
 	for range 10 {
 		time.Sleep(60 * time.Millisecond)
 		peers.received <- announce.Announcement{Revision: 1}
@@ -60,14 +60,14 @@
 // TestAStoreThatComesBackIsReadSoon: calls that a silent store has left without
 // an answer are given up, and the node that started meanwhile reads at once.
 func TestAStoreThatComesBackIsReadSoon(t *testing.T) {
-	source := &fakeSource{silent: true}
+	source := &fakeStore{unresponsive: true}
 	source.put(tableAt(t, 1, 1))
 	const news = 4 * time.Second
 	board, _ := startFollower(t, source, news)
 	eventually(t, "the store is asked", func() bool { lists, _ := source.counts(); return lists > 0 })
-	source.set(false, false)
+	source.setFaults(false, false)
 	back := time.Now()
-	eventually(t, "the table is in force", inForce(board, 1))
+	eventually(t, "the table is in force", tableActive(board, 1))
 	if took := time.Since(back); took > news/2 {
 		t.Errorf("read %v after the store was back", took)
 	}
@@ -78,9 +78,9 @@
 func TestAVanishedReplicaIsForgottenInTime(t *testing.T) {
 	for _, away := range []bool{false, true} {
 		t.Run(fmt.Sprint("store away ", away), func(t *testing.T) {
-			source := &fakeSource{watchAfter: 100 * time.Millisecond}
+			source := &fakeStore{watchDelay: 100 * time.Millisecond}
 			source.put(replicaAt(t, 1, "a", topology.ReplicaServing))
-			board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
+			board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
 			const news = 10 * time.Second
 			made := New(Options{
 				Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
@@ -92,12 +92,12 @@
 			eventually(t, "the replica is known", func() bool { return board.Replicas.Load() != nil })
 			gone := time.Now()
 			source.remove("replicas/a")
-			eventually(t, "the replica has vanished", func() bool { return states(board)["a"] == topology.ReplicaVanished })
-			source.set(false, away)
+			eventually(t, "the replica has vanished", func() bool { return replicaStates(board)["a"] == topology.ReplicaVanished })
+			source.setFaults(false, away)
 			if away {
 				source.breakWatches()
 			}
-			eventually(t, "the replica is forgotten", func() bool { return len(states(board)) == 0 })
+			eventually(t, "the replica is forgotten", func() bool { return len(replicaStates(board)) == 0 })
 			if took := time.Since(gone); took > news/5 {
 				t.Errorf("forgotten after %v", took)
 			}
@@ -109,33 +109,33 @@
 	}
 }
 
-// fakeOthers hands over what a test says.
-type fakeOthers struct {
-	mutex  sync.Mutex
-	handed handover.Snapshot
+// fakeSnapshotReader hands over what a test says.
+type fakeSnapshotReader struct {
+	mutex    sync.Mutex
+	snapshot handover.Snapshot
 }
 
-func (o *fakeOthers) set(handed handover.Snapshot) {
+func (o *fakeSnapshotReader) set(handed handover.Snapshot) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.handed = handed
+	o.snapshot = handed
 }
 
-func (o *fakeOthers) Read(context.Context) (handover.Snapshot, error) {
+func (o *fakeSnapshotReader) Read(context.Context) (handover.Snapshot, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.handed.Revision == 0 {
+	if o.snapshot.Revision == 0 {
 		return handover.Snapshot{}, errors.New("nobody knows")
 	}
-	return o.handed, nil
+	return o.snapshot, nil
 }
 
 // TestANodeThatTheStoreRefusesReadsFromAnother: what is newer is taken over, what
 // is older is not.
 func TestANodeThatTheStoreRefusesReadsFromAnother(t *testing.T) {
-	source, others := &fakeSource{}, &fakeOthers{}
+	source, others := &fakeStore{}, &fakeSnapshotReader{}
 	source.put(tableAt(t, 3, 3))
-	board, peers := &blackboard.Board{}, &fakePeers{received: make(chan announce.Announcement)}
+	board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
 	made := New(Options{
 		Store: source, Announcer: peers, PeerSnapshots: others, Decoder: testDecoder{}, Keys: testKeys, Board: board,
 		Self: topology.Node{ID: "self"}, MaxStaleness: 400 * time.Millisecond, VanishedRetention: time.Second,
@@ -143,16 +143,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- made.Run(ctx) }()
-	eventually(t, "the first table is in force", inForce(board, 3))
-	source.set(true, true)
+	eventually(t, "the first table is in force", tableActive(board, 3))
+	source.setFaults(true, true)
 	eventually(t, "the store is lost", func() bool { return !board.Store.Load().Reachable })
 	others.set(handover.Snapshot{Revision: 2, Values: []store.KeyValue{tableAt(t, 2, 2)}})
 	time.Sleep(300 * time.Millisecond)
-	if !inForce(board, 3)() {
+	if !tableActive(board, 3)() {
 		t.Error("an older state was taken over")
 	}
 	others.set(handover.Snapshot{Revision: 9, Values: []store.KeyValue{tableAt(t, 9, 9)}})
-	eventually(t, "what another node knows is in force", inForce(board, 9))
+	eventually(t, "what another node knows is in force", tableActive(board, 9))
 	if handed, known := made.Snapshot(); !known || handed.Revision != 9 || len(handed.Values) != 1 {
 		t.Errorf("hands over %+v, %v", handed, known)
 	}
@@ -163,7 +163,7 @@
 }
 
 func TestTheStoresStateIsPublished(t *testing.T) {
-	source := &fakeSource{}
+	source := &fakeStore{}
 	source.put(tableAt(t, 1, 1))
 	board, _ := startFollower(t, source, 200*time.Millisecond)
 	reachable := func(want bool) func() bool {
@@ -173,11 +173,11 @@
 		}
 	}
 	eventually(t, "the store is reached", reachable(true))
-	source.set(true, true)
+	source.setFaults(true, true)
 	eventually(t, "the store is lost", reachable(false))
-	if !inForce(board, 1)() {
+	if !tableActive(board, 1)() {
 		t.Error("what was known is gone")
 	}
-	source.set(false, false)
+	source.setFaults(false, false)
 	eventually(t, "the store is reached again", reachable(true))
 }
--- a/internal/follower/peers.go
+++ b/internal/follower/peers.go
@@ -15,60 +15,60 @@
 	values      []store.KeyValue
 }
 
-// triesWithoutStore is the number of other nodes that are watched in one pause.
-const triesWithoutStore = 2
+// relaysPerBackoff is the number of other nodes that are watched in one pause.
+const relaysPerBackoff = 2
 
-// withoutStore lets a pause go by in which the store is not called: other nodes are
+// backOff lets a pause go by in which the store is not called: other nodes are
 // watched, as the store may refuse this one alone.
-func (f *Follower) withoutStore(ctx context.Context, pause time.Duration) {
+func (f *Follower) backOff(ctx context.Context, pause time.Duration) {
 	until := f.options.Now().Add(pause)
 	bounded, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
-	f.refused = true
-	defer func() { f.refused = false }()
-	for try := range triesWithoutStore {
-		node, found := f.anyNode(try)
-		if f.staleness.known == 0 || !found {
+	f.backingOff = true
+	defer func() { f.backingOff = false }()
+	for try := range relaysPerBackoff {
+		node, found := f.fallbackRelay(try)
+		if f.staleness.applied == 0 || !found {
 			break
 		}
-		f.staleness.waitAnew(f.options.Now())
-		_ = f.watchOne(bounded, f.nodeSource(node), f.staleness.known) // it ends with the pause, or by that node's fault
+		f.staleness.restartGrace(f.options.Now())
+		_ = f.watchSource(bounded, f.relaySource(node), f.staleness.applied) // it ends with the pause, or by that node's fault
 		if bounded.Err() != nil {
 			return
 		}
-		f.noteFailed(f.relaysFailed + 1)
+		f.recordRelayFailures(f.relayFailures + 1)
 	}
-	f.askOthers(bounded)
-	f.wait(ctx, until.Sub(f.options.Now()))
+	f.readPeerSnapshot(bounded)
+	f.waitForRetry(ctx, until.Sub(f.options.Now()))
 }
 
-// askOthers takes over what another node knows, when that may be more: the
+// readPeerSnapshot takes over what another node knows, when that may be more: the
 // store may refuse this node alone.
-func (f *Follower) askOthers(ctx context.Context) {
+func (f *Follower) readPeerSnapshot(ctx context.Context) {
 	asked := f.options.Now()
-	current := f.staleness.known >= f.staleness.confirmed && asked.Before(f.staleness.checkAt(0))
+	current := f.staleness.applied >= f.staleness.confirmed && asked.Before(f.staleness.nextCheck(0))
 	if f.options.PeerSnapshots == nil || current {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, f.options.share(askShare))
+	bounded, cancel := context.WithTimeout(ctx, f.options.fraction(callTimeoutFraction))
 	defer cancel()
 	var handed handover.Snapshot
 	var err error
-	f.attend(func() { handed, err = f.options.PeerSnapshots.Read(bounded) })
-	if err != nil || handed.Revision < f.staleness.known {
+	f.handleEventsDuring(func() { handed, err = f.options.PeerSnapshots.Read(bounded) })
+	if err != nil || handed.Revision < f.staleness.applied {
 		return // the next attempt asks another one
 	}
 	now := f.options.Now()
-	if handed.Revision > f.staleness.known {
-		f.options.Logger.Info("state taken over from another node", "revision", handed.Revision, "known_revision", f.staleness.known, "age", handed.Age().String())
+	if handed.Revision > f.staleness.applied {
+		f.options.Logger.Info("state taken over from another node", "revision", handed.Revision, "known_revision", f.staleness.applied, "age", handed.Age().String())
 		f.replace(now, handed.Values, handed.Revision)
 		f.state.publish(now)
-		f.know(handed.Revision)
-		f.feedOthers()
+		f.markApplied(handed.Revision)
+		f.publishFeed()
 	}
-	f.validity.claim(claim{revision: handed.Revision, at: asked.Add(-handed.Age())}, f.staleness.known)
+	f.validity.observe(observation{revision: handed.Revision, at: asked.Add(-handed.Age())}, f.staleness.applied)
 	f.confirm(now, now.Add(-handed.Age()), handed.Revision)
-	f.allow()
+	f.publishWindow()
 }
 
 // Snapshot returns what this node knows, for another node; known is false
@@ -92,21 +92,21 @@
 	return held.revision, held.confirmedAt
 }
 
-// keepSnapshot notes what is known now, for other nodes.
-func (f *Follower) keepSnapshot() {
-	kept := &snapshot{revision: f.staleness.known, confirmedAt: f.staleness.confirmedAt}
+// updateSnapshot notes what is known now, for other nodes.
+func (f *Follower) updateSnapshot() {
+	kept := &snapshot{revision: f.staleness.applied, confirmedAt: f.staleness.confirmedAt}
 	if held := f.snapshot.Load(); held != nil && !f.state.valuesChanged {
 		kept.values = held.values
 	} else {
-		kept.values = f.state.list()
+		kept.values = f.state.listValues()
 	}
 	f.state.valuesChanged = false
 	f.snapshot.Store(kept)
 }
 
-// feedOthers tells those who watch this node what is known now, also while others are
+// publishFeed tells those who watch this node what is known now, also while others are
 // known to know more: while changes come without a pause, they always are.
-func (f *Follower) feedOthers() {
-	f.feed.Publish(f.staleness.known, f.state.unpublished)
-	f.state.unpublished = nil
+func (f *Follower) publishFeed() {
+	f.feed.Publish(f.staleness.applied, f.state.pendingEvents)
+	f.state.pendingEvents = nil
 }
--- a/internal/follower/quarantine_test.go
+++ b/internal/follower/quarantine_test.go
@@ -8,19 +8,21 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// heardQuarantine notes what it is told.
-type heardQuarantine struct{ heard []string }
+// recordingQuarantine notes what it is told.
+type recordingQuarantine struct{ calls []string }
 
-func (h *heardQuarantine) Adopt(identity string, value []byte) {
-	h.heard = append(h.heard, identity+"="+string(value))
+func (h *recordingQuarantine) Adopt(identity string, value []byte) {
+	h.calls = append(h.calls, identity+"="+string(value))
 }
 
-func (h *heardQuarantine) Forgotten(identity string) { h.heard = append(h.heard, identity+" is gone") }
+func (h *recordingQuarantine) Forgotten(identity string) {
+	h.calls = append(h.calls, identity+" is gone")
+}
 
 // TestQuarantinedRequestsAreTakenIn: each write of the store once, however often it is read.
 func TestQuarantinedRequestsAreTakenIn(t *testing.T) {
 	state, _ := newTestState(t)
-	heard := &heardQuarantine{}
+	heard := &recordingQuarantine{}
 	state.options.Quarantine = heard
 	state.options.Keys.Quarantine = "quarantine/"
 	entry := func(revision int64, value string) store.KeyValue {
@@ -32,7 +34,7 @@
 	state.apply(start, store.Event{KeyValue: entry(5, "y")})
 	state.apply(start, store.Event{KeyValue: entry(4, "older")})
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "quarantine/ab"}, Deleted: true})
-	if diff := cmp.Diff([]string{"ab=x", "ab=y", "ab is gone"}, heard.heard); diff != "" {
+	if diff := cmp.Diff([]string{"ab=x", "ab=y", "ab is gone"}, heard.calls); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
 }
--- a/internal/follower/source_test.go
+++ b/internal/follower/source_test.go
@@ -16,14 +16,14 @@
 // TestMostNodesWatchAnother: what it tells is in force, and the store is not
 // watched.
 func TestMostNodesWatchAnother(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{batches: make(chan store.WatchBatch)}
-	board := startRelayed(t, source, relays, twoOthers(t))
+	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
+	board := startRelayed(t, source, relays, twoPeers(t))
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
-	eventually(t, "what the other node tells is in force", inForce(board, 9))
-	if watches := source.watches(); watches != 0 {
+	eventually(t, "what the other node tells is in force", tableActive(board, 9))
+	if watches := source.watchCount(); watches != 0 {
 		t.Errorf("the store is watched %d times", watches)
 	}
-	for _, node := range relays.asked() {
+	for _, node := range relays.watchedNodes() {
 		if port := node.Port(); port != 1001 && port != 1002 {
 			t.Errorf("watches %v", node)
 		}
@@ -33,54 +33,54 @@
 // TestTheStoreIsWatchedWhenOtherNodesFail, after the one that watches it for its
 // zone was tried once; nothing is read anew for that.
 func TestTheStoreIsWatchedWhenOtherNodesFail(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{broken: true}
-	board := startRelayed(t, source, relays, twoOthers(t))
-	eventually(t, "the store is watched", func() bool { return source.watches() > 0 })
+	source, relays := &fakeStore{}, &fakeRelayClient{broken: true}
+	board := startRelayed(t, source, relays, twoPeers(t))
+	eventually(t, "the store is watched", func() bool { return source.watchCount() > 0 })
 	source.put(tableAt(t, 9, 9))
-	eventually(t, "what the store tells is in force", inForce(board, 9))
-	tried := relays.asked()
-	if len(tried) != relayTries || tried[0].Port() != 1001 {
+	eventually(t, "what the store tells is in force", tableActive(board, 9))
+	tried := relays.watchedNodes()
+	if len(tried) != maxRelayFailures || tried[0].Port() != 1001 {
 		t.Errorf("tried %v", tried)
 	}
 	if lists, _ := source.counts(); lists != 1 {
 		t.Errorf("the store was read %d times", lists)
 	}
-	if watches := source.watches(); watches != 1 {
+	if watches := source.watchCount(); watches != 1 {
 		t.Errorf("the store is watched %d times", watches)
 	}
 }
 
 // TestTheFirstNodesWatchTheStore: one of the wanted number watches no other.
 func TestTheFirstNodesWatchTheStore(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{}
-	source.put(nodeWith(t, 1, "self", "127.0.0.1:1004"))
-	source.put(nodeWith(t, 2, "z", "127.0.0.1:1003"))
+	source, relays := &fakeStore{}, &fakeRelayClient{}
+	source.put(nodeAtAddress(t, 1, "self", "127.0.0.1:1004"))
+	source.put(nodeAtAddress(t, 2, "z", "127.0.0.1:1003"))
 	board := startRelayed(t, source, relays, nil)
-	eventually(t, "the store is watched", func() bool { return source.watches() == 1 })
+	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
 	source.put(tableAt(t, 9, 9))
-	eventually(t, "what the store tells is in force", inForce(board, 9))
-	if asked := relays.asked(); len(asked) != 0 {
+	eventually(t, "what the store tells is in force", tableActive(board, 9))
+	if asked := relays.watchedNodes(); len(asked) != 0 {
 		t.Errorf("watches %v", asked)
 	}
 }
 
-func (s *fakeSource) watches() int {
+func (s *fakeStore) watchCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.watching)
+	return len(s.watchers)
 }
 
 // TestANodeThatIsBehindIsGivenUpWithoutAReading: the store still knows the changes
 // since, and telling them is one call; a reading is several.
 func TestANodeThatIsBehindIsGivenUpWithoutAReading(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{batches: make(chan store.WatchBatch)}
-	peers := &fakePeers{received: make(chan announce.Announcement)}
-	board := startTold(t, source, relays, twoOthers(t), peers, 2*time.Second)
-	eventually(t, "another node is watched", func() bool { return len(relays.asked()) > 0 })
+	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
+	peers := &fakeAnnouncer{received: make(chan announce.Announcement)}
+	board := startRelayedWith(t, source, relays, twoPeers(t), peers, 2*time.Second)
+	eventually(t, "another node is watched", func() bool { return len(relays.watchedNodes()) > 0 })
 	peers.received <- announce.Announcement{Revision: 9}
-	eventually(t, "the store is watched", func() bool { return source.watches() > 0 })
+	eventually(t, "the store is watched", func() bool { return source.watchCount() > 0 })
 	source.put(tableAt(t, 9, 9))
-	eventually(t, "what the store tells is in force", inForce(board, 9))
+	eventually(t, "what the store tells is in force", tableActive(board, 9))
 	if lists, _ := source.counts(); lists != 1 {
 		t.Errorf("the store was read %d times", lists)
 	}
@@ -89,18 +89,18 @@
 // TestARefusedNodeHearsFromOthers: while the store refuses a node that watches it,
 // another node tells it what is new, and the store is called seldom.
 func TestARefusedNodeHearsFromOthers(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{batches: make(chan store.WatchBatch)}
-	source.put(nodeWith(t, 1, "self", "127.0.0.1:1004"))
-	source.put(nodeWith(t, 2, "z", "127.0.0.1:1003"))
-	board := startTold(t, source, relays, nil, &fakePeers{received: make(chan announce.Announcement)}, 3*time.Second)
-	eventually(t, "the store is watched", func() bool { return source.watches() == 1 })
-	source.set(false, true)
+	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
+	source.put(nodeAtAddress(t, 1, "self", "127.0.0.1:1004"))
+	source.put(nodeAtAddress(t, 2, "z", "127.0.0.1:1003"))
+	board := startRelayedWith(t, source, relays, nil, &fakeAnnouncer{received: make(chan announce.Announcement)}, 3*time.Second)
+	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
+	source.setFaults(false, true)
 	source.breakWatches()
-	eventually(t, "another node is watched", func() bool { return len(relays.asked()) > 0 })
+	eventually(t, "another node is watched", func() bool { return len(relays.watchedNodes()) > 0 })
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
-	eventually(t, "what the other node tells is in force", inForce(board, 9))
+	eventually(t, "what the other node tells is in force", tableActive(board, 9))
 	before, _ := source.counts()
-	time.Sleep(longestPause)
+	time.Sleep(maxBackoff)
 	if after, _ := source.counts(); after-before > 2 {
 		t.Errorf("the store was read %d times in a second", after-before)
 	}
@@ -111,34 +111,34 @@
 // zone, and no other node knows it and tells it anything; it watches one of another
 // zone all the same.
 func TestARefusedNodeThatIsNotRecordedHearsFromOthers(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{batches: make(chan store.WatchBatch)}
+	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
 	far := topology.Node{ID: "z", Ready: true, StateAddress: "127.0.0.1:1003", Place: topology.Place{Zone: "z2"}}
-	source.put(store.KeyValue{Key: "nodes/z", Value: encoded(t, far), ModRevision: 1})
+	source.put(store.KeyValue{Key: "nodes/z", Value: mustEncode(t, far), ModRevision: 1})
 	source.put(tableAt(t, 4, 1))
 	board := &blackboard.Board{}
 	made := New(Options{
-		Store: source, Announcer: &fakePeers{received: make(chan announce.Announcement)}, RelayClient: relays,
+		Store: source, Announcer: &fakeAnnouncer{received: make(chan announce.Announcement)}, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2,
 		Self: topology.Node{ID: "self", Place: topology.Place{Zone: "z1"}}, MaxStaleness: time.Minute, VanishedRetention: time.Second,
 	})
-	run(t, made)
-	eventually(t, "the store is watched", func() bool { return source.watches() == 1 })
-	source.set(false, true)
+	runFollower(t, made)
+	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
+	source.setFaults(false, true)
 	source.breakWatches()
-	eventually(t, "a node of another zone is watched", func() bool { return len(relays.asked()) > 0 })
+	eventually(t, "a node of another zone is watched", func() bool { return len(relays.watchedNodes()) > 0 })
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
-	eventually(t, "what it tells is in force", inForce(board, 9))
+	eventually(t, "what it tells is in force", tableActive(board, 9))
 }
 
 // TestANodeThatIsBackWatchesTheStore: it has started anew and watches the node that
 // stood in for it, until it hears of its own record; that node watches it then.
 func TestANodeThatIsBackWatchesTheStore(t *testing.T) {
-	source, relays := &fakeSource{}, &fakeRelays{batches: make(chan store.WatchBatch)}
-	startRelayed(t, source, relays, []store.KeyValue{nodeWith(t, 2, "z", "127.0.0.1:1001")})
-	eventually(t, "the node that stood in is watched", func() bool { return len(relays.asked()) == 1 })
-	own := nodeWith(t, 9, "self", "127.0.0.1:1004")
+	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
+	startRelayed(t, source, relays, []store.KeyValue{nodeAtAddress(t, 2, "z", "127.0.0.1:1001")})
+	eventually(t, "the node that stood in is watched", func() bool { return len(relays.watchedNodes()) == 1 })
+	own := nodeAtAddress(t, 9, "self", "127.0.0.1:1004")
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: own}}, Relayed: true}
-	eventually(t, "the store is watched", func() bool { return source.watches() == 1 })
+	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
 }
 
 // TestANodeTellsOnWhatItKnowsThoughOthersKnowMore: while changes come without a
@@ -146,11 +146,11 @@
 func TestANodeTellsOnWhatItKnowsThoughOthersKnowMore(t *testing.T) {
 	f := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, Self: topology.Node{ID: "self"},
-		MaxStaleness: time.Minute, Announcer: &fakePeers{received: make(chan announce.Announcement)},
+		MaxStaleness: time.Minute, Announcer: &fakeAnnouncer{received: make(chan announce.Announcement)},
 	})
-	f.learned(start, 4)
+	f.announceApplied(start, 4)
 	f.confirm(start, start, 9)
-	f.deliver(store.WatchBatch{Revision: 7, Events: []store.Event{{KeyValue: tableAt(t, 7, 7)}}})
+	f.handleBatch(store.WatchBatch{Revision: 7, Events: []store.Event{{KeyValue: tableAt(t, 7, 7)}}})
 	answer := httptest.NewRecorder()
 	f.Feed().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, relay.Path+"?after=4&wait=1ms", nil))
 	if answer.Code != http.StatusOK {
--- a/internal/follower/staleness.go
+++ b/internal/follower/staleness.go
@@ -14,38 +14,38 @@
 // Invariant: known never falls, and confirmedAt is a time at which the store
 // had nothing beyond confirmed.
 type staleness struct {
-	// checkAfter is how long a confirmation counts, for the node whose turn it
-	// is; each further node waits for a slot more.
-	checkAfter, slot time.Duration
+	// checkInterval is how long a confirmation counts, for the node whose turn it
+	// is; each further node waits for a rankDelay more.
+	checkInterval, rankDelay time.Duration
 	// grace is how long the watch may take to tell what others know already, eraGrace
 	// the same where that is of a later era of the store.
 	grace, eraGrace time.Duration
 
-	known       int64
+	applied     int64
 	confirmed   int64
 	confirmedAt time.Time
-	// readAt is when a reading that may be old began what is known; zero before.
-	readAt time.Time
+	// initialListAt is when a reading that may be old began what is known; zero before.
+	initialListAt time.Time
 	// missing are the revisions that others know and this node does not, in ascending
 	// order, each with when it was heard of. While changes come without a pause, a
 	// watch that brings each in time is always behind the latest.
-	missing []heardRevision
+	missing []announcedRevision
 }
 
-// heardRevision is a revision of the store that this node has heard of.
-type heardRevision struct {
+// announcedRevision is a revision of the store that this node has heard of.
+type announcedRevision struct {
 	revision int64
 	at       time.Time
 }
 
-// mostMissing bounds the revisions that are kept; beyond it, later ones count as heard
+// maxMissing bounds the revisions that are kept; beyond it, later ones count as heard
 // of when the last one was.
-const mostMissing = 64
+const maxMissing = 64
 
-// learn notes that everything up to a revision is known.
-func (s *staleness) learn(revision int64) {
-	s.known = max(s.known, revision)
-	s.missing = slices.DeleteFunc(s.missing, func(one heardRevision) bool { return one.revision <= s.known })
+// markApplied notes that everything up to a revision is known.
+func (s *staleness) markApplied(revision int64) {
+	s.applied = max(s.applied, revision)
+	s.missing = slices.DeleteFunc(s.missing, func(one announcedRevision) bool { return one.revision <= s.applied })
 }
 
 // confirm notes that the store was at a revision at some time. It returns true
@@ -56,60 +56,60 @@
 	if store.EraOf(revision) < store.EraOf(s.confirmed) {
 		return false
 	}
-	news = revision > s.confirmed || at.Sub(s.confirmedAt) > s.checkAfter/2
+	news = revision > s.confirmed || at.Sub(s.confirmedAt) > s.checkInterval/2
 	if at.After(s.confirmedAt) {
 		s.confirmedAt = at
 	}
 	if revision > s.confirmed {
 		s.confirmed = revision
-		s.miss(now, revision)
+		s.addMissing(now, revision)
 	}
 	return news
 }
 
-// miss notes that a revision was heard of that may not be known yet.
-func (s *staleness) miss(now time.Time, revision int64) {
+// addMissing notes that a revision was heard of that may not be known yet.
+func (s *staleness) addMissing(now time.Time, revision int64) {
 	switch {
-	case revision <= s.known:
-	case len(s.missing) == mostMissing:
-		s.missing[mostMissing-1].revision = revision
+	case revision <= s.applied:
+	case len(s.missing) == maxMissing:
+		s.missing[maxMissing-1].revision = revision
 	default:
-		s.missing = append(s.missing, heardRevision{revision: revision, at: now})
+		s.missing = append(s.missing, announcedRevision{revision: revision, at: now})
 	}
 }
 
-// begin notes what a first reading has told, which may be old: it confirms nothing.
+// startFromStale notes what a first reading has told, which may be old: it confirms nothing.
 // Until the first confirmation each node waits for its turn from the reading on, as
 // all would ask at once when they start together.
-func (s *staleness) begin(now time.Time, revision int64) {
-	s.readAt = now
-	s.learn(revision)
+func (s *staleness) startFromStale(now time.Time, revision int64) {
+	s.initialListAt = now
+	s.markApplied(revision)
 }
 
-// waitAnew gives another watch the time to tell what is missing.
-func (s *staleness) waitAnew(now time.Time) {
+// restartGrace gives another watch the time to tell what is missing.
+func (s *staleness) restartGrace(now time.Time) {
 	for i := range s.missing {
 		s.missing[i].at = now
 	}
 }
 
-// checkAt is when this node asks the store, if it hears nothing before.
-func (s *staleness) checkAt(rank int) time.Time {
+// nextCheck is when this node asks the store, if it hears nothing before.
+func (s *staleness) nextCheck(rank int) time.Time {
 	since := s.confirmedAt
-	if s.readAt.After(since) {
-		since = s.readAt
+	if s.initialListAt.After(since) {
+		since = s.initialListAt
 	}
-	return since.Add(s.checkAfter + time.Duration(rank)*s.slot)
+	return since.Add(s.checkInterval + time.Duration(rank)*s.rankDelay)
 }
 
-// giveUpAt is when the watch is given up for missing what others know; zero
+// watchDeadline is when the watch is given up for missing what others know; zero
 // while it misses nothing.
-func (s *staleness) giveUpAt() time.Time {
+func (s *staleness) watchDeadline() time.Time {
 	if len(s.missing) == 0 {
 		return time.Time{}
 	}
 	grace := s.grace
-	if latest := s.missing[len(s.missing)-1]; store.EraOf(latest.revision) > store.EraOf(s.known) {
+	if latest := s.missing[len(s.missing)-1]; store.EraOf(latest.revision) > store.EraOf(s.applied) {
 		grace = s.eraGrace
 	}
 	return s.missing[0].at.Add(grace)
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -15,10 +15,10 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// sharedMemory is how long a node to which callers are not led any more still
+// formerEntryRetention is how long a node to which callers are not led any more still
 // counts for what entry nodes share: it may be there and have lost its record
 // only, and what it has spent counts for a while.
-const sharedMemory = 30 * time.Second
+const formerEntryRetention = 30 * time.Second
 
 // state is what the follower knows. It belongs to the follower's goroutine.
 type state struct {
@@ -27,36 +27,36 @@
 	nodes    map[string]nodeEntry
 	// evacuated are the zones to whose replicas nothing is to be sent.
 	evacuated map[string]bool
-	// readmitted says since when zones that were evacuated are so no more.
-	readmitted map[string]time.Time
+	// evacuationEnded says since when zones that were evacuated are so no more.
+	evacuationEnded map[string]time.Time
 	// values are the store's, as they are handed over to other nodes.
 	values        map[string]store.KeyValue
 	valuesChanged bool
-	// unpublished are the changes of values that other nodes have not been told.
-	unpublished []store.Event
-	// entryUntil says until when a node was one to which callers are led; zero
+	// pendingEvents are the changes of values that other nodes have not been told.
+	pendingEvents []store.Event
+	// entryNodeUntil says until when a node was one to which callers are led; zero
 	// while it is one.
-	entryUntil map[string]time.Time
+	entryNodeUntil map[string]time.Time
 
 	// suspects are the nodes that do not answer; toldSuspects is what other nodes are
 	// told of them, nil while there are none.
-	suspects     suspects
-	toldSuspects atomic.Pointer[suspects]
-	adoption     adoption
+	suspects          suspects
+	publishedSuspects atomic.Pointer[suspects]
+	activation        activation
 	// leaving and gone are the replicas that have said so, or vanished, since the last
 	// publication; they are logged with it.
 	leaving, gone   []topology.Replica
 	replicasChanged bool
 	nodesChanged    bool
-	// warmAt is when the next replica that was published as cold is warm by its time;
+	// nextWarmAt is when the next replica that was published as cold is warm by its time;
 	// zero while there is none.
-	warmAt time.Time
-	// unproved says until when entries are kept that the store's copy lacks.
-	unproved map[string]time.Time
+	nextWarmAt time.Time
+	// retained says until when entries are kept that the store's copy lacks.
+	retained map[string]time.Time
 	// departed are the replicas whose entries have gone, as they were at last.
 	departed map[string]departedReplica
-	// unusable are the keys of entries that name no replica, and were logged.
-	unusable map[string]bool
+	// loggedUnusable are the keys of entries that name no replica, and were logged.
+	loggedUnusable map[string]bool
 }
 
 type replicaEntry struct {
@@ -76,33 +76,33 @@
 
 func newState(options *Options) *state {
 	return &state{
-		options:    options,
-		replicas:   make(map[string]replicaEntry),
-		nodes:      make(map[string]nodeEntry),
-		evacuated:  make(map[string]bool),
-		readmitted: make(map[string]time.Time),
-		values:     make(map[string]store.KeyValue),
-		entryUntil: make(map[string]time.Time),
-		unproved:   make(map[string]time.Time),
-		departed:   make(map[string]departedReplica),
-		unusable:   make(map[string]bool),
-		suspects:   make(suspects),
-		adoption:   adoption{wait: options.share(adoptShare)},
+		options:         options,
+		replicas:        make(map[string]replicaEntry),
+		nodes:           make(map[string]nodeEntry),
+		evacuated:       make(map[string]bool),
+		evacuationEnded: make(map[string]time.Time),
+		values:          make(map[string]store.KeyValue),
+		entryNodeUntil:  make(map[string]time.Time),
+		retained:        make(map[string]time.Time),
+		departed:        make(map[string]departedReplica),
+		loggedUnusable:  make(map[string]bool),
+		suspects:        make(suspects),
+		activation:      activation{wait: options.fraction(activationFraction)},
 	}
 }
 
 // replace takes in a whole reading: entries that it lacks are gone, but for those that a copy
 // has lacked a short while ago.
 func (s *state) replace(now time.Time, values []store.KeyValue) {
-	s.takeAll(values, s.put, func(key string) {
-		if _, kept := s.unproved[key]; !kept {
+	s.applyAll(values, s.put, func(key string) {
+		if _, kept := s.retained[key]; !kept {
 			s.remove(now, key)
 		}
 	})
 }
 
-// takeAll puts each entry of a whole reading, then hands over the keys that it lacks.
-func (s *state) takeAll(values []store.KeyValue, put func(store.KeyValue), lacks func(key string)) {
+// applyAll puts each entry of a whole reading, then hands over the keys that it lacks.
+func (s *state) applyAll(values []store.KeyValue, put func(store.KeyValue), lacks func(key string)) {
 	present := make(map[string]bool, len(values))
 	for _, value := range values {
 		present[value.Key] = true
@@ -129,7 +129,7 @@
 		s.putReplica(value)
 		return
 	}
-	isNew := s.keep(value)
+	isNew := s.recordValue(value)
 	switch {
 	case value.Key == s.options.Keys.Configuration:
 		s.putTable(value)
@@ -144,14 +144,14 @@
 	}
 }
 
-// keep keeps an entry for other nodes, and tells whether it is newer than the one before.
-func (s *state) keep(value store.KeyValue) (isNew bool) {
-	delete(s.unproved, value.Key)
+// recordValue keeps an entry for other nodes, and tells whether it is newer than the one before.
+func (s *state) recordValue(value store.KeyValue) (isNew bool) {
+	delete(s.retained, value.Key)
 	known := s.values[value.Key].ModRevision
 	if value.ModRevision >= known {
 		s.values[value.Key] = value
 		s.valuesChanged = true
-		s.unpublished = append(s.unpublished, store.Event{KeyValue: value})
+		s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: value})
 	}
 	return value.ModRevision > known
 }
@@ -163,12 +163,12 @@
 		s.options.Logger.Error("configuration refused; keeping the one in force", "error", err.Error(), "revision", value.ModRevision)
 		return
 	}
-	s.adoption.offer(table)
+	s.activation.offer(table)
 }
 
 // putReplica takes a replica's entry in, unless a copy of the store shows one that is over.
 func (s *state) putReplica(value store.KeyValue) {
-	if s.isOfDeparted(value) {
+	if s.isFromDeparted(value) {
 		return
 	}
 	known, found := s.replicas[value.Key]
@@ -178,15 +178,15 @@
 	replica, err := s.options.Decoder.Replica(value.Key, value.Value)
 	switch {
 	case err != nil:
-		s.keep(value)
-		s.refuseReplica(value.Key, err)
+		s.recordValue(value)
+		s.rejectReplica(value.Key, err)
 		return
-	case replica.Born.Before(s.bornAt(value.Key)):
-		s.refuseReplica(value.Key, errEarlierLife)
+	case replica.Born.Before(s.startTime(value.Key)):
+		s.rejectReplica(value.Key, errEarlierInstance)
 		return
 	}
-	s.keep(value)
-	delete(s.unusable, value.Key)
+	s.recordValue(value)
+	delete(s.loggedUnusable, value.Key)
 	replica.Place.Region = s.options.Regions[replica.Place.Zone]
 	entry := replicaEntry{revision: value.ModRevision, coldUntil: s.coldUntil(replica)}
 	replica.ColdFor = 0 // it changes with each entry
@@ -205,8 +205,8 @@
 	}
 }
 
-// errForeignNode refuses an entry that no node has written of itself.
-var errForeignNode = eris.New("the entry names another node than its key")
+// errNodeIDMismatch refuses an entry that no node has written of itself.
+var errNodeIDMismatch = eris.New("the entry names another node than its key")
 
 func (s *state) putNode(value store.KeyValue) {
 	known, found := s.nodes[value.Key]
@@ -216,7 +216,7 @@
 	var node topology.Node
 	err := json.Unmarshal(value.Value, &node)
 	if err == nil && s.options.Keys.Nodes+node.ID != value.Key {
-		err = errForeignNode
+		err = errNodeIDMismatch
 	}
 	if err != nil {
 		s.options.Logger.Error("node's entry refused; keeping the one before", "key", value.Key, "error", err.Error())
@@ -230,20 +230,20 @@
 func (s *state) remove(now time.Time, key string) {
 	if last, found := s.values[key]; found && hasPrefix(key, s.options.Keys.Replicas) {
 		s.departed[key] = departedReplica{
-			entry: last, born: s.bornAt(key), leaving: s.isLeaving(key, s.bornAt(key)), until: now.Add(departedMemory),
+			entry: last, startedAt: s.startTime(key), leaving: s.isLeaving(key, s.startTime(key)), expiresAt: now.Add(departedRetention),
 		}
 	}
-	delete(s.unproved, key)
-	delete(s.unusable, key)
+	delete(s.retained, key)
+	delete(s.loggedUnusable, key)
 	delete(s.values, key)
 	s.valuesChanged = true
-	s.unpublished = append(s.unpublished, store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true})
-	s.replicaGone(now, key)
+	s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true})
+	s.markReplicaGone(now, key)
 	if hasPrefix(key, s.options.Keys.Quarantine) {
 		s.options.Quarantine.Forgotten(key[len(s.options.Keys.Quarantine):])
 	}
 	if hasPrefix(key, s.options.Keys.Evacuations) {
-		s.readmit(now, key[len(s.options.Keys.Evacuations):])
+		s.endEvacuation(now, key[len(s.options.Keys.Evacuations):])
 	}
 	if known, found := s.nodes[key]; found {
 		delete(s.nodes, key)
@@ -252,8 +252,8 @@
 	}
 }
 
-// replicaGone notes that a replica has no entry that names it.
-func (s *state) replicaGone(now time.Time, key string) {
+// markReplicaGone notes that a replica has no entry that names it.
+func (s *state) markReplicaGone(now time.Time, key string) {
 	known, found := s.replicas[key]
 	if !found || !known.goneAt.IsZero() {
 		return
@@ -264,8 +264,8 @@
 	s.gone = append(s.gone, known.replica)
 }
 
-// list returns the store's values, in no order.
-func (s *state) list() []store.KeyValue {
+// listValues returns the store's values, in no order.
+func (s *state) listValues() []store.KeyValue {
 	values := make([]store.KeyValue, 0, len(s.values))
 	for _, value := range s.values {
 		values = append(values, value)
@@ -275,18 +275,18 @@
 
 // publish writes what has changed to the blackboard.
 func (s *state) publish(now time.Time) {
-	s.forget(now)
-	s.replicasChanged = s.warmed(now) || s.replicasChanged
-	if s.adoption.adopt(now, s.hasReplica) {
-		table := s.adoption.inForce
+	s.expire(now)
+	s.replicasChanged = s.hasWarmedUp(now) || s.replicasChanged
+	if s.activation.activate(now, s.hasReplica) {
+		table := s.activation.active
 		s.options.Board.Routes.Publish(table)
 		s.options.Logger.Info("configuration in force", "version", table.Version, "routes", len(table.Routes))
 		s.replicasChanged = true // the limits of connections are the services'
 	}
 	if s.replicasChanged {
-		s.options.Board.Replicas.Publish(&topology.Replicas{Groups: s.groups(now)})
+		s.options.Board.Replicas.Publish(&topology.Replicas{Groups: s.replicaGroups(now)})
 	}
-	s.nodesChanged = s.suspects.lapse(now) || s.nodesChanged
+	s.nodesChanged = s.suspects.expire(now) || s.nodesChanged
 	if s.nodesChanged || s.options.Board.Nodes.Load() == nil {
 		s.publishNodes(now)
 	}
@@ -296,13 +296,13 @@
 	s.replicasChanged, s.nodesChanged = false, false
 }
 
-// mostReplicaLines is the number of replicas that are logged with a line each. A
+// maxReplicaLogLines is the number of replicas that are logged with a line each. A
 // reshard takes hundreds away at once; then one line counts them.
-const mostReplicaLines = 4
+const maxReplicaLogLines = 4
 
 // logReplicas logs what has become of some replicas.
 func (s *state) logReplicas(message string, replicas []topology.Replica) {
-	if len(replicas) > mostReplicaLines {
+	if len(replicas) > maxReplicaLogLines {
 		groups := make(map[string]bool)
 		for _, replica := range replicas {
 			groups[replica.Group] = true
@@ -315,28 +315,28 @@
 	}
 }
 
-// forget drops replicas that have been gone for long enough.
-func (s *state) forget(now time.Time) {
+// expire drops replicas that have been gone for long enough.
+func (s *state) expire(now time.Time) {
 	for key, entry := range s.replicas {
 		if !entry.goneAt.IsZero() && now.Sub(entry.goneAt) >= s.options.VanishedRetention {
 			delete(s.replicas, key)
 			s.replicasChanged = true
 		}
 	}
-	s.forgetUnproved(now)
-	s.forgetDeparted(now)
-	for id, until := range s.entryUntil {
-		if !until.IsZero() && now.Sub(until) >= sharedMemory {
-			delete(s.entryUntil, id)
+	s.expireRetained(now)
+	s.expireDeparted(now)
+	for id, until := range s.entryNodeUntil {
+		if !until.IsZero() && now.Sub(until) >= formerEntryRetention {
+			delete(s.entryNodeUntil, id)
 			s.nodesChanged = true
 		}
 	}
 }
 
-// dueAt returns when the next vanished replica is forgotten or a configuration is
+// nextDeadline returns when the next vanished replica is forgotten or a configuration is
 // put in force at the latest; zero when there is neither.
-func (s *state) dueAt() time.Time {
-	next := earliest(s.adoption.dueAt(), s.suspects.dueAt(), s.warmAt, s.provedAt())
+func (s *state) nextDeadline() time.Time {
+	next := earliest(s.activation.nextDeadline(), s.suspects.nextExpiry(), s.nextWarmAt, s.nextRetainedExpiry())
 	for _, entry := range s.replicas {
 		if entry.goneAt.IsZero() {
 			continue
@@ -365,10 +365,10 @@
 	}
 }
 
-func (s *state) groups(now time.Time) map[string][]topology.Replica {
+func (s *state) replicaGroups(now time.Time) map[string][]topology.Replica {
 	groups := make(map[string][]topology.Replica)
-	s.warmAt = time.Time{}
-	tellLives := s.tellLives()
+	s.nextWarmAt = time.Time{}
+	tellLives := s.reportStartTimes()
 	for _, entry := range s.replicas {
 		replica := entry.replica
 		if tellLives && replica.Born.IsZero() {
@@ -380,7 +380,7 @@
 			replica.ColdRate = s.options.ColdBound.Rate(s.service(replica.Group).ColdRate)
 		}
 		if replica.ColdRate > 0 {
-			s.warmAt = earliest(s.warmAt, s.coldEnd(&entry))
+			s.nextWarmAt = earliest(s.nextWarmAt, s.coldEndsAt(&entry))
 		}
 		groups[replica.Group] = append(groups[replica.Group], replica)
 	}
@@ -402,42 +402,42 @@
 		nodes.Nodes = append(nodes.Nodes, node)
 	}
 	nodes.Suspected = s.suspects.ids()
-	s.tellSuspects()
+	s.publishSuspects()
 	slices.SortFunc(nodes.Nodes, func(a, b topology.Node) int { return cmp.Compare(a.ID, b.ID) })
 	nodes.Entries = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
-	s.noteEntries(now, nodes.Entries)
-	nodes.Shared = max(1, len(s.entryUntil))
+	s.recordEntryNodes(now, nodes.Entries)
+	nodes.Shared = max(1, len(s.entryNodeUntil))
 	members := &topology.Members{
-		Self: member(s.options.Self), Standby: !nodes.SelfIsEntry(), Sharing: slices.Sorted(maps.Keys(s.entryUntil)),
+		Self: memberOf(s.options.Self), Standby: !nodes.SelfIsEntry(), Sharing: slices.Sorted(maps.Keys(s.entryNodeUntil)),
 	}
 	for _, node := range nodes.Entries {
-		members.Members = append(members.Members, member(node))
+		members.Members = append(members.Members, memberOf(node))
 	}
 	s.options.Board.Nodes.Publish(nodes)
 	s.options.Board.Members.Publish(members)
 }
 
-// noteEntries keeps who is an entry node, and who was one of late.
-func (s *state) noteEntries(now time.Time, entries []topology.Node) {
+// recordEntryNodes keeps who is an entry node, and who was one of late.
+func (s *state) recordEntryNodes(now time.Time, entries []topology.Node) {
 	isEntry := make(map[string]bool, len(entries))
 	for _, node := range entries {
 		isEntry[node.ID] = true
-		s.entryUntil[node.ID] = time.Time{}
+		s.entryNodeUntil[node.ID] = time.Time{}
 	}
-	for id, until := range s.entryUntil {
+	for id, until := range s.entryNodeUntil {
 		if until.IsZero() && !isEntry[id] {
-			s.entryUntil[id] = now
+			s.entryNodeUntil[id] = now
 		}
 	}
 }
 
-// isRecorded tells whether a node has an entry.
-func (s *state) isRecorded(id string) bool {
+// isRegistered tells whether a node has an entry.
+func (s *state) isRegistered(id string) bool {
 	_, found := s.nodes[s.options.Keys.Nodes+id]
 	return found
 }
 
-// member is a node as those that divide connections see it.
-func member(node topology.Node) topology.Member {
+// memberOf is a node as those that divide connections see it.
+func memberOf(node topology.Node) topology.Member {
 	return topology.Member{ID: node.ID, PeerAddress: node.PeerAddress, Place: node.Place}
 }
--- a/internal/follower/state_test.go
+++ b/internal/follower/state_test.go
@@ -50,7 +50,7 @@
 	state.apply(start, store.Event{KeyValue: replicaAt(t, 4, "b", topology.ReplicaServing)}) // older
 	state.publish(start)
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaLeaving}
-	if diff := cmp.Diff(want, states(board)); diff != "" {
+	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("replicas (-want +got):\n%s", diff)
 	}
 }
@@ -65,14 +65,14 @@
 	state.replace(start, nil)
 	state.publish(start.Add(900 * time.Millisecond))
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaVanished, "b": topology.ReplicaLeaving}
-	if diff := cmp.Diff(want, states(board)); diff != "" {
+	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("at first (-want +got):\n%s", diff)
 	}
 	serving.ModRevision = 9
 	state.apply(start, store.Event{KeyValue: serving})
 	state.publish(start.Add(1100 * time.Millisecond))
 	want = map[string]topology.ReplicaState{"a": topology.ReplicaServing}
-	if diff := cmp.Diff(want, states(board)); diff != "" {
+	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("after a is back and b is forgotten (-want +got):\n%s", diff)
 	}
 }
@@ -101,7 +101,7 @@
 	if len(nodes.Nodes) != 1 || nodes.Shared != 2 {
 		t.Errorf("%d nodes, shared by %d", len(nodes.Nodes), nodes.Shared)
 	}
-	state.publish(start.Add(2 * sharedMemory))
+	state.publish(start.Add(2 * formerEntryRetention))
 	if got := board.Nodes.Load().Shared; got != 1 {
 		t.Errorf("shared by %d for ever", got)
 	}
@@ -109,12 +109,12 @@
 
 func TestStaleness(t *testing.T) {
 	fresh := func() *staleness {
-		return &staleness{checkAfter: time.Second, slot: 100 * time.Millisecond, grace: 200 * time.Millisecond}
+		return &staleness{checkInterval: time.Second, rankDelay: 100 * time.Millisecond, grace: 200 * time.Millisecond}
 	}
 	t.Run("each node waits for its turn", func(t *testing.T) {
 		checked := fresh()
 		checked.confirm(start, start, 5)
-		if got := checked.checkAt(3).Sub(start); got != 1300*time.Millisecond {
+		if got := checked.nextCheck(3).Sub(start); got != 1300*time.Millisecond {
 			t.Errorf("the fourth node asks after %v", got)
 		}
 	})
@@ -122,7 +122,7 @@
 		checked := fresh()
 		checked.confirm(start, start, 5)
 		checked.confirm(start.Add(time.Second), start.Add(900*time.Millisecond), 5)
-		if got := checked.checkAt(0).Sub(start); got != 1900*time.Millisecond {
+		if got := checked.nextCheck(0).Sub(start); got != 1900*time.Millisecond {
 			t.Errorf("asks after %v", got)
 		}
 	})
@@ -138,18 +138,18 @@
 	})
 	t.Run("a watch that misses news is given up after the grace", func(t *testing.T) {
 		checked := fresh()
-		checked.learn(5)
+		checked.markApplied(5)
 		checked.confirm(start, start, 5)
-		if !checked.giveUpAt().IsZero() {
+		if !checked.watchDeadline().IsZero() {
 			t.Error("given up though nothing is missing")
 		}
 		checked.confirm(start, start, 6)
 		checked.confirm(start.Add(100*time.Millisecond), start, 7)
-		if got := checked.giveUpAt().Sub(start); got != 200*time.Millisecond {
+		if got := checked.watchDeadline().Sub(start); got != 200*time.Millisecond {
 			t.Errorf("given up after %v", got)
 		}
-		checked.learn(7)
-		if !checked.giveUpAt().IsZero() {
+		checked.markApplied(7)
+		if !checked.watchDeadline().IsZero() {
 			t.Error("given up though all is known")
 		}
 	})
@@ -158,19 +158,19 @@
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 			checked.confirm(now, now, int64(i+1))
-			if giveUp := checked.giveUpAt(); !giveUp.IsZero() && !now.Before(giveUp) {
+			if giveUp := checked.watchDeadline(); !giveUp.IsZero() && !now.Before(giveUp) {
 				t.Fatalf("given up after %v", now.Sub(start))
 			}
-			checked.learn(int64(i)) // always one behind
+			checked.markApplied(int64(i)) // always one behind
 		}
 	})
 	t.Run("what is heard of beyond the bound counts from the last that is kept", func(t *testing.T) {
 		checked := fresh()
-		for i := range 2 * mostMissing {
+		for i := range 2 * maxMissing {
 			checked.confirm(start.Add(time.Duration(i)*time.Millisecond), start, int64(i+1))
 		}
-		checked.learn(2*mostMissing - 1)
-		if got := checked.giveUpAt().Sub(start); got != (mostMissing-1)*time.Millisecond+200*time.Millisecond {
+		checked.markApplied(2*maxMissing - 1)
+		if got := checked.watchDeadline().Sub(start); got != (maxMissing-1)*time.Millisecond+200*time.Millisecond {
 			t.Errorf("given up after %v", got)
 		}
 	})
@@ -206,7 +206,7 @@
 
 // TestManyReplicasAreLoggedInOneLine: a reshard takes hundreds away, on each node.
 func TestManyReplicasAreLoggedInOneLine(t *testing.T) {
-	for replicas, want := range map[int]int{mostReplicaLines: mostReplicaLines, mostReplicaLines + 1: 1} {
+	for replicas, want := range map[int]int{maxReplicaLogLines: maxReplicaLogLines, maxReplicaLogLines + 1: 1} {
 		var log bytes.Buffer
 		known, _ := newTestState(t)
 		known.options.Logger = slog.New(slog.NewTextHandler(&log, nil))
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// suspicionTime is how long a node that does not answer counts as not ready; it is
+	// suspicionTTL is how long a node that does not answer counts as not ready; it is
 	// renewed as long as the node is found silent. It is over the time between two looks
 	// of the node that guards the zone and two answers of a watched node, and short
 	// enough for callers to be led again soon to a node that was cut off or frozen.
-	suspicionTime = 5 * time.Second
-	// silentTries is the number of nodes that may be silent, one after the other,
+	suspicionTTL = 5 * time.Second
+	// maxSilentRelays is the number of nodes that may be silent, one after the other,
 	// before the store is watched instead: each costs a time-out, and where all are
 	// silent it is this node that is cut off.
-	silentTries = 3
+	maxSilentRelays = 3
 	// probedSuccessors is the number of nodes that are looked at when the one that was
 	// watched is silent: where a quarter of the nodes are lost at once, four in a row
 	// are once in 256 times.
@@ -32,9 +32,9 @@
 // callers, watches and budgets would wait for a node that is gone.
 type suspects map[string]time.Time
 
-// note adds a suspicion, and tells whether the node was not suspected before. A
+// add adds a suspicion, and tells whether the node was not suspected before. A
 // suspicion is never shortened.
-func (s suspects) note(id string, until time.Time) (added bool) {
+func (s suspects) add(id string, until time.Time) (added bool) {
 	before, known := s[id]
 	if !known || until.After(before) {
 		s[id] = until
@@ -49,8 +49,8 @@
 	return known
 }
 
-// lapse removes what is over, and tells whether anything was.
-func (s suspects) lapse(now time.Time) (changed bool) {
+// expire removes what is over, and tells whether anything was.
+func (s suspects) expire(now time.Time) (changed bool) {
 	for id, until := range s {
 		if !now.Before(until) {
 			delete(s, id)
@@ -60,8 +60,8 @@
 	return changed
 }
 
-// dueAt is when the next suspicion lapses; zero when there is none.
-func (s suspects) dueAt() time.Time {
+// nextExpiry is when the next suspicion lapses; zero when there is none.
+func (s suspects) nextExpiry() time.Time {
 	var next time.Time
 	for _, until := range s {
 		next = earliest(next, until)
@@ -93,40 +93,40 @@
 func (f *Follower) SuspectUnresponsive(ids []string) {
 	found := make([]relay.Suspicion, 0, len(ids))
 	for _, id := range ids {
-		found = append(found, relay.Suspicion{ID: id, Milliseconds: suspicionTime.Milliseconds()})
+		found = append(found, relay.Suspicion{ID: id, Milliseconds: suspicionTTL.Milliseconds()})
 	}
 	f.Suspect(found)
 }
 
-// suspect takes suspicions in. A node never suspects itself.
-func (f *Follower) suspect(found []relay.Suspicion) {
+// handleSuspicions takes suspicions in. A node never suspects itself.
+func (f *Follower) handleSuspicions(found []relay.Suspicion) {
 	now := f.options.Now()
 	for _, one := range found {
-		if one.ID == f.options.Self.ID || !f.state.isRecorded(one.ID) {
+		if one.ID == f.options.Self.ID || !f.state.isRegistered(one.ID) {
 			continue
 		}
-		if f.state.suspects.note(one.ID, now.Add(min(one.For(), suspicionTime))) {
+		if f.state.suspects.add(one.ID, now.Add(min(one.For(), suspicionTTL))) {
 			f.state.nodesChanged = true
 			f.options.Logger.Info("node suspected", "node", one.ID)
 		}
 	}
-	f.state.tellSuspects()
+	f.state.publishSuspects()
 	f.state.publish(now)
 }
 
-// tellSuspects publishes the suspicions for those who watch this node.
-func (s *state) tellSuspects() {
+// publishSuspects publishes the suspicions for those who watch this node.
+func (s *state) publishSuspects() {
 	if len(s.suspects) == 0 {
-		s.toldSuspects.Store(nil)
+		s.publishedSuspects.Store(nil)
 		return
 	}
 	told := maps.Clone(s.suspects)
-	s.toldSuspects.Store(&told)
+	s.publishedSuspects.Store(&told)
 }
 
 // suspicions returns what those who watch this node are told.
 func (f *Follower) suspicions() []relay.Suspicion {
-	told := f.state.toldSuspects.Load()
+	told := f.state.publishedSuspects.Load()
 	if told == nil {
 		return nil
 	}
@@ -140,16 +140,16 @@
 	return found
 }
 
-// noteSilent notes that the node that was watched does not answer. It is suspected, so
+// handleSilentRelay notes that the node that was watched does not answer. It is suspected, so
 // that the next one by capacity is watched; that one finds the same out, and watches
 // the store when it is the first that is left.
-func (f *Follower) noteSilent(from source) {
-	f.suspectAt([]netip.AddrPort{from.node})
+func (f *Follower) handleSilentRelay(from source) {
+	f.suspectAddresses([]netip.AddrPort{from.node})
 	f.probeSuccessors()
-	f.silentInTurn++
-	if f.silentInTurn >= silentTries {
-		f.silentInTurn = 0
-		f.noteFailed(relayTries)
+	f.consecutiveSilent++
+	if f.consecutiveSilent >= maxSilentRelays {
+		f.consecutiveSilent = 0
+		f.recordRelayFailures(maxRelayFailures)
 	}
 }
 
@@ -169,12 +169,12 @@
 		}
 	}
 	var unreachable []netip.AddrPort
-	f.attend(func() { unreachable = f.options.Unreachable(context.Background(), addresses) })
-	f.suspectAt(unreachable)
+	f.handleEventsDuring(func() { unreachable = f.options.Unreachable(context.Background(), addresses) })
+	f.suspectAddresses(unreachable)
 }
 
-// suspectAt suspects the nodes with some state addresses.
-func (f *Follower) suspectAt(addresses []netip.AddrPort) {
+// suspectAddresses suspects the nodes with some state addresses.
+func (f *Follower) suspectAddresses(addresses []netip.AddrPort) {
 	nodes := f.options.Board.Nodes.Load()
 	if nodes == nil {
 		return
@@ -183,8 +183,8 @@
 	for _, node := range nodes.Nodes {
 		address, err := netip.ParseAddrPort(node.StateAddress)
 		if err == nil && slices.Contains(addresses, address) {
-			found = append(found, relay.Suspicion{ID: node.ID, Milliseconds: suspicionTime.Milliseconds()})
+			found = append(found, relay.Suspicion{ID: node.ID, Milliseconds: suspicionTTL.Milliseconds()})
 		}
 	}
-	f.suspect(found)
+	f.handleSuspicions(found)
 }
--- a/internal/follower/watch.go
+++ b/internal/follower/watch.go
@@ -12,41 +12,41 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// errBehind ends a watch that has not told what other nodes know.
-var errBehind = eris.New("the watch has missed news")
+// errWatchLagging ends a watch that has not told what other nodes know.
+var errWatchLagging = eris.New("the watch has missed news")
 
 // watch follows the changes after a revision until that fails, from one source
 // or, as the nodes come and go, from several in turn.
 func (f *Follower) watch(ctx context.Context, revision int64) error {
 	for {
 		from := f.chooseSource()
-		err := f.watchOne(ctx, from, revision)
-		if !f.goesOn(from, err) {
+		err := f.watchSource(ctx, from, revision)
+		if !f.canSwitchSource(from, err) {
 			return err
 		}
-		revision = f.staleness.known
+		revision = f.staleness.applied
 	}
 }
 
-// goesOn tells whether another source can be watched from where one has ended. The
+// canSwitchSource tells whether another source can be watched from where one has ended. The
 // store keeps its history for a while, so that nothing has to be read anew because
 // another node could not tell of it.
-func (f *Follower) goesOn(from source, err error) bool {
+func (f *Follower) canSwitchSource(from source, err error) bool {
 	switch {
-	case errors.Is(err, errOtherSource):
+	case errors.Is(err, errSourceChanged):
 		return true
 	case !from.node.IsValid():
 		return false
-	case errors.Is(err, errBehind):
-		f.noteFailed(relayTries) // whoever watches the store is behind as well
-		f.relayBehind = true
-		f.staleness.waitAnew(f.options.Now())
+	case errors.Is(err, errWatchLagging):
+		f.recordRelayFailures(maxRelayFailures) // whoever watches the store is behind as well
+		f.relayLagged = true
+		f.staleness.restartGrace(f.options.Now())
 	case errors.Is(err, relay.ErrForgotten):
-		f.needsStore = true
+		f.needsStoreWatch = true
 	case errors.Is(err, relay.ErrSilent):
-		f.noteSilent(from)
+		f.handleSilentRelay(from)
 	case errors.Is(err, relay.ErrBroken):
-		f.noteFailed(f.relaysFailed + 1)
+		f.recordRelayFailures(f.relayFailures + 1)
 	default:
 		return false
 	}
@@ -54,8 +54,8 @@
 	return true
 }
 
-// watchOne runs a watch of one source beside the checks.
-func (f *Follower) watchOne(ctx context.Context, from source, revision int64) error {
+// watchSource runs a watch of one source beside the checks.
+func (f *Follower) watchSource(ctx context.Context, from source, revision int64) error {
 	began := f.options.Now()
 	watching, cancel := context.WithCancel(ctx)
 	batches, ended := make(chan store.WatchBatch), make(chan error, 1)
@@ -67,95 +67,95 @@
 				return watching.Err()
 			}
 			if len(batch.Events) > 0 && !batch.Relayed { // who relays has gathered them
-				sleep(watching, f.options.share(gatherShare))
+				sleep(watching, f.options.fraction(batchFraction))
 			}
 			return nil
 		})
 	}()
 	defer cancel()
-	f.staleness.grace, f.staleness.eraGrace = f.graceOf(from), f.eraGraceOf(from)
-	timer := time.NewTimer(nothingDue)
+	f.staleness.grace, f.staleness.eraGrace = f.watchGrace(from), f.eraGrace(from)
+	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	for {
-		timer.Reset(f.untilWake())
+		timer.Reset(f.untilNextWake())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-ended:
 			if !from.node.IsValid() {
-				f.noteUnreachable(began)
+				f.recordUnreachable(began)
 			}
 			return err
 		case batch := <-batches:
-			f.silentInTurn = 0
-			f.deliver(batch)
+			f.consecutiveSilent = 0
+			f.handleBatch(batch)
 		case news := <-f.options.Announcer.Received():
-			f.told(news)
+			f.handleAnnouncement(news)
 		case found := <-f.suspected:
-			f.suspect(found)
-		case <-f.asked:
-			if err := f.hurry(ctx); err != nil {
+			f.handleSuspicions(found)
+		case <-f.refreshRequested:
+			if err := f.refresh(ctx); err != nil {
 				return err
 			}
 		case <-timer.C:
-			if err := f.due(ctx); err != nil {
+			if err := f.handleTimer(ctx); err != nil {
 				return err
 			}
 		}
-		f.allow()
-		if f.mayChange(from) {
-			return errOtherSource
+		f.publishWindow()
+		if f.shouldSwitch(from) {
+			return errSourceChanged
 		}
 	}
 }
 
-// graceOf is what a watch may take to tell what others know already.
-func (f *Follower) graceOf(from source) time.Duration {
+// watchGrace is what a watch may take to tell what others know already.
+func (f *Follower) watchGrace(from source) time.Duration {
 	switch {
-	case f.hurried:
+	case f.refreshing:
 		return 0
 	case from.node.IsValid():
-		return f.options.share(graceShare + relayShare)
-	case f.relayBehind:
-		return f.options.share(askShare)
+		return f.options.fraction(graceFraction + relayGraceFraction)
+	case f.relayLagged:
+		return f.options.fraction(callTimeoutFraction)
 	default:
-		return f.options.share(graceShare)
+		return f.options.fraction(graceFraction)
 	}
 }
 
-// eraGraceOf is what a watch may take to tell what others know of a later era of the store.
+// eraGrace is what a watch may take to tell what others know of a later era of the store.
 // The store's own watch cannot tell it; a node that is watched reads everything first.
-func (f *Follower) eraGraceOf(from source) time.Duration {
+func (f *Follower) eraGrace(from source) time.Duration {
 	if from.node.IsValid() {
-		return f.graceOf(from)
+		return f.watchGrace(from)
 	}
 	return 0
 }
 
-// nothingDue is how long is waited when nothing is due.
-const nothingDue = time.Hour
+// idleWait is how long is waited when nothing is due.
+const idleWait = time.Hour
 
-// untilWake is the time until something is due.
-func (f *Follower) untilWake() time.Duration {
-	at := f.wakeAt()
+// untilNextWake is the time until something is due.
+func (f *Follower) untilNextWake() time.Duration {
+	at := f.nextWake()
 	if at.IsZero() {
-		return nothingDue
+		return idleWait
 	}
 	return at.Sub(f.options.Now())
 }
 
-// wakeAt is when the next check, the end of a deaf watch, or a change of the state
+// nextWake is when the next check, the end of a deaf watch, or a change of the state
 // is due; zero when nothing is.
-func (f *Follower) wakeAt() time.Time {
-	return earliest(f.checkAt(), f.staleness.giveUpAt(), f.state.dueAt())
+func (f *Follower) nextWake() time.Time {
+	return earliest(f.nextCheck(), f.staleness.watchDeadline(), f.state.nextDeadline())
 }
 
-// checkAt is when this node asks the store next; zero while it leaves it alone.
-func (f *Follower) checkAt() time.Time {
-	if f.refused {
+// nextCheck is when this node asks the store next; zero while it leaves it alone.
+func (f *Follower) nextCheck() time.Time {
+	if f.backingOff {
 		return time.Time{}
 	}
-	return f.staleness.checkAt(f.rank())
+	return f.staleness.nextCheck(f.rank())
 }
 
 // earliest returns the first of some times; zero ones do not count.
@@ -175,7 +175,7 @@
 	if nodes == nil || len(nodes.Nodes) == 0 {
 		return 0
 	}
-	f.staleness.slot = f.options.share(rankShare) / time.Duration(len(nodes.Nodes))
+	f.staleness.rankDelay = f.options.fraction(rankFraction) / time.Duration(len(nodes.Nodes))
 	for i := range nodes.Nodes {
 		if nodes.Nodes[i].ID == f.options.Self.ID {
 			return i
@@ -184,34 +184,34 @@
 	return len(nodes.Nodes)
 }
 
-// due does what the timer was set for.
-func (f *Follower) due(ctx context.Context) error {
+// handleTimer does what the timer was set for.
+func (f *Follower) handleTimer(ctx context.Context) error {
 	now := f.options.Now()
 	f.state.publish(now)
-	if giveUp := f.staleness.giveUpAt(); !giveUp.IsZero() && !now.Before(giveUp) {
-		return errBehind
+	if giveUp := f.staleness.watchDeadline(); !giveUp.IsZero() && !now.Before(giveUp) {
+		return errWatchLagging
 	}
-	if at := f.checkAt(); at.IsZero() || now.Before(at) {
+	if at := f.nextCheck(); at.IsZero() || now.Before(at) {
 		return nil
 	}
-	return f.check(ctx)
+	return f.checkRevision(ctx)
 }
 
-// check asks the store for its revision and tells the others.
-func (f *Follower) check(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, f.options.share(askShare))
+// checkRevision asks the store for its revision and tells the others.
+func (f *Follower) checkRevision(ctx context.Context) error {
+	bounded, cancel := context.WithTimeout(ctx, f.options.fraction(callTimeoutFraction))
 	defer cancel()
 	asked := f.options.Now()
 	var revision int64
 	var err error
-	f.ask(func() { _, _, revision, err = f.options.Store.Get(bounded, f.options.Keys.Configuration) })
+	f.callStore(func() { _, _, revision, err = f.options.Store.Get(bounded, f.options.Keys.Configuration) })
 	if err != nil {
-		f.noteUnreachable(asked)
+		f.recordUnreachable(asked)
 		return err
 	}
 	now := f.options.Now()
-	f.heard(now)
-	f.validity.claim(claim{revision: revision, at: asked}, f.staleness.known)
+	f.recordResponse(now)
+	f.validity.observe(observation{revision: revision, at: asked}, f.staleness.applied)
 	f.confirm(now, asked, revision)
 	f.options.Announcer.Send(announce.Announcement{Revision: revision, AgeMilliseconds: now.Sub(asked).Milliseconds()})
 	return nil
