--- a/internal/follower/activation.go
+++ b/internal/follower/activation.go
@@ -6,25 +6,22 @@
 	"github.com/doorpond/doorpond/internal/routing"
 )
 
-// activation decides when a configuration is put in force. One that names new groups
-// waits for a replica of each of them, for a while: while the store is away, a
-// configuration can come before the replicas that it names have recorded
-// themselves, and until they have, the one in force still serves.
+// activation decides when a configuration becomes active. A configuration with new groups waits,
+// for a bounded time, until each of them has a replica: during a store outage it may arrive before
+// its replicas have registered, and the active one still serves.
 type activation struct {
-	// wait bounds the wait.
 	wait time.Duration
 
 	active *routing.Table
-	// pending is newer than the one in force.
+	// pending is newer than active; nil when no configuration waits.
 	pending *routing.Table
-	// deadline is when it is put in force at the latest; zero while there is none.
+	// deadline is when pending is activated even without replicas; zero when none waits.
 	deadline time.Time
-	// latestDeadline bounds due for a configuration that is heard of from now on; zero means that
-	// nothing does. What was heard of late has less time to wait.
+	// latestDeadline caps the deadline of configurations received from now on; zero means no cap.
 	latestDeadline time.Time
 }
 
-// offer takes in a configuration. The version never goes back.
+// offer makes table the pending configuration if its version is newer than any seen before.
 func (a *activation) offer(table *routing.Table) {
 	newest := a.active
 	if a.pending != nil {
@@ -35,50 +32,51 @@
 	}
 }
 
-// activate puts the next configuration in force if it is time; true means that it has.
-// known tells whether a replica of a group is there.
-func (a *activation) activate(now time.Time, known func(group string) bool) bool {
+// activate activates the pending configuration if its groups have replicas or its deadline has
+// passed. It reports whether the active configuration changed.
+func (a *activation) activate(now time.Time, hasReplica func(group string) bool) bool {
 	if a.pending == nil {
 		return false
 	}
 	if a.deadline.IsZero() {
 		a.deadline = a.deadlineFrom(now)
 	}
-	if now.Before(a.deadline) && !a.newGroupsHaveReplicas(known) {
+	if now.Before(a.deadline) && !a.newGroupsHaveReplicas(hasReplica) {
 		return false
 	}
 	a.active, a.pending, a.deadline = a.pending, nil, time.Time{}
 	return true
 }
 
-// newGroupsHaveReplicas is true when there is a replica of each group that is new.
-func (a *activation) newGroupsHaveReplicas(known func(group string) bool) bool {
+// newGroupsHaveReplicas reports whether each group that the active configuration lacks has a
+// replica.
+func (a *activation) newGroupsHaveReplicas(hasReplica func(group string) bool) bool {
 	if a.active == nil {
-		return true // there is nothing to go on with
+		return true // no configuration is active yet
 	}
-	before := a.active.Groups()
+	current := a.active.Groups()
 	for group := range a.pending.Groups() {
-		if !before[group] && !known(group) {
+		if !current[group] && !hasReplica(group) {
 			return false
 		}
 	}
 	return true
 }
 
-// deadlineFrom is when a configuration that is heard of now is put in force at the latest.
+// deadlineFrom returns the activation deadline of a configuration received at now.
 func (a *activation) deadlineFrom(now time.Time) time.Time {
-	due := now.Add(a.wait)
-	if !a.latestDeadline.IsZero() && a.latestDeadline.Before(due) {
+	deadline := now.Add(a.wait)
+	if !a.latestDeadline.IsZero() && a.latestDeadline.Before(deadline) {
 		return a.latestDeadline
 	}
-	return due
+	return deadline
 }
 
-// nextDeadline is when the next configuration is put in force at the latest; zero when
-// none waits.
+// nextDeadline returns when the pending configuration is activated at the latest; zero when none is
+// pending.
 func (a *activation) nextDeadline() time.Time { return a.deadline }
 
-// hasReplica tells whether a replica of a group takes requests.
+// hasReplica reports whether a group has a replica that takes requests.
 func (s *state) hasReplica(group string) bool {
 	for _, entry := range s.replicas {
 		if entry.replica.Group == group && entry.goneAt.IsZero() && s.stateOf(s.options.Now(), &entry).TakesWork() {
--- a/internal/follower/activation_test.go
+++ b/internal/follower/activation_test.go
@@ -7,56 +7,55 @@
 	"github.com/doorpond/doorpond/internal/routing"
 )
 
-// tableWithShards makes a configuration of one scattered route.
+// tableWithShards returns a configuration with one route over the given shards.
 func tableWithShards(version uint64, shards ...string) *routing.Table {
 	return routing.NewTable(version, []routing.Route{{Name: "r", Host: "h", PathPrefix: "/", Shards: shards}}, nil, routing.Limits{})
 }
 
-// TestAConfigurationWaitsForItsReplicas: while the store is away, replicas of a new
-// set of shards cannot record themselves, and a configuration can be accepted
-// before they do. The one in force still serves.
-func TestAConfigurationWaitsForItsReplicas(t *testing.T) {
+// TestActivationWaitsForReplicas tests that a configuration with new groups is not activated before
+// they have replicas, which cannot register during a store outage.
+func TestActivationWaitsForReplicas(t *testing.T) {
 	const wait = time.Second
 	listed := map[string]bool{"a": true}
-	known := func(group string) bool { return listed[group] }
-	adopted := activation{wait: wait}
-	adopted.offer(tableWithShards(1, "a", "b"))
-	if !adopted.activate(start, known) {
-		t.Fatal("the first configuration waits, though there is none to go on with")
+	hasReplica := func(group string) bool { return listed[group] }
+	a := activation{wait: wait}
+	a.offer(tableWithShards(1, "a", "b"))
+	if !a.activate(start, hasReplica) {
+		t.Fatal("first configuration not activated at once")
 	}
-	adopted.offer(tableWithShards(2, "a", "b"))
-	if !adopted.activate(start, known) {
-		t.Error("a configuration waits for a group that has no replicas under the one in force either")
+	a.offer(tableWithShards(2, "a", "b"))
+	if !a.activate(start, hasReplica) {
+		t.Error("configuration waits for a group that is not new")
 	}
-	adopted.offer(tableWithShards(3, "c", "d"))
-	if adopted.activate(start, known) {
-		t.Error("a configuration without replicas is in force at once")
+	a.offer(tableWithShards(3, "c", "d"))
+	if a.activate(start, hasReplica) {
+		t.Error("configuration activated before its groups have replicas")
 	}
 	listed["c"], listed["d"] = true, true
-	if !adopted.activate(start.Add(wait/4), known) || adopted.active.Version != 3 {
-		t.Error("a configuration waits though its replicas are there")
+	if !a.activate(start.Add(wait/4), hasReplica) || a.active.Version != 3 {
+		t.Error("configuration not activated though its groups have replicas")
 	}
 }
 
-// TestAConfigurationDoesNotWaitForLong: further ones do not prolong the wait, and
-// none that is older is taken.
-func TestAConfigurationDoesNotWaitForLong(t *testing.T) {
+// TestActivationDeadline tests that later configurations do not extend the wait, and that older
+// ones are ignored.
+func TestActivationDeadline(t *testing.T) {
 	const wait = time.Second
-	unknown := func(string) bool { return false }
-	adopted := activation{wait: wait}
-	adopted.offer(tableWithShards(1, "a"))
-	adopted.activate(start, unknown)
-	adopted.offer(tableWithShards(2, "b"))
-	adopted.activate(start, unknown)
-	adopted.offer(tableWithShards(3, "c"))
-	if adopted.activate(start.Add(wait-1), unknown) || !adopted.nextDeadline().Equal(start.Add(wait)) {
-		t.Errorf("in force before its time, or due at %v", adopted.nextDeadline())
+	noReplica := func(string) bool { return false }
+	a := activation{wait: wait}
+	a.offer(tableWithShards(1, "a"))
+	a.activate(start, noReplica)
+	a.offer(tableWithShards(2, "b"))
+	a.activate(start, noReplica)
+	a.offer(tableWithShards(3, "c"))
+	if a.activate(start.Add(wait-1), noReplica) || !a.nextDeadline().Equal(start.Add(wait)) {
+		t.Errorf("activated too early, or deadline %v", a.nextDeadline())
 	}
-	adopted.offer(tableWithShards(2, "b"))
-	if !adopted.activate(start.Add(wait), unknown) || adopted.active.Version != 3 {
-		t.Errorf("version %d is in force, want 3", adopted.active.Version)
+	a.offer(tableWithShards(2, "b"))
+	if !a.activate(start.Add(wait), noReplica) || a.active.Version != 3 {
+		t.Errorf("version %d active, want 3", a.active.Version)
 	}
-	if !adopted.nextDeadline().IsZero() {
-		t.Error("something is still due")
+	if !a.nextDeadline().IsZero() {
+		t.Error("deadline not cleared")
 	}
 }
--- a/internal/follower/cold.go
+++ b/internal/follower/cold.go
@@ -7,7 +7,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// service returns what the configuration in force states of a group.
+// service returns the settings of a group in the active configuration.
 func (s *state) service(group string) routing.Service {
 	if s.activation.active == nil {
 		return routing.Service{}
@@ -15,8 +15,8 @@
 	return s.activation.active.Services[group]
 }
 
-// coldUntil is when a replica is warm at the latest, as its entry has just said; zero
-// when it does not say. While the store is away no entry tells that it is warm.
+// coldUntil returns when a replica's cold period ends according to its entry; zero when the entry
+// does not say. The deadline is needed because entries are not updated during a store outage.
 func (s *state) coldUntil(replica topology.Replica) time.Time {
 	if replica.ColdFor == 0 {
 		return time.Time{}
@@ -24,22 +24,22 @@
 	return s.options.Now().Add(replica.ColdFor)
 }
 
-// coldEndsAt is when a replica is warm by its time: as its entry says, and a while after
-// its zone was evacuated. Zero when nothing is known of either.
+// coldEndsAt returns when a replica's cold period ends, by its entry or by the end of its zone's
+// evacuation, whichever is later; zero when neither applies.
 func (s *state) coldEndsAt(entry *replicaEntry) time.Time {
 	end := entry.coldUntil
 	service := s.service(entry.replica.Group)
-	readmitted, found := s.evacuationEnded[entry.replica.Place.Zone]
+	endedAt, found := s.evacuationEnded[entry.replica.Place.Zone]
 	if found && service.ColdRate > 0 {
-		if after := readmitted.Add(service.ColdTime); after.After(end) {
+		if after := endedAt.Add(service.ColdTime); after.After(end) {
 			end = after
 		}
 	}
 	return end
 }
 
-// isCold tells whether a replica is cold, also one whose entry is gone: it is asked while
-// no other is left, and falls over as before.
+// isCold reports whether a replica is cold. A replica without an entry stays cold, since it is a
+// last resort and can still be overloaded.
 func (s *state) isCold(now time.Time, entry *replicaEntry) bool {
 	end := s.coldEndsAt(entry)
 	if end.IsZero() {
@@ -48,7 +48,7 @@
 	return now.Before(end)
 }
 
-// hasWarmedUp tells whether a replica that was published as cold is warm by its time.
+// hasWarmedUp reports whether the cold period of a replica that was published as cold is over.
 func (s *state) hasWarmedUp(now time.Time) bool {
 	return !s.nextWarmAt.IsZero() && !now.Before(s.nextWarmAt)
 }
--- a/internal/follower/cold_test.go
+++ b/internal/follower/cold_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// testColdTime and testColdRate are those of the tests' service.
+// The settings of the test service.
 const (
 	testColdTime = 3 * time.Second
 	testColdRate = 8
@@ -35,9 +35,9 @@
 	return store.KeyValue{Key: "replicas/a", Value: mustEncode(t, replica), ModRevision: revision}
 }
 
-// TestAReplicaIsColdForItsTime: as its entries say, and no longer when none comes, as
-// while the store is away.
-func TestAReplicaIsColdForItsTime(t *testing.T) {
+// TestReplicaColdPeriod tests that the cold period follows the entries, and ends by itself when
+// none arrives, as during a store outage.
+func TestReplicaColdPeriod(t *testing.T) {
 	now := start
 	state, board := newColdState(t, &now)
 	expect := func(when string, want topology.ReplicaState, rate int) {
@@ -45,28 +45,28 @@
 		state.publish(now)
 		got := board.Replicas.Load().Groups["g"][0]
 		if got.State != want || got.ColdRate != rate {
-			t.Errorf("%s: state %v, %d a second", when, got.State, got.ColdRate)
+			t.Errorf("%s: state %v, cold rate %d", when, got.State, got.ColdRate)
 		}
 	}
 	state.put(coldReplica(t, 2, 2*time.Second))
-	expect("at first", topology.ReplicaCold, testColdRate)
+	expect("initially", topology.ReplicaCold, testColdRate)
 	now = now.Add(1500 * time.Millisecond)
 	state.put(coldReplica(t, 3, time.Second))
-	expect("as it says again", topology.ReplicaCold, testColdRate)
+	expect("after a renewal", topology.ReplicaCold, testColdRate)
 	if got := state.nextDeadline(); got.IsZero() || got.After(now.Add(time.Second)) {
-		t.Errorf("due at %v", got)
+		t.Errorf("next deadline %v", got)
 	}
 	now = now.Add(time.Second)
-	expect("when its time is over", topology.ReplicaServing, 0)
+	expect("after the cold period", topology.ReplicaServing, 0)
 	state.put(coldReplica(t, 4, 5*time.Second))
-	expect("cold again", topology.ReplicaCold, testColdRate)
+	expect("after a restart", topology.ReplicaCold, testColdRate)
 	state.put(coldReplica(t, 5, 0))
-	expect("as it says", topology.ReplicaServing, 0)
+	expect("after a warm entry", topology.ReplicaServing, 0)
 }
 
-// TestAColdReplicaWhoseEntryIsGoneIsStillCold: it may be asked for a while, as the store
-// may be at fault, and bears no more than before.
-func TestAColdReplicaWhoseEntryIsGoneIsStillCold(t *testing.T) {
+// TestVanishedReplicaStaysCold tests that a cold replica without an entry, which may still receive
+// requests, keeps its rate limit.
+func TestVanishedReplicaStaysCold(t *testing.T) {
 	now := start
 	state, board := newColdState(t, &now)
 	cold := coldReplica(t, 2, 3*time.Second)
@@ -74,12 +74,13 @@
 	state.remove(now, cold.Key)
 	state.publish(now)
 	if got := board.Replicas.Load().Groups["g"][0]; got.State != topology.ReplicaVanished || got.ColdRate != testColdRate {
-		t.Errorf("state %v, %d a second", got.State, got.ColdRate)
+		t.Errorf("state %v, cold rate %d", got.State, got.ColdRate)
 	}
 }
 
-// TestAReadmittedZoneIsCold: its entries may say that nothing has changed.
-func TestAReadmittedZoneIsCold(t *testing.T) {
+// TestReplicasColdAfterEvacuation tests that replicas are cold after an evacuation even if their
+// entries have not changed.
+func TestReplicasColdAfterEvacuation(t *testing.T) {
 	now := start
 	state, board := newColdState(t, &now)
 	state.put(coldReplica(t, 2, 0))
@@ -93,19 +94,20 @@
 	}{{0, topology.ReplicaCold}, {testColdTime - time.Millisecond, topology.ReplicaCold}, {testColdTime, topology.ReplicaServing}} {
 		state.publish(now.Add(step.after))
 		if got := board.Replicas.Load().Groups["g"][0].State; got != step.want {
-			t.Errorf("%v after its evacuation: state %v", step.after, got)
+			t.Errorf("%v after the evacuation: state %v", step.after, got)
 		}
 	}
 }
 
-// TestNodesThatAreGoneStillShareAColdReplica: they may live on, cut off, and use theirs.
-func TestNodesThatAreGoneStillShareAColdReplica(t *testing.T) {
+// TestDepartedNodesShareColdRate tests that a node without an entry keeps its part of the cold rate
+// for a while, as it may be alive but isolated.
+func TestDepartedNodesShareColdRate(t *testing.T) {
 	state, board := newTestState(t)
 	state.replace(start, []store.KeyValue{nodeAt(t, 1, "n1"), nodeAt(t, 2, "n2")})
 	state.publish(start)
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "nodes/n2"}, Deleted: true})
 	state.publish(start.Add(time.Second))
 	if got := board.Members.Load().Sharing; len(got) != 2 {
-		t.Errorf("shared by %v", got)
+		t.Errorf("cold rate shared by %v, want two nodes", got)
 	}
 }
--- a/internal/follower/evacuation.go
+++ b/internal/follower/evacuation.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// evacuate takes in that nothing is to be sent to a zone's replicas any more. Requests
-// that are queued, hedged or tried again choose among what is published, so that it
-// holds for them as well.
+// evacuate marks a zone as evacuated: its replicas receive no requests, including queued, hedged
+// and retried ones, since those choose among the published replicas too.
 func (s *state) evacuate(zone string) {
 	if s.evacuated[zone] {
 		return
@@ -14,8 +13,8 @@
 	s.options.Logger.Info("zone evacuated", "zone", zone, "replicas", s.countReplicas(zone))
 }
 
-// endEvacuation takes in that an evacuation was withdrawn. The zone's replicas may be cold
-// then, and no entry says so.
+// endEvacuation records that a zone is no longer evacuated. Its replicas may be cold by then
+// although their entries do not say so.
 func (s *state) endEvacuation(now time.Time, zone string) {
 	if !s.evacuated[zone] {
 		return
@@ -26,7 +25,7 @@
 	s.options.Logger.Info("zone no longer evacuated", "zone", zone, "replicas", s.countReplicas(zone))
 }
 
-// countReplicas counts the replicas that stand in a zone.
+// countReplicas returns the number of replicas in a zone.
 func (s *state) countReplicas(zone string) int {
 	count := 0
 	for _, entry := range s.replicas {
--- a/internal/follower/evacuation_test.go
+++ b/internal/follower/evacuation_test.go
@@ -9,15 +9,14 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// evacuationOf is the store's entry of an evacuated zone.
+// evacuationOf returns the entry of an evacuated zone.
 func evacuationOf(revision int64, zone string) store.KeyValue {
 	return store.KeyValue{Key: testKeys.Evacuations + zone, Value: []byte("{}"), ModRevision: revision}
 }
 
-// TestAnEvacuatedZoneTakesNoWork: however the news of it comes, and until it is
-// withdrawn; replicas that record themselves meanwhile are no exception, and one that
-// leaves stays one that leaves.
-func TestAnEvacuatedZoneTakesNoWork(t *testing.T) {
+// TestEvacuatedZone tests the states of a zone's replicas during an evacuation, including replicas
+// that register meanwhile, and after it. A leaving replica stays so.
+func TestEvacuatedZone(t *testing.T) {
 	state, board := newTestState(t)
 	serving, leaving := replicaAt(t, 2, "a", topology.ReplicaServing), replicaAt(t, 3, "b", topology.ReplicaLeaving)
 	later := replicaAt(t, 6, "c", topology.ReplicaCold)
@@ -28,17 +27,17 @@
 		change func()
 		want   map[string]topology.ReplicaState
 	}{
-		{"an event", func() { state.apply(start, store.Event{KeyValue: evacuationOf(5, "z1")}) },
+		{"evacuation event", func() { state.apply(start, store.Event{KeyValue: evacuationOf(5, "z1")}) },
 			map[string]topology.ReplicaState{"a": topology.ReplicaEvacuated, "b": topology.ReplicaLeaving}},
-		{"a replica that comes meanwhile", func() { state.put(later) },
+		{"replica registered meanwhile", func() { state.put(later) },
 			map[string]topology.ReplicaState{"a": topology.ReplicaEvacuated, "b": topology.ReplicaLeaving, "c": topology.ReplicaEvacuated}},
-		{"one whose entry goes meanwhile", func() { state.remove(start, later.Key) },
+		{"replica entry removed meanwhile", func() { state.remove(start, later.Key) },
 			map[string]topology.ReplicaState{"a": topology.ReplicaEvacuated, "b": topology.ReplicaLeaving, "c": topology.ReplicaEvacuated}},
-		{"another zone's is withdrawn", func() { state.remove(start, evacuationOf(0, "z2").Key) },
+		{"end of another zone's evacuation", func() { state.remove(start, evacuationOf(0, "z2").Key) },
 			map[string]topology.ReplicaState{"a": topology.ReplicaEvacuated, "b": topology.ReplicaLeaving, "c": topology.ReplicaEvacuated}},
-		{"a reading that lacks it", func() { state.replace(start, []store.KeyValue{serving, leaving, later}) },
+		{"listing without the evacuation", func() { state.replace(start, []store.KeyValue{serving, leaving, later}) },
 			map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaLeaving, "c": topology.ReplicaCold}},
-		{"a reading that has it", func() {
+		{"listing with the evacuation", func() {
 			state.replace(start, []store.KeyValue{serving, leaving, evacuationOf(9, "z1"), evacuationOf(9, "z2")})
 		}, map[string]topology.ReplicaState{"a": topology.ReplicaEvacuated, "b": topology.ReplicaLeaving, "c": topology.ReplicaEvacuated}},
 	}
@@ -50,6 +49,6 @@
 		}
 	}
 	if state.hasReplica("g") {
-		t.Error("a configuration is put in force for replicas that are evacuated")
+		t.Error("evacuated replicas count as taking requests")
 	}
 }
--- a/internal/follower/event_loop.go
+++ b/internal/follower/event_loop.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// callStore attends while a question to the store, which must end by itself, waits for its answer.
-func (f *Follower) callStore(question func()) { f.handleEvents(f.options.Now(), question) }
+// callStore runs a call to the store while handling events. The call must be bounded by its own
+// timeout.
+func (f *Follower) callStore(call func()) { f.handleEvents(f.options.Now(), call) }
 
-// handleEventsDuring publishes what falls due and hears other nodes while some
-// work, which must end by itself, waits for an answer.
+// handleEventsDuring runs work while handling events. The work must be bounded by its own timeout.
 func (f *Follower) handleEventsDuring(work func()) { f.handleEvents(time.Time{}, work) }
 
-// handleEvents is attend; asked is when the store was asked, zero when it was not.
-func (f *Follower) handleEvents(asked time.Time, work func()) {
+// handleEvents publishes state as it falls due and handles messages from peers until work returns.
+// calledAt is when the store call began, or zero if work does not call the store.
+func (f *Follower) handleEvents(calledAt time.Time, work func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -21,7 +22,7 @@
 	}()
 	for {
 		f.state.publish(f.options.Now())
-		f.recordUnanswered(asked)
+		f.recordUnanswered(calledAt)
 		f.publishWindow()
 		timer := time.NewTimer(min(f.untilDeadline(), f.options.fraction(callTimeoutFraction)))
 		select {
@@ -29,27 +30,27 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-		case news := <-f.options.Announcer.Received():
-			f.handleAnnouncement(news)
-		case found := <-f.suspected:
-			f.handleSuspicions(found)
+		case announcement := <-f.options.Announcer.Received():
+			f.handleAnnouncement(announcement)
+		case suspicions := <-f.suspected:
+			f.handleSuspicions(suspicions)
 		}
 		timer.Stop()
 	}
 }
 
-// recordUnanswered notes that a question asked some time ago has found nobody so far, once it has
-// waited for long enough. After a pause of the process that cannot be told: its answer may lie
-// unread.
-func (f *Follower) recordUnanswered(asked time.Time) {
-	patience := f.options.fraction(callTimeoutFraction)
-	unanswered := f.options.Now().Add(-patience)
-	if !asked.IsZero() && !unanswered.Before(asked) && f.options.RanWithoutPause(patience) {
-		f.validity.recordFailedAttempt(unanswered)
+// recordUnanswered records an attempt without an answer once the store call has lasted longer than
+// the call timeout. After a pause of the process the answer may be waiting unread, so nothing is
+// recorded then.
+func (f *Follower) recordUnanswered(calledAt time.Time) {
+	timeout := f.options.fraction(callTimeoutFraction)
+	startedAt := f.options.Now().Add(-timeout)
+	if !calledAt.IsZero() && !startedAt.Before(calledAt) && f.options.RanWithoutPause(timeout) {
+		f.validity.recordFailedAttempt(startedAt)
 	}
 }
 
-// untilDeadline is the time until the state has to be published anew at the latest.
+// untilDeadline returns the time until the state must be published again.
 func (f *Follower) untilDeadline() time.Duration {
 	at := f.state.nextDeadline()
 	if at.IsZero() {
@@ -58,10 +59,10 @@
 	return at.Sub(f.options.Now())
 }
 
-// waitForRetry lets some time pass, and ends sooner when another node knows more, or a
-// request cannot be handled before the store was asked.
-func (f *Follower) waitForRetry(ctx context.Context, pause time.Duration) {
-	until := f.options.Now().Add(pause)
+// waitForRetry waits for the backoff to pass. It returns early when a peer has announced a newer
+// revision, or when a request needs fresh state.
+func (f *Follower) waitForRetry(ctx context.Context, backoff time.Duration) {
+	until := f.options.Now().Add(backoff)
 	for {
 		f.state.publish(f.options.Now())
 		f.publishWindow()
@@ -74,14 +75,14 @@
 			if !f.options.Now().Before(until) {
 				return
 			}
-		case news := <-f.options.Announcer.Received():
-			f.handleAnnouncement(news)
+		case announcement := <-f.options.Announcer.Received():
+			f.handleAnnouncement(announcement)
 			if f.staleness.confirmed > f.staleness.applied {
 				timer.Stop()
 				return
 			}
-		case found := <-f.suspected:
-			f.handleSuspicions(found)
+		case suspicions := <-f.suspected:
+			f.handleSuspicions(suspicions)
 		case <-f.refreshRequested:
 			if !f.window.Load().contains(f.options.Now()) {
 				timer.Stop()
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -19,7 +19,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// testDecoder reads the tests' own documents.
+// testDecoder decodes the JSON documents of these tests.
 type testDecoder struct{}
 
 type testTable struct {
@@ -75,46 +75,46 @@
 func newTestState(t *testing.T) (*state, *blackboard.Board) {
 	t.Helper()
 	board := &blackboard.Board{}
-	made := New(Options{
+	f := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, Regions: map[string]string{"z1": "r1"},
 		Self: topology.Node{ID: "self"}, MaxStaleness: 3 * time.Second, VanishedRetention: time.Second, EntryNodes: 2,
 	})
-	return made.state, board
+	return f.state, board
 }
 
 var start = time.Unix(1000, 0)
 
 func replicaStates(board *blackboard.Board) map[string]topology.ReplicaState {
-	found := map[string]topology.ReplicaState{}
+	states := map[string]topology.ReplicaState{}
 	for _, replica := range board.Replicas.Load().Groups["g"] {
-		found[replica.Incarnation] = replica.State
+		states[replica.Incarnation] = replica.State
 	}
-	return found
+	return states
 }
 
-// fakeStore is a store whose watch can be deaf, and which can be silent.
+// fakeStore is a store that may be unresponsive and whose watches may stall.
 type fakeStore struct {
 	mutex    sync.Mutex
 	values   []store.KeyValue
 	revision int64
-	// watchDelay is how long a watch takes to begin.
+	// watchDelay is how long a watch takes to start.
 	watchDelay   time.Duration
 	stalled      bool
 	unresponsive bool
 	lists        int
 	staleLists   int
-	// compactedWatches is the number of watches that ask for what is no longer kept.
+	// compactedWatches is the number of watches still to be rejected as compacted.
 	compactedWatches int
 	gets             int
 	watchers         []chan store.WatchBatch
-	// history is told to a watch that begins after it was made.
+	// history is delivered to later watches.
 	history []store.WatchBatch
 }
 
-// emit adds a change to the history and brings it to the watches that hear.
-func (s *fakeStore) emit(batch store.WatchBatch, deaf bool) {
+// emit adds a batch to the history and, unless stalled, delivers it to the current watches.
+func (s *fakeStore) emit(batch store.WatchBatch, stalled bool) {
 	s.history = append(s.history, batch)
-	if deaf {
+	if stalled {
 		return
 	}
 	for _, watch := range s.watchers {
@@ -150,10 +150,10 @@
 	s.watchers = nil
 }
 
-func (s *fakeStore) setFaults(deaf, silent bool) {
+func (s *fakeStore) setFaults(stalled, unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stalled, s.unresponsive = deaf, silent
+	s.stalled, s.unresponsive = stalled, unresponsive
 }
 
 func (s *fakeStore) counts() (lists, gets int) {
@@ -162,13 +162,13 @@
 	return s.lists, s.gets
 }
 
-// call waits as the store does that says nothing.
+// call counts a call, and blocks until ctx is done if the store is unresponsive.
 func (s *fakeStore) call(ctx context.Context, count *int) error {
 	s.mutex.Lock()
 	*count++
-	silent := s.unresponsive
+	unresponsive := s.unresponsive
 	s.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 	}
@@ -193,8 +193,7 @@
 	return slices.Clone(s.values), s.revision, nil
 }
 
-// ListStale implements store.StaleReader. It counts as a list, and is counted apart
-// as well.
+// ListStale implements store.StaleReader. It counts as a list, and also as a stale one.
 func (s *fakeStore) ListStale(ctx context.Context, prefix string) ([]store.KeyValue, int64, error) {
 	if err := s.call(ctx, &s.lists); err != nil {
 		return nil, 0, err
@@ -209,7 +208,7 @@
 func (s *fakeStore) Watch(ctx context.Context, _ string, fromRevision int64, deliver func(store.WatchBatch) error) error {
 	time.Sleep(s.watchDelay)
 	s.mutex.Lock()
-	if s.unresponsive { // the connection is refused, where calls on open ones hang
+	if s.unresponsive { // new connections are refused, while calls on open ones hang
 		s.mutex.Unlock()
 		return store.ErrUnavailable
 	}
@@ -241,51 +240,50 @@
 	}
 }
 
-// fakeAnnouncer collects what is sent and hands over what is received.
+// fakeAnnouncer records what is sent and delivers what a test provides.
 type fakeAnnouncer struct {
 	received chan announce.Announcement
 	mutex    sync.Mutex
 	sent     []announce.Announcement
 }
 
-func (p *fakeAnnouncer) Send(news announce.Announcement) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.sent = append(p.sent, news)
+func (a *fakeAnnouncer) Send(announcement announce.Announcement) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.sent = append(a.sent, announcement)
 }
 
-func (p *fakeAnnouncer) Received() <-chan announce.Announcement { return p.received }
+func (a *fakeAnnouncer) Received() <-chan announce.Announcement { return a.received }
 
-func (p *fakeAnnouncer) highestSent() int64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+func (a *fakeAnnouncer) highestSent() int64 {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	highest := int64(0)
-	for _, news := range p.sent {
-		highest = max(highest, news.Revision)
+	for _, announcement := range a.sent {
+		highest = max(highest, announcement.Revision)
 	}
 	return highest
 }
 
-// startFollower runs a follower with so much time for news.
-func startFollower(t *testing.T, source *fakeStore, news time.Duration) (*blackboard.Board, *fakeAnnouncer) {
+// startFollower runs a follower with the given MaxStaleness.
+func startFollower(t *testing.T, fake *fakeStore, maxStaleness time.Duration) (*blackboard.Board, *fakeAnnouncer) {
 	t.Helper()
-	board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
-	made := New(Options{
-		Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
+	board, announcer := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
+	f := New(Options{
+		Store: fake, Announcer: announcer, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+		Self: topology.Node{ID: "self"}, MaxStaleness: maxStaleness, VanishedRetention: time.Second,
 	})
-	runFollower(t, made)
-	return board, peers
+	runFollower(t, f)
+	return board, announcer
 }
 
-// eventually looks until a condition holds; the limit is generous, so that the
-// speed of the machine does not decide.
+// eventually waits until a condition holds. The timeout is generous to allow for slow machines.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -299,11 +297,11 @@
 }
 
 // runFollower runs a follower until the test ends.
-func runFollower(t *testing.T, made *Follower) {
+func runFollower(t *testing.T, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- made.Run(ctx) }()
+	go func() { ended <- f.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -312,13 +310,13 @@
 	})
 }
 
-// fakeRelayClient are other nodes that may be watched.
+// fakeRelayClient watches fake relays.
 type fakeRelayClient struct {
 	mu     sync.Mutex
 	broken bool
-	// compacted nodes do not keep the changes that are asked for.
+	// compacted makes the relays lack the requested history.
 	compacted bool
-	// silent are the ports of nodes that do not answer.
+	// silent are the ports of the relays that do not respond.
 	silent  map[uint16]bool
 	watched []netip.AddrPort
 	batches chan store.WatchBatch
@@ -327,9 +325,9 @@
 func (r *fakeRelayClient) Watch(ctx context.Context, node netip.AddrPort, _ int64, deliver func(store.WatchBatch) error) error {
 	r.mu.Lock()
 	r.watched = append(r.watched, node)
-	broken, silent, forgetful := r.broken, r.silent[node.Port()], r.compacted
+	broken, silent, compacted := r.broken, r.silent[node.Port()], r.compacted
 	r.mu.Unlock()
-	if forgetful {
+	if compacted {
 		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrForgotten)
 	}
 	if silent {
@@ -356,33 +354,33 @@
 	return append([]netip.AddrPort(nil), r.watched...)
 }
 
-// nodeAtAddress is a node's entry with its state address.
+// nodeAtAddress returns a node's entry with a state address.
 func nodeAtAddress(t *testing.T, revision int64, id, address string) store.KeyValue {
 	t.Helper()
 	node := topology.Node{ID: id, Ready: true, StateAddress: address}
 	return store.KeyValue{Key: "nodes/" + id, Value: mustEncode(t, node), ModRevision: revision}
 }
 
-// startRelayed runs a follower of node "self", beside others that are recorded.
-func startRelayed(t *testing.T, source *fakeStore, relays *fakeRelayClient, others []store.KeyValue) *blackboard.Board {
+// startRelayed runs a follower of the node "self" beside registered peers.
+func startRelayed(t *testing.T, fake *fakeStore, relays *fakeRelayClient, peers []store.KeyValue) *blackboard.Board {
 	t.Helper()
-	return startRelayedWith(t, source, relays, others, &fakeAnnouncer{received: make(chan announce.Announcement)}, time.Minute)
+	return startRelayedWith(t, fake, relays, peers, &fakeAnnouncer{received: make(chan announce.Announcement)}, time.Minute)
 }
 
-// startRelayedWith is startRelayed with what other nodes announce, and the time for news.
-func startRelayedWith(t *testing.T, source *fakeStore, relays *fakeRelayClient, others []store.KeyValue, peers *fakeAnnouncer, news time.Duration) *blackboard.Board {
+// startRelayedWith is startRelayed with the given announcer and MaxStaleness.
+func startRelayedWith(t *testing.T, fake *fakeStore, relays *fakeRelayClient, peers []store.KeyValue, announcer *fakeAnnouncer, maxStaleness time.Duration) *blackboard.Board {
 	t.Helper()
-	for _, other := range others {
-		source.put(other)
+	for _, peer := range peers {
+		fake.put(peer)
 	}
-	source.put(tableAt(t, 4, 1))
+	fake.put(tableAt(t, 4, 1))
 	board := &blackboard.Board{}
-	made := New(Options{
-		Store: source, Announcer: peers, RelayClient: relays,
+	f := New(Options{
+		Store: fake, Announcer: announcer, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2,
-		Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: time.Second,
+		Self: topology.Node{ID: "self"}, MaxStaleness: maxStaleness, VanishedRetention: time.Second,
 	})
-	runFollower(t, made)
+	runFollower(t, f)
 	return board
 }
 
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,8 +1,7 @@
-// Package follower keeps the blackboard up to date with the store: the
-// operators' routes, the replicas, and the nodes of the system. One watch
-// carries all of them. A watch is no proof that nothing has changed: it may
-// have gone deaf. So one node at a time asks the store for its revision, tells
-// the others, and whoever knows less than that reads anew.
+// Package follower keeps the blackboard in sync with the store: the operators' configuration, the
+// replicas, and the nodes. A single watch covers all of them. Since a watch may stall without an
+// error, the nodes take turns in querying the store's revision and announce it to their peers; a
+// node that lags behind lists everything again.
 package follower
 
 import (
@@ -26,11 +25,11 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Decoder turns the store's values into the product's types.
+// Decoder decodes the store's values.
 type Decoder interface {
-	// Routes reads the operators' configuration.
+	// Routes decodes the operators' configuration.
 	Routes(value []byte) (*routing.Table, error)
-	// Replica reads one replica's entry.
+	// Replica decodes a replica's entry.
 	Replica(key string, value []byte) (topology.Replica, error)
 }
 
@@ -41,167 +40,162 @@
 	store.Watcher
 }
 
-// Announcer spreads announcements among the nodes.
+// Announcer exchanges announcements of the store's revision with peers.
 type Announcer interface {
-	Send(news announce.Announcement)
+	Send(announcement announce.Announcement)
 	Received() <-chan announce.Announcement
 }
 
-// RelayClient let this node watch another one in place of the store.
+// RelayClient watches the store's changes through another node.
 type RelayClient interface {
 	Watch(ctx context.Context, node netip.AddrPort, fromRevision int64, deliver func(store.WatchBatch) error) error
 }
 
-// SnapshotReader hand over what they know of the store.
+// SnapshotReader reads a peer's snapshot of the store.
 type SnapshotReader interface {
 	Read(ctx context.Context) (handover.Snapshot, error)
 }
 
-// Keys say where what lies in the store.
+// Keys are the keys and key prefixes of the store's entries.
 type Keys struct {
 	// Configuration is the key of the operators' configuration.
 	Configuration string
-	// Replicas and Nodes begin the keys of their entries, Evacuations those of the
-	// zones to whose replicas nothing is to be sent; the rest of such a key is the
-	// zone's name.
+	// Replicas, Nodes and Evacuations are the prefixes of the entries of replicas, nodes and
+	// evacuated zones. An evacuation's key ends with the name of the zone.
 	Replicas, Nodes, Evacuations string
-	// Quarantine begins the keys of the quarantined requests; the rest is the identity.
+	// Quarantine is the prefix of quarantined requests. The key ends with the request's identity.
 	Quarantine string
 }
 
-// Quarantine takes in which requests the store holds as quarantined.
+// Quarantine receives the quarantined requests in the store.
 type Quarantine interface {
 	Adopt(identity string, value []byte)
-	// Forgotten is called when the store has lost a request.
+	// Forgotten is called when a request's entry is gone from the store.
 	Forgotten(identity string)
 }
 
-// Options are what a Follower needs.
+// Options configures a Follower.
 type Options struct {
 	Store     Store
 	Announcer Announcer
-	// PeerSnapshots are asked while the store serves them and not this node.
+	// PeerSnapshots is used while the store is unavailable to this node but not to its peers. It is
+	// optional.
 	PeerSnapshots SnapshotReader
-	// RelayClient may be left out: then this node watches the store itself.
+	// RelayClient is optional. Without it the node always watches the store itself.
 	RelayClient RelayClient
-	// Unreachable returns those of some nodes, by their state addresses, that cannot be
-	// reached; nil means that it is not known.
+	// Unreachable returns the nodes, by state address, that cannot be reached. It is optional.
 	Unreachable func(ctx context.Context, nodes []netip.AddrPort) []netip.AddrPort
 	Decoder     Decoder
-	// Quarantine may be left out.
+	// Quarantine is optional.
 	Quarantine Quarantine
 	Keys       Keys
 	Board      *blackboard.Board
-	// Regions names the region of each zone.
+	// Regions maps zones to regions.
 	Regions map[string]string
 	Self    topology.Node
-	// EntryNodes is how many nodes of each zone callers are led to.
+	// EntryNodes is the number of nodes per zone that callers are routed to.
 	EntryNodes int
-	// MaxStaleness is the time within which what the store says must have been acted
-	// on. How often it is asked and how long it is waited for follow from it.
+	// MaxStaleness is the time within which a change in the store must take effect. Check intervals
+	// and timeouts are fractions of it.
 	MaxStaleness time.Duration
-	// VanishedRetention is how long a replica whose entry is gone may still be asked
-	// when no other is left.
+	// VanishedRetention is how long a replica whose entry is gone may still receive requests if its
+	// group has no other replica.
 	VanishedRetention time.Duration
-	// ColdBound is what a cold replica may receive from all nodes.
+	// ColdBound limits the rate of requests that all nodes together send to a cold replica.
 	ColdBound decision.ColdBound
-	// Logger and Now may be left out. Now has to count a suspension of the machine.
+	// Logger and Now are optional. Now must advance while the machine is suspended.
 	Logger *slog.Logger
 	Now    func() time.Time
-	// RanWithoutPause tells whether the process has run for some time without a pause; nil means
-	// always.
+	// RanWithoutPause reports whether the process has run without a pause for the given time. It
+	// defaults to always true.
 	RanWithoutPause func(lasting time.Duration) bool
 }
 
-// The parts of the time for news.
+// Fractions of Options.MaxStaleness. Together they must fit into validityFraction.
 const (
-	// confirmationFraction is how long a confirmation counts.
+	// confirmationFraction is how long a confirmation of the store's revision lasts before the next
+	// check is due.
 	confirmationFraction = 0.4
-	// rankFraction is divided among the nodes, so that they ask one after the
-	// other.
+	// rankFraction is divided among the nodes so that they check one after another.
 	rankFraction = 0.2
-	// graceFraction is what a watch may take to tell what others know already; it
-	// is over gatherShare. A watch of another node has relayShare longer: that node gives
-	// its own watch up at the same time, and what it then reads comes a moment later.
+	// graceFraction is how long a watch may lag behind an announced revision; it must exceed
+	// batchFraction. A watch of a relay gets relayGraceFraction more, since the relay gives up its
+	// own watch at the same time and needs time to list everything.
 	graceFraction      = 0.3
 	relayGraceFraction = 0.05
-	// callTimeoutFraction bounds one question, and the first attempt to read everything. It is also
-	// what the store's watch may take after another node's has told nothing: the two
-	// graces would add up to the whole time for news.
+	// callTimeoutFraction is the timeout of a call and of the first attempt at a full listing. It
+	// is also the grace period of a store watch that follows a lagging relay: two full grace
+	// periods would exceed MaxStaleness.
 	callTimeoutFraction = 0.15
-	// batchFraction is how long after a change the next one is waited for, so
-	// that changes that come together cost one call.
+	// batchFraction is how long to wait for further changes after a change, so that changes in
+	// quick succession cost one call.
 	batchFraction = 0.1
-	// activationFraction is how long a configuration may wait for replicas of its new
-	// groups.
+	// activationFraction is how long a configuration may wait for replicas of its new groups.
 	activationFraction = 0.3
 )
 
-func (o *Options) fraction(of float64) time.Duration {
-	return time.Duration(of * float64(o.MaxStaleness))
+func (o *Options) fraction(factor float64) time.Duration {
+	return time.Duration(factor * float64(o.MaxStaleness))
 }
 
-// Follower follows the store; Run starts it.
+// Follower keeps the blackboard in sync with the store.
 type Follower struct {
 	options        Options
 	state          *state
 	staleness      staleness
 	validity       validity
 	storeReachable bool
-	// needsResync is true while everything has to be read before it is watched: at the
-	// start, and when the store's history or a watch has let changes pass.
+	// needsResync is true when everything must be listed before the next watch: at startup, and
+	// when the history was compacted or the watch lagged.
 	needsResync bool
-	// relayLagged is true from when a node that was watched did not tell what others know
-	// until the store has spoken.
+	// relayLagged is true from when a relay did not deliver an announced revision until the store
+	// responds.
 	relayLagged bool
-	// storeResponses counts the storeResponses of the store.
+	// storeResponses counts responses from the store.
 	storeResponses int
-	// watchRejections counts the readings in a row that were followed by a refused watch.
+	// watchRejections counts consecutive listings whose watch was rejected.
 	watchRejections int
-	// backingOff is true while the store is left alone for a pause.
+	// backingOff is true while the store is not called.
 	backingOff bool
-	// listTimeout bounds the next reading of everything. A call that the store has
-	// left without an answer will have none, so the first ones are given up
-	// soon; each failure doubles the time, for a store that is slow.
+	// listTimeout is the timeout of the next full listing. It starts low, as a call that hangs is
+	// best abandoned early, and doubles with each failure, as the store may be slow.
 	listTimeout time.Duration
-	// window is the validity's, for the goroutines of requests, which ask for another one
-	// over asked. hurried is true from then on until there is one.
+	// window is the validity window for request goroutines, which ask for a new one over
+	// refreshRequested. refreshing is true from such a request until the state is fresh again.
 	window           atomic.Pointer[validityWindow]
 	refreshRequested chan struct{}
 	refreshing       bool
-	// waits counts the requests that have waited, failedWaits those that did so in vain.
+	// waits counts requests that waited for fresh state, failedWaits those that gave up.
 	waits, failedWaits atomic.Int64
-	// snapshot is what is handed over to other nodes, feed what those that watch
-	// this one are told.
+	// snapshot is served to peers that read the whole state, feed to peers that watch this node.
 	snapshot atomic.Pointer[snapshot]
 	feed     relay.Feed
-	// relayFailures counts the watches of other nodes that have failed of late,
-	// relayFailedAt is when the last did.
+	// relayFailures counts recent failed watches of relays; lastRelayFailure is the time of the
+	// last one.
 	relayFailures    int
 	lastRelayFailure time.Time
-	// needsStoreWatch is true from when the node that was watched no longer had the changes
-	// that this one lacks until the store has told them.
+	// needsStoreWatch is true from when a relay no longer had the required history until the store
+	// has delivered it.
 	needsStoreWatch bool
-	// consecutiveSilent counts the nodes that were watched one after the other and did not
-	// answer.
+	// consecutiveSilent counts relays in a row that did not respond.
 	consecutiveSilent int
-	// suspected brings what is found out about other nodes.
+	// suspected delivers suspicions about other nodes.
 	suspected chan []relay.Suspicion
 }
 
-// The pauses between two attempts to read the store while it fails.
+// The backoff between attempts to read the store while it fails.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	// fastRetryNodes, and those that watch the store for their zones, pause for no longer
-	// than longestPause; the others, which hear from them that the store is back, for
-	// patientShare of the time for news.
+	// The first fastRetryNodes nodes and the zone watchers back off for at most maxBackoff. The
+	// others learn from them that the store is available again, and back off for slowRetryFraction
+	// of MaxStaleness.
 	fastRetryNodes    = 3
 	slowRetryFraction = 0.6
 )
 
-// maxBackoff is this node's longest pause. Calls that the store refuses are
-// priced as well.
+// maxBackoff returns this node's maximum backoff. It limits the calls to a failing store, which are
+// billed as well.
 func (f *Follower) maxBackoff() time.Duration {
 	if f.rank() < fastRetryNodes || f.isZoneWatcher() {
 		return maxBackoff
@@ -209,17 +203,17 @@
 	return max(maxBackoff, f.options.fraction(slowRetryFraction))
 }
 
-// nextBackoff is the pause after another one. A node that knows others which call the
-// store again soon leaves it alone for the longest at once.
+// nextBackoff returns the backoff after the last one. Nodes that can rely on faster ones use their
+// maximum at once.
 func (f *Follower) nextBackoff(last time.Duration) time.Duration {
-	longest := f.maxBackoff()
-	if longest > maxBackoff {
-		return longest
+	limit := f.maxBackoff()
+	if limit > maxBackoff {
+		return limit
 	}
-	return min(max(minBackoff, 2*last), longest)
+	return min(max(minBackoff, 2*last), limit)
 }
 
-// New makes a Follower.
+// New returns a Follower; call Run to start it.
 func New(options Options) *Follower {
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
@@ -244,33 +238,32 @@
 	return f
 }
 
-// noQuarantine takes nothing in.
 type noQuarantine struct{}
 
 func (noQuarantine) Adopt(string, []byte) {}
 func (noQuarantine) Forgotten(string)     {}
 
-// Run follows the store until ctx ends, and returns nil then.
+// Run follows the store until ctx is done, and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	for ctx.Err() == nil {
-		heard, err := f.follow(ctx)
+		progressed, err := f.follow(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
 		f.recordFailure(err)
-		if heard {
-			pause = 0
-			continue // it has answered since; call it again at once
+		if progressed {
+			backoff = 0
+			continue // the store has responded since, so retry at once
 		}
-		pause = f.nextBackoff(pause)
-		f.backOff(ctx, pause)
+		backoff = f.nextBackoff(backoff)
+		f.backOff(ctx, backoff)
 	}
 	return nil
 }
 
-func sleep(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -278,58 +271,57 @@
 	}
 }
 
-// follow watches until that fails, from a reading of everything or, where the store
-// has only been away, from what is known: its history tells what has changed since.
-// heard is true when the store has answered, also that its history has gone: then it
-// is read at once.
-func (f *Follower) follow(ctx context.Context) (heard bool, err error) {
-	hasRead := f.needsResync
+// follow watches the store until the watch fails. It lists everything first if needed; after a mere
+// outage the store's history brings the changes since. progressed is true when the store has
+// responded, also if only to reject a compacted revision, so that it can be called again at once.
+func (f *Follower) follow(ctx context.Context) (progressed bool, err error) {
+	resynced := f.needsResync
 	if f.needsResync {
 		if err := f.resync(ctx); err != nil {
 			return false, err
 		}
 	}
-	answers := f.storeResponses
+	responses := f.storeResponses
 	err = f.watch(ctx, f.staleness.applied)
 	f.needsResync = errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging)
-	told := f.storeResponses > answers
-	if !hasRead || !f.needsResync || told {
+	responded := f.storeResponses > responses
+	if !resynced || !f.needsResync || responded {
 		f.watchRejections = 0
-		return f.needsResync || told || hasRead, err
+		return f.needsResync || responded || resynced, err
 	}
 	f.watchRejections++
 	return f.watchRejections <= maxWatchRejections, err
 }
 
-// maxWatchRejections is how often a watch may be refused, though everything has just been read, and be
-// followed by another reading at once: the first reading may be older than what the store keeps.
-// More readings would bring no more. (Without the bound, three nodes made 5,000 in 3 s.)
+// maxWatchRejections is how many consecutive watches may be rejected right after a listing and
+// still be followed by another listing at once. A stale listing may be older than the compacted
+// revision, but further listings would not help and would overload the store.
 const maxWatchRejections = 1
 
-// resync takes everything in.
+// resync lists everything and applies it.
 func (f *Follower) resync(ctx context.Context) error {
 	if f.staleness.applied == 0 {
 		return f.initialSync(ctx)
 	}
-	began := f.options.Now()
+	startedAt := f.options.Now()
 	values, revision, err := f.listWithTimeout(ctx, f.listAll)
 	if err != nil {
 		return err
 	}
 	if revision < f.staleness.applied {
-		return eris.Wrapf(errRevisionRegressed, "revision %d, where %d is known", revision, f.staleness.applied)
+		return eris.Wrapf(errRevisionRegressed, "listed revision %d, applied revision %d", revision, f.staleness.applied)
 	}
 	now := f.applyListing(values, revision)
 	f.announceApplied(now, revision)
-	f.validity.confirm(began)
+	f.validity.confirm(startedAt)
 	f.publishWindow()
 	return nil
 }
 
-// errRevisionRegressed ends a reading that has brought an older state than the one known.
+// errRevisionRegressed rejects a listing at a lower revision than the one already applied.
 var errRevisionRegressed = eris.New("the store has told an older state than before, without a new era")
 
-// applyListing puts a whole reading of a revision in force, and returns when.
+// applyListing applies a full listing, publishes the state, and returns the time.
 func (f *Follower) applyListing(values []store.KeyValue, revision int64) time.Time {
 	now := f.options.Now()
 	f.recordResponse(now)
@@ -338,38 +330,38 @@
 	return now
 }
 
-// replace puts a whole reading in the place of what is known. The first of a later era of the
-// store is of a copy, which may lack what its writers have not written again yet.
+// replace replaces the state by a full listing. The first listing of a later era comes from a
+// restored store, which may lack entries that have not been written again yet.
 func (f *Follower) replace(now time.Time, values []store.KeyValue, revision int64) {
-	known := f.staleness.applied
-	if known == 0 || store.EraOf(revision) == store.EraOf(known) {
+	applied := f.staleness.applied
+	if applied == 0 || store.EraOf(revision) == store.EraOf(applied) {
 		f.state.replace(now, values)
 		return
 	}
 	f.options.Logger.Warn("the store has come back from a copy",
 		"era", store.EraOf(revision), "revision", store.NumberOf(revision),
-		"known_era", store.EraOf(known), "known_revision", store.NumberOf(known))
+		"known_era", store.EraOf(applied), "known_revision", store.NumberOf(applied))
 	f.state.replaceAfterRestore(now, values)
 }
 
-// listFunc reads everything from the store.
+// listFunc lists all entries of the store.
 type listFunc func(ctx context.Context) ([]store.KeyValue, int64, error)
 
 func (f *Follower) listAll(ctx context.Context) ([]store.KeyValue, int64, error) {
 	return f.options.Store.List(ctx, "", 0)
 }
 
-// listWithTimeout makes a reading within the node's patience.
-func (f *Follower) listWithTimeout(ctx context.Context, read listFunc) ([]store.KeyValue, int64, error) {
+// listWithTimeout calls list with the current list timeout.
+func (f *Follower) listWithTimeout(ctx context.Context, list listFunc) ([]store.KeyValue, int64, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.listTimeout)
 	defer cancel()
 	var values []store.KeyValue
 	var revision int64
 	var err error
-	began := f.options.Now()
-	f.callStore(func() { values, revision, err = read(bounded) })
+	startedAt := f.options.Now()
+	f.callStore(func() { values, revision, err = list(bounded) })
 	if err != nil {
-		f.recordUnreachable(began)
+		f.recordUnreachable(startedAt)
 		f.listTimeout = min(2*f.listTimeout, f.options.MaxStaleness)
 		return nil, 0, err
 	}
@@ -377,12 +369,12 @@
 	return values, revision, nil
 }
 
-// handleAnnouncement takes in what another node has heard, and passes news on.
-func (f *Follower) handleAnnouncement(news announce.Announcement) {
+// handleAnnouncement handles a peer's announcement, and forwards it if it is news.
+func (f *Follower) handleAnnouncement(announcement announce.Announcement) {
 	now := f.options.Now()
-	f.observe(now.Add(-news.Age()), news.Revision)
-	if f.confirm(now, now.Add(-news.Age()), news.Revision) {
-		f.options.Announcer.Send(news)
+	f.observe(now.Add(-announcement.Age()), announcement.Revision)
+	if f.confirm(now, now.Add(-announcement.Age()), announcement.Revision) {
+		f.options.Announcer.Send(announcement)
 	}
 }
 
@@ -404,27 +396,25 @@
 	f.announceApplied(now, batch.Revision)
 }
 
-// snapshotNewEra keeps what is known for others as soon as it is of a later era of the store. The
-// next confirmation comes up to the time for news later, and this node would go on holding the
-// lease of an era that is over.
+// snapshotNewEra updates the snapshot for peers as soon as a later era is entered. Waiting for the
+// next confirmation would leave this node with its lease of the old era.
 func (f *Follower) snapshotNewEra() {
-	if held := f.snapshot.Load(); held != nil && store.EraOf(held.revision) < store.EraOf(f.staleness.applied) {
+	if current := f.snapshot.Load(); current != nil && store.EraOf(current.revision) < store.EraOf(f.staleness.applied) {
 		f.updateSnapshot()
 	}
 }
 
-// confirm notes that the store was at a revision at some time, and tells
-// whether others should hear of it.
-func (f *Follower) confirm(now, at time.Time, revision int64) (news bool) {
-	news = f.staleness.confirm(now, at, revision)
+// confirm records that the store was at a revision at a given time. It reports whether peers should
+// be told.
+func (f *Follower) confirm(now, at time.Time, revision int64) (isNews bool) {
+	isNews = f.staleness.confirm(now, at, revision)
 	if f.staleness.applied >= f.staleness.confirmed {
 		f.updateSnapshot()
 	}
-	return news
+	return isNews
 }
 
-// announceApplied notes that everything up to a revision is known now, and tells the
-// others when that is news.
+// announceApplied marks a revision as applied, and announces it to peers if it is news.
 func (f *Follower) announceApplied(now time.Time, revision int64) {
 	f.markApplied(revision)
 	f.publishFeed()
@@ -433,7 +423,7 @@
 	}
 }
 
-// recordResponse notes that the store has spoken.
+// recordResponse records that the store has responded.
 func (f *Follower) recordResponse(now time.Time) {
 	f.storeResponses++
 	f.relayLagged = false
@@ -445,7 +435,7 @@
 	f.options.Logger.Info("store reached")
 }
 
-// recordFailure notes that the store has failed.
+// recordFailure records that the store has failed.
 func (f *Follower) recordFailure(err error) {
 	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging) {
 		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied))
@@ -461,5 +451,6 @@
 		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
 }
 
-// hasPrefix tells whether a key belongs to a part of the store that is used.
+// hasPrefix reports whether a key has a prefix. No key has an empty prefix, which stands for an
+// unused kind of entry.
 func hasPrefix(key, prefix string) bool { return prefix != "" && strings.HasPrefix(key, prefix) }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -15,91 +15,92 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-func TestADeafWatchIsNoticedByTheNodeItself(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, peers := startFollower(t, source, 300*time.Millisecond)
-	eventually(t, "the first table is in force", tableActive(board, 1))
-	source.setFaults(true, false)
-	source.put(tableAt(t, 2, 2))
-	eventually(t, "the second table is in force", tableActive(board, 2))
-	if got := peers.highestSent(); got != 2 {
-		t.Errorf("told the others of revision %d", got)
+func TestStalledWatchDetectedByOwnCheck(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, announcer := startFollower(t, fake, 300*time.Millisecond)
+	eventually(t, "the first configuration is active", tableActive(board, 1))
+	fake.setFaults(true, false)
+	fake.put(tableAt(t, 2, 2))
+	eventually(t, "the second configuration is active", tableActive(board, 2))
+	if got := announcer.highestSent(); got != 2 {
+		t.Errorf("announced revision %d", got)
 	}
 }
 
-// TestADeafWatchIsNoticedByAPeersWord: the node itself would ask later.
-func TestADeafWatchIsNoticedByAPeersWord(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, peers := startFollower(t, source, 6*time.Second)
-	eventually(t, "the first table is in force", tableActive(board, 1))
-	source.setFaults(true, false)
-	source.put(tableAt(t, 2, 2))
-	peers.received <- announce.Announcement{Revision: 2}
-	eventually(t, "the second table is in force", tableActive(board, 2))
-	if lists, gets := source.counts(); lists != 2 || gets != 0 {
-		t.Errorf("%d readings and %d questions", lists, gets)
+// TestStalledWatchDetectedByAnnouncement tests that an announcement reveals a stalled watch before
+// the node's own check is due.
+func TestStalledWatchDetectedByAnnouncement(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, announcer := startFollower(t, fake, 6*time.Second)
+	eventually(t, "the first configuration is active", tableActive(board, 1))
+	fake.setFaults(true, false)
+	fake.put(tableAt(t, 2, 2))
+	announcer.received <- announce.Announcement{Revision: 2}
+	eventually(t, "the second configuration is active", tableActive(board, 2))
+	if lists, gets := fake.counts(); lists != 2 || gets != 0 {
+		t.Errorf("%d listings and %d checks", lists, gets)
 	}
 }
 
-func TestConfirmationsOfOthersSaveCalls(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, peers := startFollower(t, source, time.Second)
-	eventually(t, "the table is in force", tableActive(board, 1))
+func TestPeerConfirmationsReplaceChecks(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, announcer := startFollower(t, fake, time.Second)
+	eventually(t, "the configuration is active", tableActive(board, 1))
 	for range 10 {
 		time.Sleep(60 * time.Millisecond)
-		peers.received <- announce.Announcement{Revision: 1}
+		announcer.received <- announce.Announcement{Revision: 1}
 	}
-	if _, gets := source.counts(); gets != 0 {
-		t.Errorf("asked the store %d times", gets)
+	if _, gets := fake.counts(); gets != 0 {
+		t.Errorf("%d checks, want none", gets)
 	}
 }
 
-// TestAStoreThatComesBackIsReadSoon: calls that a silent store has left without
-// an answer are given up, and the node that started meanwhile reads at once.
-func TestAStoreThatComesBackIsReadSoon(t *testing.T) {
-	source := &fakeStore{unresponsive: true}
-	source.put(tableAt(t, 1, 1))
-	const news = 4 * time.Second
-	board, _ := startFollower(t, source, news)
-	eventually(t, "the store is asked", func() bool { lists, _ := source.counts(); return lists > 0 })
-	source.setFaults(false, false)
-	back := time.Now()
-	eventually(t, "the table is in force", tableActive(board, 1))
-	if took := time.Since(back); took > news/2 {
-		t.Errorf("read %v after the store was back", took)
+// TestSyncSoonAfterStoreRecovers tests that hanging calls of the initial listing are abandoned, so
+// that it succeeds soon after an outage.
+func TestSyncSoonAfterStoreRecovers(t *testing.T) {
+	fake := &fakeStore{unresponsive: true}
+	fake.put(tableAt(t, 1, 1))
+	const maxStaleness = 4 * time.Second
+	board, _ := startFollower(t, fake, maxStaleness)
+	eventually(t, "the store is called", func() bool { lists, _ := fake.counts(); return lists > 0 })
+	fake.setFaults(false, false)
+	recovered := time.Now()
+	eventually(t, "the configuration is active", tableActive(board, 1))
+	if took := time.Since(recovered); took > maxStaleness/2 {
+		t.Errorf("active %v after the store recovered", took)
 	}
 }
 
-// TestAVanishedReplicaIsForgottenInTime: also at a node that hears nothing else
-// of the store, and asks it only much later; also while the store is away.
-func TestAVanishedReplicaIsForgottenInTime(t *testing.T) {
-	for _, away := range []bool{false, true} {
-		t.Run(fmt.Sprint("store away ", away), func(t *testing.T) {
-			source := &fakeStore{watchDelay: 100 * time.Millisecond}
-			source.put(replicaAt(t, 1, "a", topology.ReplicaServing))
-			board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
-			const news = 10 * time.Second
-			made := New(Options{
-				Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
-				Self: topology.Node{ID: "self"}, MaxStaleness: news, VanishedRetention: news / 50,
+// TestVanishedReplicaExpires tests that a vanished replica expires in time without any further
+// event, and also during a store outage.
+func TestVanishedReplicaExpires(t *testing.T) {
+	for _, unavailable := range []bool{false, true} {
+		t.Run(fmt.Sprint("store unavailable ", unavailable), func(t *testing.T) {
+			fake := &fakeStore{watchDelay: 100 * time.Millisecond}
+			fake.put(replicaAt(t, 1, "a", topology.ReplicaServing))
+			board, announcer := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
+			const maxStaleness = 10 * time.Second
+			f := New(Options{
+				Store: fake, Announcer: announcer, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+				Self: topology.Node{ID: "self"}, MaxStaleness: maxStaleness, VanishedRetention: maxStaleness / 50,
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
-			go func() { ended <- made.Run(ctx) }()
+			go func() { ended <- f.Run(ctx) }()
 			eventually(t, "the replica is known", func() bool { return board.Replicas.Load() != nil })
 			gone := time.Now()
-			source.remove("replicas/a")
+			fake.remove("replicas/a")
 			eventually(t, "the replica has vanished", func() bool { return replicaStates(board)["a"] == topology.ReplicaVanished })
-			source.setFaults(false, away)
-			if away {
-				source.breakWatches()
+			fake.setFaults(false, unavailable)
+			if unavailable {
+				fake.breakWatches()
 			}
-			eventually(t, "the replica is forgotten", func() bool { return len(replicaStates(board)) == 0 })
-			if took := time.Since(gone); took > news/5 {
-				t.Errorf("forgotten after %v", took)
+			eventually(t, "the replica has expired", func() bool { return len(replicaStates(board)) == 0 })
+			if took := time.Since(gone); took > maxStaleness/5 {
+				t.Errorf("expired after %v", took)
 			}
 			cancel()
 			if err := <-ended; err != nil {
@@ -109,52 +110,52 @@
 	}
 }
 
-// fakeSnapshotReader hands over what a test says.
+// fakeSnapshotReader returns a snapshot provided by the test.
 type fakeSnapshotReader struct {
 	mutex    sync.Mutex
 	snapshot handover.Snapshot
 }
 
-func (o *fakeSnapshotReader) set(handed handover.Snapshot) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.snapshot = handed
+func (r *fakeSnapshotReader) set(handed handover.Snapshot) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.snapshot = handed
 }
 
-func (o *fakeSnapshotReader) Read(context.Context) (handover.Snapshot, error) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.snapshot.Revision == 0 {
-		return handover.Snapshot{}, errors.New("nobody knows")
+func (r *fakeSnapshotReader) Read(context.Context) (handover.Snapshot, error) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.snapshot.Revision == 0 {
+		return handover.Snapshot{}, errors.New("no snapshot")
 	}
-	return o.snapshot, nil
+	return r.snapshot, nil
 }
 
-// TestANodeThatTheStoreRefusesReadsFromAnother: what is newer is taken over, what
-// is older is not.
-func TestANodeThatTheStoreRefusesReadsFromAnother(t *testing.T) {
-	source, others := &fakeStore{}, &fakeSnapshotReader{}
-	source.put(tableAt(t, 3, 3))
-	board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
-	made := New(Options{
-		Store: source, Announcer: peers, PeerSnapshots: others, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+// TestPeerSnapshotWhileStoreUnavailable tests that newer peer snapshots are applied and older ones
+// are ignored.
+func TestPeerSnapshotWhileStoreUnavailable(t *testing.T) {
+	fake, snapshots := &fakeStore{}, &fakeSnapshotReader{}
+	fake.put(tableAt(t, 3, 3))
+	board, announcer := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
+	f := New(Options{
+		Store: fake, Announcer: announcer, PeerSnapshots: snapshots, Decoder: testDecoder{}, Keys: testKeys, Board: board,
 		Self: topology.Node{ID: "self"}, MaxStaleness: 400 * time.Millisecond, VanishedRetention: time.Second,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- made.Run(ctx) }()
-	eventually(t, "the first table is in force", tableActive(board, 3))
-	source.setFaults(true, true)
-	eventually(t, "the store is lost", func() bool { return !board.Store.Load().Reachable })
-	others.set(handover.Snapshot{Revision: 2, Values: []store.KeyValue{tableAt(t, 2, 2)}})
+	go func() { ended <- f.Run(ctx) }()
+	eventually(t, "the first configuration is active", tableActive(board, 3))
+	fake.setFaults(true, true)
+	eventually(t, "the store is unreachable", func() bool { return !board.Store.Load().Reachable })
+	snapshots.set(handover.Snapshot{Revision: 2, Values: []store.KeyValue{tableAt(t, 2, 2)}})
 	time.Sleep(300 * time.Millisecond)
 	if !tableActive(board, 3)() {
-		t.Error("an older state was taken over")
+		t.Error("an older snapshot was applied")
 	}
-	others.set(handover.Snapshot{Revision: 9, Values: []store.KeyValue{tableAt(t, 9, 9)}})
-	eventually(t, "what another node knows is in force", tableActive(board, 9))
-	if handed, known := made.Snapshot(); !known || handed.Revision != 9 || len(handed.Values) != 1 {
-		t.Errorf("hands over %+v, %v", handed, known)
+	snapshots.set(handover.Snapshot{Revision: 9, Values: []store.KeyValue{tableAt(t, 9, 9)}})
+	eventually(t, "the peer snapshot is active", tableActive(board, 9))
+	if handed, known := f.Snapshot(); !known || handed.Revision != 9 || len(handed.Values) != 1 {
+		t.Errorf("snapshot %+v, %v", handed, known)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -162,22 +163,22 @@
 	}
 }
 
-func TestTheStoresStateIsPublished(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, _ := startFollower(t, source, 200*time.Millisecond)
+func TestStoreStatusPublished(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, _ := startFollower(t, fake, 200*time.Millisecond)
 	reachable := func(want bool) func() bool {
 		return func() bool {
 			status := board.Store.Load()
 			return status != nil && status.Reachable == want
 		}
 	}
-	eventually(t, "the store is reached", reachable(true))
-	source.setFaults(true, true)
-	eventually(t, "the store is lost", reachable(false))
+	eventually(t, "the store is reachable", reachable(true))
+	fake.setFaults(true, true)
+	eventually(t, "the store is unreachable", reachable(false))
 	if !tableActive(board, 1)() {
-		t.Error("what was known is gone")
+		t.Error("configuration lost during the outage")
 	}
-	source.setFaults(false, false)
-	eventually(t, "the store is reached again", reachable(true))
+	fake.setFaults(false, false)
+	eventually(t, "the store is reachable again", reachable(true))
 }
--- a/internal/follower/initial_sync.go
+++ b/internal/follower/initial_sync.go
@@ -9,27 +9,24 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// startupDelay is how long a node that knows no other of its zone waits for them to
-// record themselves before it watches the store: nodes that start together are all
-// recorded within it, and each watch of the store is told of each of them.
+// startupDelay is how long a node that knows no peer in its zone waits for peers to register before
+// it watches the store. Nodes that start together are then watched through one of them, which saves
+// store calls.
 const startupDelay = time.Second
 
-// maxInitialLists is how often a first reading without a configuration is made again,
-// with a pause of initialListRetryDelay. Such a reading is from before the first
-// configuration, as all machines start for the first time; each costs a tenth of one
-// that is not stale.
+// An initial listing without a configuration predates the first configuration and is repeated, at
+// most maxInitialLists times. Stale lists are cheaper for the store than consistent ones.
 const (
 	maxInitialLists       = 8
 	initialListRetryDelay = 300 * time.Millisecond
 )
 
-// initialSync makes the first reading, which may be old: nothing is known that it could
-// take back, and the watch brings the rest at once. It must not be so old that there
-// was no configuration yet.
+// initialSync lists everything once. The listing may be stale, as there is no newer state to revert
+// and the watch that follows brings the rest, but it has to contain a configuration.
 func (f *Follower) initialSync(ctx context.Context) error {
 	values, revision, err := f.listWithTimeout(ctx, f.listStale)
-	for try := 1; err == nil && !f.hasConfiguration(values); try++ {
-		if try == maxInitialLists {
+	for attempt := 1; err == nil && !f.hasConfiguration(values); attempt++ {
+		if attempt == maxInitialLists {
 			values, revision, err = f.listWithTimeout(ctx, f.listAll)
 			break
 		}
@@ -52,17 +49,17 @@
 	return slices.ContainsFunc(values, func(value store.KeyValue) bool { return value.Key == f.options.Keys.Configuration })
 }
 
-// finishInitialSync notes what the first reading has told.
+// finishInitialSync records the revision of the initial listing.
 func (f *Follower) finishInitialSync(now time.Time, revision int64) {
 	f.staleness.startFromStale(now, revision)
-	f.validity.confirm(now) // it may be old, but a watch begins at once and brings the rest
+	f.validity.confirm(now) // possibly stale, but a watch follows at once and brings the rest
 	f.publishWindow()
 	f.publishFeed()
 	f.updateSnapshot()
 }
 
-// waitForPeers waits for other nodes of this zone, where none is known, and reads who
-// has recorded itself. Changes that come meanwhile are told by the watch that follows.
+// waitForPeers gives the peers in this zone time to register if none is known, and then lists them.
+// The watch that follows brings later changes.
 func (f *Follower) waitForPeers(ctx context.Context) {
 	if f.options.RelayClient == nil || f.knowsZonePeer() {
 		return
@@ -74,7 +71,7 @@
 	var err error
 	f.callStore(func() { values, _, err = f.options.Store.List(bounded, f.options.Keys.Nodes, 0) })
 	if err != nil {
-		f.options.Logger.Info("the other nodes are not known yet; watching the store", "error", err.Error())
+		f.options.Logger.Info("listing the nodes failed; watching the store", "error", err.Error())
 		return
 	}
 	for _, value := range values {
@@ -83,7 +80,7 @@
 	f.state.publish(f.options.Now())
 }
 
-// knowsZonePeer tells whether another node of this zone is known and ready.
+// knowsZonePeer reports whether another ready node of this zone is known.
 func (f *Follower) knowsZonePeer() bool {
 	nodes := f.options.Board.Nodes.Load()
 	if nodes == nil {
--- a/internal/follower/initial_sync_test.go
+++ b/internal/follower/initial_sync_test.go
@@ -10,133 +10,133 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// TestNodesThatStartTogetherWatchTheFirst: a node that knows no other waits for them
-// to record themselves, and watches the store only if it is the first.
-func TestNodesThatStartTogetherWatchTheFirst(t *testing.T) {
-	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
+// TestSimultaneousStartWatchesFirstNode tests that a node without known peers waits for them to
+// register, and watches the store only if it is the first.
+func TestSimultaneousStartWatchesFirstNode(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
 	recording := time.AfterFunc(startupDelay/4, func() {
-		source.put(nodeAtAddress(t, 8, "a", "127.0.0.1:1001"))
-		source.put(nodeAtAddress(t, 9, "self", "127.0.0.1:1004"))
+		fake.put(nodeAtAddress(t, 8, "a", "127.0.0.1:1001"))
+		fake.put(nodeAtAddress(t, 9, "self", "127.0.0.1:1004"))
 	})
 	defer recording.Stop()
-	board := startRelayed(t, source, relays, nil)
-	eventually(t, "it serves before that", tableActive(board, 1))
-	eventually(t, "the first is watched", func() bool { return len(relays.watchedNodes()) == 1 })
-	if watches := source.watchCount(); watches != 0 {
-		t.Errorf("the store is watched %d times", watches)
+	board := startRelayed(t, fake, relays, nil)
+	eventually(t, "the configuration is active", tableActive(board, 1))
+	eventually(t, "the first node is watched", func() bool { return len(relays.watchedNodes()) == 1 })
+	if watches := fake.watchCount(); watches != 0 {
+		t.Errorf("%d store watches, want none", watches)
 	}
-	source.mutex.Lock()
-	defer source.mutex.Unlock()
-	if source.staleLists != 1 || source.lists != 2 {
-		t.Errorf("%d readings, %d of them stale", source.lists, source.staleLists)
+	fake.mutex.Lock()
+	defer fake.mutex.Unlock()
+	if fake.staleLists != 1 || fake.lists != 2 {
+		t.Errorf("%d listings, %d of them stale", fake.lists, fake.staleLists)
 	}
 }
 
-// TestAFirstReadingConfirmsNothing: it may be seconds old, so that the others are not
-// told of it, and a node that has heard of more reads anew, this time for certain.
-func TestAFirstReadingConfirmsNothing(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, peers := startFollower(t, source, 2*time.Second)
-	eventually(t, "the table is in force", tableActive(board, 1))
-	if told := peers.highestSent(); told != 0 {
-		t.Errorf("the others are told of revision %d", told)
+// TestInitialListDoesNotConfirm tests that a possibly stale initial listing is not announced, and
+// that an announcement of a later revision leads to a consistent listing.
+func TestInitialListDoesNotConfirm(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, announcer := startFollower(t, fake, 2*time.Second)
+	eventually(t, "the configuration is active", tableActive(board, 1))
+	if revision := announcer.highestSent(); revision != 0 {
+		t.Errorf("revision %d announced", revision)
 	}
-	source.setFaults(true, false)
-	source.put(tableAt(t, 2, 2))
-	peers.received <- announce.Announcement{Revision: 2}
-	eventually(t, "the second table is in force", tableActive(board, 2))
-	source.mutex.Lock()
-	defer source.mutex.Unlock()
-	if source.lists != 2 || source.staleLists != 1 {
-		t.Errorf("%d readings, %d of them stale", source.lists, source.staleLists)
+	fake.setFaults(true, false)
+	fake.put(tableAt(t, 2, 2))
+	announcer.received <- announce.Announcement{Revision: 2}
+	eventually(t, "the second configuration is active", tableActive(board, 2))
+	fake.mutex.Lock()
+	defer fake.mutex.Unlock()
+	if fake.lists != 2 || fake.staleLists != 1 {
+		t.Errorf("%d listings, %d of them stale", fake.lists, fake.staleLists)
 	}
 }
 
-// TestTheStoreIsWatchedForWhatAnotherNodeHasForgotten, and for no longer than that.
-func TestTheStoreIsWatchedForWhatAnotherNodeHasForgotten(t *testing.T) {
-	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), compacted: true}
-	board := startRelayed(t, source, relays, twoPeers(t))
-	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
+// TestStoreWatchedForHistoryMissingAtRelay tests that a node watches the store when its relay lacks
+// the required history, and returns to the relay afterwards.
+func TestStoreWatchedForHistoryMissingAtRelay(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), compacted: true}
+	board := startRelayed(t, fake, relays, twoPeers(t))
+	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
 	relays.mu.Lock()
 	relays.compacted = false
 	relays.mu.Unlock()
-	source.put(tableAt(t, 9, 9))
-	eventually(t, "what the store tells is in force", tableActive(board, 9))
+	fake.put(tableAt(t, 9, 9))
+	eventually(t, "the store's change is active", tableActive(board, 9))
 	relays.batches <- store.WatchBatch{Revision: 10, Events: []store.Event{{KeyValue: tableAt(t, 10, 10)}}, Relayed: true}
-	eventually(t, "what the other node tells is in force", tableActive(board, 10))
+	eventually(t, "the relay's change is active", tableActive(board, 10))
 }
 
-// TestAllDoNotAskAtOnceWhoStartTogether: each waits for its turn from its reading on.
-func TestAllDoNotAskAtOnceWhoStartTogether(t *testing.T) {
-	checked := &staleness{checkInterval: time.Second, rankDelay: 100 * time.Millisecond, grace: time.Second}
-	checked.startFromStale(start, 5)
-	if got := checked.nextCheck(3).Sub(start); got != 1300*time.Millisecond || checked.confirmed != 0 {
-		t.Errorf("asks after %v, confirmed %d", got, checked.confirmed)
+// TestFirstCheckStaggeredByRank tests that nodes that start together do not check at the same time.
+func TestFirstCheckStaggeredByRank(t *testing.T) {
+	s := &staleness{checkInterval: time.Second, rankDelay: 100 * time.Millisecond, grace: time.Second}
+	s.startFromStale(start, 5)
+	if got := s.nextCheck(3).Sub(start); got != 1300*time.Millisecond || s.confirmed != 0 {
+		t.Errorf("check after %v, confirmed %d", got, s.confirmed)
 	}
 }
 
-// TestAStoreThatWasAwayIsNotReadAnew: its history tells what has changed since, and a
-// reading by each of hundreds of nodes is what a store that has just come back bears
-// least.
-func TestAStoreThatWasAwayIsNotReadAnew(t *testing.T) {
-	source := &fakeStore{}
-	source.put(tableAt(t, 1, 1))
-	board, _ := startFollower(t, source, time.Minute)
-	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
-	source.setFaults(false, true)
-	source.breakWatches()
+// TestNoResyncAfterStoreOutage tests that the watch resumes from the store's history: full listings
+// by hundreds of nodes would overload a store that has just recovered.
+func TestNoResyncAfterStoreOutage(t *testing.T) {
+	fake := &fakeStore{}
+	fake.put(tableAt(t, 1, 1))
+	board, _ := startFollower(t, fake, time.Minute)
+	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
+	fake.setFaults(false, true)
+	fake.breakWatches()
 	time.Sleep(3 * minBackoff)
-	source.setFaults(false, false)
-	eventually(t, "the store is watched again", func() bool { return source.watchCount() == 1 })
-	source.put(tableAt(t, 2, 2))
-	eventually(t, "the second table is in force", tableActive(board, 2))
-	if lists, _ := source.counts(); lists != 1 {
-		t.Errorf("the store was read %d times", lists)
+	fake.setFaults(false, false)
+	eventually(t, "the store is watched again", func() bool { return fake.watchCount() == 1 })
+	fake.put(tableAt(t, 2, 2))
+	eventually(t, "the second configuration is active", tableActive(board, 2))
+	if lists, _ := fake.counts(); lists != 1 {
+		t.Errorf("%d listings", lists)
 	}
 }
 
-// TestAReadingFromBeforeTheFirstConfigurationIsMadeAgain, and for certain in the end.
-func TestAReadingFromBeforeTheFirstConfigurationIsMadeAgain(t *testing.T) {
-	source := &fakeStore{}
-	later := time.AfterFunc(2*initialListRetryDelay, func() { source.put(tableAt(t, 1, 1)) })
+// TestInitialListRetriedWithoutConfiguration tests that a stale listing from before the first
+// configuration is repeated.
+func TestInitialListRetriedWithoutConfiguration(t *testing.T) {
+	fake := &fakeStore{}
+	later := time.AfterFunc(2*initialListRetryDelay, func() { fake.put(tableAt(t, 1, 1)) })
 	defer later.Stop()
-	board, _ := startFollower(t, source, time.Minute)
-	eventually(t, "the table is in force", tableActive(board, 1))
-	source.mutex.Lock()
-	defer source.mutex.Unlock()
-	if source.staleLists < 2 || source.lists != source.staleLists {
-		t.Errorf("%d readings, %d of them stale", source.lists, source.staleLists)
+	board, _ := startFollower(t, fake, time.Minute)
+	eventually(t, "the configuration is active", tableActive(board, 1))
+	fake.mutex.Lock()
+	defer fake.mutex.Unlock()
+	if fake.staleLists < 2 || fake.lists != fake.staleLists {
+		t.Errorf("%d listings, %d of them stale", fake.lists, fake.staleLists)
 	}
 }
 
-// TestForgottenHistoryIsReadAtOnce: the store serves; it only no longer keeps what the
-// watch asks for. A node that leaves the store alone for long when it is away must not
-// do so then.
-func TestForgottenHistoryIsReadAtOnce(t *testing.T) {
-	source, relays := &fakeStore{}, &fakeRelayClient{broken: true}
+// TestResyncImmediatelyAfterCompaction tests that a node with a long maximum backoff does not back
+// off when the store is available but has compacted the requested history.
+func TestResyncImmediatelyAfterCompaction(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{broken: true}
 	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
-	board := startRelayed(t, source, relays, others)
-	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
-	source.mutex.Lock()
-	source.compactedWatches = 1
-	source.mutex.Unlock()
-	source.breakWatches()
+	board := startRelayed(t, fake, relays, others)
+	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
+	fake.mutex.Lock()
+	fake.compactedWatches = 1
+	fake.mutex.Unlock()
+	fake.breakWatches()
 	started := time.Now()
-	eventually(t, "the store is watched again", func() bool { return source.watchCount() == 1 })
-	if lists, _ := source.counts(); lists != 2 {
-		t.Errorf("the store was read %d times", lists)
+	eventually(t, "the store is watched again", func() bool { return fake.watchCount() == 1 })
+	if lists, _ := fake.counts(); lists != 2 {
+		t.Errorf("%d listings", lists)
 	}
 	if took := time.Since(started); took > maxBackoff {
-		t.Errorf("read after %v", took)
+		t.Errorf("listed after %v", took)
 	}
-	source.put(tableAt(t, 9, 9))
-	eventually(t, "what the store tells is in force", tableActive(board, 9))
+	fake.put(tableAt(t, 9, 9))
+	eventually(t, "the store's change is active", tableActive(board, 9))
 }
 
-// TestWhoWatchesForAZoneIsEager: the others hear of news by it, also when its watch was
-// only cut; they leave the store alone for long at once.
-func TestWhoWatchesForAZoneIsEager(t *testing.T) {
+// TestBackoffByRole tests that a zone watcher retries soon, as the other nodes depend on it, and
+// that the others use their long backoff at once.
+func TestBackoffByRole(t *testing.T) {
 	for self, want := range map[string]time.Duration{"self-first": minBackoff, "z": 36 * time.Second} {
 		f := New(Options{
 			Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, MaxStaleness: time.Minute,
@@ -151,7 +151,7 @@
 		}
 		f.state.publish(start)
 		if got := f.nextBackoff(0); got != want {
-			t.Errorf("%s pauses for %v, want %v", self, got, want)
+			t.Errorf("%s backs off for %v, want %v", self, got, want)
 		}
 	}
 }
--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -10,30 +10,28 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// A replica may start again under its key. Its birth tells its lives apart: a later one begins
-// anew, and what a copy of the store or a late relay shows of an earlier one changes nothing.
+// A replica may restart under the same key. Its instances are told apart by their start times: a
+// later instance starts afresh, and entries of an earlier one, from a restored store or a lagging
+// relay, are ignored.
 
-// departedRetention is for how long a replica that has gone is remembered: a copy is some seconds
-// old, and the store may have been away for some more.
+// departedRetention is how long a departed replica is remembered. It must cover the age of a backup
+// and the outage before its restore.
 const departedRetention = time.Minute
 
-// departedReplica is what is remembered of a replica that has gone.
+// departedReplica is the last known state of a replica whose entry is gone.
 type departedReplica struct {
-	// entry is its last one.
 	entry     store.KeyValue
 	startedAt time.Time
-	// leaving is true when it had said so.
-	leaving bool
-	// expiresAt is when it is forgotten.
+	// leaving is true if the replica had announced that it leaves.
+	leaving   bool
 	expiresAt time.Time
 }
 
-// errEarlierInstance refuses an entry of a replica that has started again since, or that does not
-// tell its birth where the replica did.
-var errEarlierInstance = eris.New("the entry is not of the replica's latest life")
+// errEarlierInstance rejects an entry of an earlier instance of a replica, or one without a start
+// time where the current instance has one.
+var errEarlierInstance = eris.New("entry is not from the latest instance of the replica")
 
-// startTime returns the birth of the latest known life of the replica at a key; zero when it has
-// told none.
+// startTime returns the start time of the latest known instance of a replica; zero when unknown.
 func (s *state) startTime(key string) time.Time {
 	if known, found := s.replicas[key]; found {
 		return known.replica.Born
@@ -41,18 +39,18 @@
 	return s.departed[key].startedAt
 }
 
-// isLeaving tells whether the replica at a key has said that it leaves, in a life that began
-// then. Said once, that holds for the life, also when its entry has gone since.
-func (s *state) isLeaving(key string, born time.Time) bool {
+// isLeaving reports whether the instance of a replica that started at the given time has announced
+// that it leaves. An instance cannot take that back, even if its entry has gone since.
+func (s *state) isLeaving(key string, startedAt time.Time) bool {
 	if known, found := s.replicas[key]; found {
-		return known.replica.State == topology.ReplicaLeaving && known.replica.Born.Equal(born)
+		return known.replica.State == topology.ReplicaLeaving && known.replica.Born.Equal(startedAt)
 	}
 	departed, found := s.departed[key]
-	return found && departed.leaving && departed.startedAt.Equal(born)
+	return found && departed.leaving && departed.startedAt.Equal(startedAt)
 }
 
-// isFromDeparted tells whether an entry is that of a replica that has gone, as a copy shows it
-// once more. The replica itself would have written another one.
+// isFromDeparted reports whether an entry in a restored store is the last one of a departed
+// replica. A live replica would have written a new one.
 func (s *state) isFromDeparted(value store.KeyValue) bool {
 	departed, found := s.departed[value.Key]
 	return found &&
@@ -61,7 +59,7 @@
 		bytes.Equal(value.Value, departed.entry.Value)
 }
 
-// expireDeparted drops what has been remembered for long enough.
+// expireDeparted forgets replicas that departed long enough ago.
 func (s *state) expireDeparted(now time.Time) {
 	for key, departed := range s.departed {
 		if !now.Before(departed.expiresAt) {
@@ -70,23 +68,23 @@
 	}
 }
 
-// reportStartTimes tells whether the replicas of this platform tell their births: most entries have
-// one. Then an entry without is another writer's, and names no replica.
-func (s *state) reportStartTimes() bool {
-	told := 0
+// expectsStartTimes reports whether most replica entries have a start time. Entries without one then
+// come from a foreign writer and are ignored.
+func (s *state) expectsStartTimes() bool {
+	withStart := 0
 	for _, entry := range s.replicas {
 		if !entry.replica.Born.IsZero() {
-			told++
+			withStart++
 		}
 	}
-	return 2*told > len(s.replicas)
+	return 2*withStart > len(s.replicas)
 }
 
-// maxLoggedUnusable bounds the keys that are remembered as logged.
+// maxLoggedUnusable bounds the number of keys in loggedUnusable.
 const maxLoggedUnusable = 256
 
-// rejectReplica notes an entry that names no replica to use. The one that was there before is
-// treated as any replica without an entry, until its own next entry.
+// rejectReplica handles an unusable replica entry. The replica that was registered under the key is
+// treated as having no entry until it writes a valid one.
 func (s *state) rejectReplica(key string, reason error) {
 	if reason != errEarlierInstance {
 		s.markReplicaGone(s.options.Now(), key)
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -14,33 +14,34 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// instanceAt is the entry of a replica's life that began so many seconds after start.
-func instanceAt(t *testing.T, revision int64, name string, born int, state topology.ReplicaState) store.KeyValue {
+// instanceAt returns the entry of a replica instance that started the given number of seconds after
+// start.
+func instanceAt(t *testing.T, revision int64, name string, startedAfter int, state topology.ReplicaState) store.KeyValue {
 	t.Helper()
 	replica := topology.Replica{Address: name + ":1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state}
-	if born > 0 {
-		replica.Born = start.Add(time.Duration(born) * time.Second)
+	if startedAfter > 0 {
+		replica.Born = start.Add(time.Duration(startedAfter) * time.Second)
 	}
 	return store.KeyValue{Key: "replicas/" + name, Value: mustEncode(t, replica), ModRevision: revision}
 }
 
-// TestALifeOfAReplicaKeepsItsOwn: a replica that starts again under its key serves though the one
-// before has said that it leaves, and nothing of an earlier life counts any more.
-func TestALifeOfAReplicaKeepsItsOwn(t *testing.T) {
+// TestReplicaInstancesAreIndependent tests that a restarted replica serves although its earlier
+// instance was leaving, and that entries of the earlier instance are ignored.
+func TestReplicaInstancesAreIndependent(t *testing.T) {
 	state, board := newTestState(t)
 	for i, step := range []struct {
 		what  string
 		value store.KeyValue
 		want  topology.ReplicaState
 	}{
-		{"the first life", instanceAt(t, 2, "a", 1, topology.ReplicaServing), topology.ReplicaServing},
-		{"it leaves", instanceAt(t, 3, "a", 1, topology.ReplicaLeaving), topology.ReplicaLeaving},
-		{"it is shown as serving", instanceAt(t, 4, "a", 1, topology.ReplicaServing), topology.ReplicaLeaving},
-		{"the second life", instanceAt(t, 5, "a", 9, topology.ReplicaServing), topology.ReplicaServing},
-		{"a late word of the first", instanceAt(t, 6, "a", 1, topology.ReplicaLeaving), topology.ReplicaServing},
-		{"a word without a birth", instanceAt(t, 7, "a", 0, topology.ReplicaLeaving), topology.ReplicaServing},
-		{"the first in a copy", withEra(1, instanceAt(t, 3, "a", 1, topology.ReplicaLeaving))[0], topology.ReplicaServing},
-		{"the second leaves", withEra(1, instanceAt(t, 4, "a", 9, topology.ReplicaLeaving))[0], topology.ReplicaLeaving},
+		{"first instance", instanceAt(t, 2, "a", 1, topology.ReplicaServing), topology.ReplicaServing},
+		{"first instance leaves", instanceAt(t, 3, "a", 1, topology.ReplicaLeaving), topology.ReplicaLeaving},
+		{"late entry of the first instance as serving", instanceAt(t, 4, "a", 1, topology.ReplicaServing), topology.ReplicaLeaving},
+		{"second instance", instanceAt(t, 5, "a", 9, topology.ReplicaServing), topology.ReplicaServing},
+		{"late entry of the first instance as leaving", instanceAt(t, 6, "a", 1, topology.ReplicaLeaving), topology.ReplicaServing},
+		{"entry without a start time", instanceAt(t, 7, "a", 0, topology.ReplicaLeaving), topology.ReplicaServing},
+		{"first instance in a restored store", withEra(1, instanceAt(t, 3, "a", 1, topology.ReplicaLeaving))[0], topology.ReplicaServing},
+		{"second instance leaves", withEra(1, instanceAt(t, 4, "a", 9, topology.ReplicaLeaving))[0], topology.ReplicaLeaving},
 	} {
 		state.apply(start, store.Event{KeyValue: step.value})
 		state.publish(start)
@@ -50,8 +51,9 @@
 	}
 }
 
-// TestAnEarlierLifeDoesNotComeBackOutOfACopy: also when the later one has gone.
-func TestAnEarlierLifeDoesNotComeBackOutOfACopy(t *testing.T) {
+// TestRestoreIgnoresEarlierInstance tests that a restored store does not bring back an earlier
+// instance, even after the later one has gone.
+func TestRestoreIgnoresEarlierInstance(t *testing.T) {
 	state, board := newTestState(t)
 	state.replace(start, []store.KeyValue{instanceAt(t, 2, "a", 9, topology.ReplicaServing), instanceAt(t, 3, "b", 1, topology.ReplicaServing)})
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "replicas/a"}, Deleted: true})
@@ -64,9 +66,9 @@
 	}
 }
 
-// TestAnUnusableEntryNamesNoReplica: neither the one that it replaces, nor, where replicas tell
-// their births, one without. The others hold, and each key is logged once.
-func TestAnUnusableEntryNamesNoReplica(t *testing.T) {
+// TestInvalidReplicaEntry tests that an undecodable entry makes its replica vanish, that an entry
+// without a start time is ignored where others have one, and that each key is logged once.
+func TestInvalidReplicaEntry(t *testing.T) {
 	state, board := newTestState(t)
 	var logged bytes.Buffer
 	state.options.Logger = slog.New(slog.NewTextHandler(&logged, nil))
@@ -82,26 +84,26 @@
 	state.publish(start)
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaVanished, "c": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
-		t.Errorf("at once (-want +got):\n%s", diff)
+		t.Errorf("right after the invalid entries (-want +got):\n%s", diff)
 	}
 	state.publish(start.Add(2 * time.Second))
 	delete(want, "b")
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
-		t.Errorf("later (-want +got):\n%s", diff)
+		t.Errorf("after the retention period (-want +got):\n%s", diff)
 	}
 	if lines := strings.Count(logged.String(), "refused"); lines != 1 {
-		t.Errorf("%d lines of one key:\n%s", lines, logged.String())
+		t.Errorf("%d log lines for one key:\n%s", lines, logged.String())
 	}
 	state.apply(start, store.Event{KeyValue: instanceAt(t, 20, "b", 1, topology.ReplicaServing)})
 	state.publish(start.Add(2 * time.Second))
 	want["b"] = topology.ReplicaServing
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
-		t.Errorf("after its own next entry (-want +got):\n%s", diff)
+		t.Errorf("after the next valid entry (-want +got):\n%s", diff)
 	}
 }
 
-// TestLinesOfUnusableEntriesAreBounded: another writer may write any number of keys.
-func TestLinesOfUnusableEntriesAreBounded(t *testing.T) {
+// TestInvalidEntryLoggingIsBounded tests that a writer of many invalid keys cannot flood the log.
+func TestInvalidEntryLoggingIsBounded(t *testing.T) {
 	state, _ := newTestState(t)
 	var logged bytes.Buffer
 	state.options.Logger = slog.New(slog.NewTextHandler(&logged, nil))
@@ -109,17 +111,17 @@
 		state.apply(start, store.Event{KeyValue: store.KeyValue{Key: fmt.Sprint("replicas/x", i), Value: []byte("null!"), ModRevision: i + 1}})
 	}
 	if lines := strings.Count(logged.String(), "\n"); lines > maxLoggedUnusable {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d log lines", lines)
 	}
 }
 
-// TestANodesEntryNamesTheNodeOfItsKey: one that does not is another writer's.
-func TestANodesEntryNamesTheNodeOfItsKey(t *testing.T) {
+// TestNodeEntryMustMatchKey tests that an entry that does not name the node of its key is rejected.
+func TestNodeEntryMustMatchKey(t *testing.T) {
 	state, _ := newTestState(t)
 	for _, value := range []string{"null", "{}", `{"id":"other"}`, "7"} {
 		state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "nodes/n", Value: []byte(value), ModRevision: 5}})
 		if state.isRegistered("n") {
-			t.Errorf("%s is a node", value)
+			t.Errorf("entry %s accepted", value)
 		}
 	}
 }
--- a/internal/follower/quarantine_test.go
+++ b/internal/follower/quarantine_test.go
@@ -8,22 +8,23 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// recordingQuarantine notes what it is told.
+// recordingQuarantine records its calls.
 type recordingQuarantine struct{ calls []string }
 
-func (h *recordingQuarantine) Adopt(identity string, value []byte) {
-	h.calls = append(h.calls, identity+"="+string(value))
+func (q *recordingQuarantine) Adopt(identity string, value []byte) {
+	q.calls = append(q.calls, identity+"="+string(value))
 }
 
-func (h *recordingQuarantine) Forgotten(identity string) {
-	h.calls = append(h.calls, identity+" is gone")
+func (q *recordingQuarantine) Forgotten(identity string) {
+	q.calls = append(q.calls, identity+" forgotten")
 }
 
-// TestQuarantinedRequestsAreTakenIn: each write of the store once, however often it is read.
-func TestQuarantinedRequestsAreTakenIn(t *testing.T) {
+// TestQuarantineEntries tests that each write of an entry is reported once, however often it is
+// listed.
+func TestQuarantineEntries(t *testing.T) {
 	state, _ := newTestState(t)
-	heard := &recordingQuarantine{}
-	state.options.Quarantine = heard
+	recorder := &recordingQuarantine{}
+	state.options.Quarantine = recorder
 	state.options.Keys.Quarantine = "quarantine/"
 	entry := func(revision int64, value string) store.KeyValue {
 		return store.KeyValue{Key: "quarantine/ab", Value: []byte(value), ModRevision: revision}
@@ -34,7 +35,7 @@
 	state.apply(start, store.Event{KeyValue: entry(5, "y")})
 	state.apply(start, store.Event{KeyValue: entry(4, "older")})
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "quarantine/ab"}, Deleted: true})
-	if diff := cmp.Diff([]string{"ab=x", "ab=y", "ab is gone"}, heard.calls); diff != "" {
-		t.Errorf("told (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"ab=x", "ab=y", "ab forgotten"}, recorder.calls); diff != "" {
+		t.Errorf("calls (-want +got):\n%s", diff)
 	}
 }
--- a/internal/follower/restore.go
+++ b/internal/follower/restore.go
@@ -7,53 +7,52 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// The store may come back from a copy that is some seconds old. What was written since is
-// missing in it until its writers have written it again, and what was removed since is there
-// again. Nothing that it lacks is taken for gone before its writer has had the time.
+// The store may be restored from a backup that is some seconds old. Recent writes are missing from
+// it until their writers repeat them, and recently deleted entries reappear. Missing entries are
+// retained until their writers have had time to write them again.
 
 const (
-	// rewriteGrace is how long replicas and operators may take to write again: the users'
-	// platform says about two seconds from the store's return; a second more is for the
-	// news of it.
+	// rewriteGrace is how long replicas and operators may take to write again: about two seconds
+	// after the store's return, and a second to learn of it.
 	rewriteGrace = 3 * time.Second
-	// nodeRewriteGrace is how long nodes may take. They spread their writes over some
-	// seconds, and those that the store refuses are made again up to four seconds later
-	// (package registry). One that is gone is found out by the others meanwhile.
+	// nodeRewriteGrace is how long nodes may take. They spread their writes over several seconds
+	// and retry those that the store rejects (package registry). Dead nodes are detected by their
+	// peers in the meantime.
 	nodeRewriteGrace = 15 * time.Second
 )
 
-// replaceAfterRestore takes in the first whole reading of a later era of the store. Entries that it
-// lacks stay for a while. Those who watch this node are told only what differs: they keep
-// the rest as it is.
+// replaceAfterRestore applies the first full listing of a later era. Missing entries are retained
+// for a while, and only differences are published to the feed.
 func (s *state) replaceAfterRestore(now time.Time, values []store.KeyValue) {
 	s.applyAll(values, s.putRestored, func(key string) { s.retainMissing(now, key) })
 }
 
-// putRestored takes in an entry that may be the one that is known.
+// putRestored applies an entry without publishing it to the feed if its value is unchanged.
 func (s *state) putRestored(value store.KeyValue) {
-	known, found := s.values[value.Key]
-	told := len(s.pendingEvents)
+	previous, found := s.values[value.Key]
+	pending := len(s.pendingEvents)
 	s.put(value)
-	if found && bytes.Equal(known.Value, value.Value) {
-		s.pendingEvents = s.pendingEvents[:told]
+	if found && bytes.Equal(previous.Value, value.Value) {
+		s.pendingEvents = s.pendingEvents[:pending]
 	}
 }
 
-// retainMissing keeps an entry that a copy lacks for as long as its writer may take. Quarantined
-// requests are written again by the nodes that know them, which go on refusing them.
+// retainMissing retains an entry that is missing from the restored store until its writer's grace
+// period ends. Quarantine entries are removed at once: nodes that hold them go on rejecting these
+// requests and write them again.
 func (s *state) retainMissing(now time.Time, key string) {
-	wait := rewriteGrace
+	grace := rewriteGrace
 	switch {
 	case hasPrefix(key, s.options.Keys.Quarantine):
 		s.remove(now, key)
 		return
 	case hasPrefix(key, s.options.Keys.Nodes):
-		wait = nodeRewriteGrace
+		grace = nodeRewriteGrace
 	}
-	s.retained[key] = now.Add(wait)
+	s.retained[key] = now.Add(grace)
 }
 
-// expireRetained takes for gone what has not been written again in time.
+// expireRetained removes entries that were not written again in time.
 func (s *state) expireRetained(now time.Time) {
 	for key, until := range s.retained {
 		if !now.Before(until) {
@@ -62,7 +61,7 @@
 	}
 }
 
-// nextRetainedExpiry is when the next entry that a copy lacks is taken for gone; zero when there is none.
+// nextRetainedExpiry returns when the next retained entry expires; zero when none is retained.
 func (s *state) nextRetainedExpiry() time.Time {
 	var next time.Time
 	for _, until := range s.retained {
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -16,32 +16,31 @@
 )
 
 const (
-	// watchersPerZone is the number of nodes of each zone that watch the store. Another one
-	// takes over as soon as those who watch it miss something.
+	// watchersPerZone is the number of nodes per zone that watch the store. When one fails, the
+	// next takes over as soon as those who watch it notice.
 	watchersPerZone = 1
-	// maxRelayFailures is the number of other nodes that are watched, one after the
-	// other, before the store is watched itself.
+	// maxRelayFailures is the number of relays that may fail before the node watches the store
+	// itself.
 	maxRelayFailures = 1
-	// relayRetryDelay is how long after that other nodes are tried again.
+	// relayRetryDelay is how long after a failure relays are tried again.
 	relayRetryDelay = 5 * time.Second
 )
 
-// errSourceChanged ends a watch when another source is to be watched.
-var errSourceChanged = eris.New("another source is to be watched")
+// errSourceChanged ends a watch when another source should be watched.
+var errSourceChanged = eris.New("watch source changed")
 
-// source is what a follower watches: the store, or another node.
+// source is what a follower watches: the store, or another node as a relay.
 type source struct {
-	// node is the state address of another node, and not valid for the store.
+	// node is the relay's state address; invalid for the store.
 	node  netip.AddrPort
 	watch func(ctx context.Context, fromRevision int64, deliver func(store.WatchBatch) error) error
 }
 
-// Feed serves the changes that this node knows to those that watch it.
+// Feed returns the handler that serves this node's changes to peers that watch it.
 func (f *Follower) Feed() http.Handler { return &f.feed }
 
-// chooseSource returns what to watch: the store for the few nodes of each zone
-// that watch it, and for a node that has tried others in vain; one of those for
-// all the rest.
+// chooseSource returns the source to watch: the store for the zone watchers and after relay
+// failures, otherwise a relay.
 func (f *Follower) chooseSource() source {
 	if node, found := f.zoneRelay(); found {
 		return f.relaySource(node)
@@ -58,29 +57,29 @@
 	}}
 }
 
-// zoneRelay returns the state address of the node to watch; found is false
-// when this node watches the store.
+// zoneRelay returns the state address of the relay to watch; found is false when this node should
+// watch the store.
 func (f *Follower) zoneRelay() (address netip.AddrPort, found bool) {
 	nodes := f.options.Board.Nodes.Load()
 	if f.options.RelayClient == nil || nodes == nil || f.needsStoreWatch || f.relayFailures >= maxRelayFailures {
 		return netip.AddrPort{}, false
 	}
-	watching := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchersPerZone)
-	if slices.ContainsFunc(watching, f.isSelf) {
+	watchers := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchersPerZone)
+	if slices.ContainsFunc(watchers, f.isSelf) {
 		return netip.AddrPort{}, false
 	}
-	return f.pick(watching)
+	return f.pick(watchers)
 }
 
-// fallbackRelay returns the state address of a node that may hear from the store while
-// this one does not: another one at each call, of its own zone first.
-func (f *Follower) fallbackRelay(try int) (address netip.AddrPort, found bool) {
+// fallbackRelay returns the state address of a node that may still receive changes while the store
+// is unavailable to this one. The first attempt prefers nodes of the same zone.
+func (f *Follower) fallbackRelay(attempt int) (address netip.AddrPort, found bool) {
 	nodes := f.options.Board.Nodes.Load()
 	if f.options.RelayClient == nil || nodes == nil {
 		return netip.AddrPort{}, false
 	}
 	candidates := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchersPerZone)
-	if try > 0 || len(candidates) == 0 || slices.ContainsFunc(candidates, f.isSelf) {
+	if attempt > 0 || len(candidates) == 0 || slices.ContainsFunc(candidates, f.isSelf) {
 		candidates = slices.Clone(nodes.Entries)
 	}
 	candidates = slices.DeleteFunc(candidates, f.isSelf)
@@ -89,8 +88,8 @@
 
 func (f *Follower) isSelf(node topology.Node) bool { return node.ID == f.options.Self.ID }
 
-// pick returns the state address of one of some nodes: each node begins with
-// another one, and goes on to the next with each that has failed.
+// pick returns the state address of one of the nodes. The choice is spread by the node's own ID and
+// moves on with each failure.
 func (f *Follower) pick(nodes []topology.Node) (address netip.AddrPort, found bool) {
 	if len(nodes) == 0 {
 		return netip.AddrPort{}, false
@@ -101,10 +100,9 @@
 	return address, err == nil
 }
 
-// shouldSwitch tells whether a watch should give way to another one: that of the store
-// to one of another node, and that of another node to the store's where this node has
-// become the one that watches it for its zone. Otherwise a node that starts anew would
-// watch the one that stood in for it, and that one it.
+// shouldSwitch reports whether a watch should end in favor of another source: a watch of the store
+// when a relay is available, and a watch of a relay when this node has become a zone watcher.
+// Otherwise a restarted node and the one that replaced it would watch each other.
 func (f *Follower) shouldSwitch(from source) bool {
 	if f.relayFailures > 0 && f.options.Now().Sub(f.lastRelayFailure) >= relayRetryDelay {
 		f.relayFailures = 0
@@ -116,13 +114,13 @@
 	return found
 }
 
-// isZoneWatcher tells whether this node is one that watches the store for its zone.
+// isZoneWatcher reports whether this node watches the store for its zone.
 func (f *Follower) isZoneWatcher() bool {
 	nodes := f.options.Board.Nodes.Load()
 	return nodes != nil && slices.ContainsFunc(directory.Watchers(nodes.Nodes, f.options.Self.Place, watchersPerZone), f.isSelf)
 }
 
-// recordRelayFailures notes that so many other nodes have been watched in vain.
-func (f *Follower) recordRelayFailures(nodes int) {
-	f.relayFailures, f.lastRelayFailure = nodes, f.options.Now()
+// recordRelayFailures records the number of recent relay failures.
+func (f *Follower) recordRelayFailures(count int) {
+	f.relayFailures, f.lastRelayFailure = count, f.options.Now()
 }
--- a/internal/follower/staleness.go
+++ b/internal/follower/staleness.go
@@ -7,56 +7,52 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// staleness decides when what is known of the store must be confirmed, and
-// when a watch that should have told more is given up. It is pure: times are
-// arguments.
+// staleness decides when the store's revision must be confirmed, and when a watch that lags behind
+// is given up. It is pure: times are arguments.
 //
-// Invariant: known never falls, and confirmedAt is a time at which the store
-// had nothing beyond confirmed.
+// Invariant: applied never decreases, and the store was at no higher revision than confirmed at
+// confirmedAt.
 type staleness struct {
-	// checkInterval is how long a confirmation counts, for the node whose turn it
-	// is; each further node waits for a rankDelay more.
+	// checkInterval is how long a confirmation lasts; each node waits for rankDelay times its rank
+	// longer before it checks.
 	checkInterval, rankDelay time.Duration
-	// grace is how long the watch may take to tell what others know already, eraGrace
-	// the same where that is of a later era of the store.
+	// grace is how long a watch may lag behind an announced revision, eraGrace the same for a
+	// revision of a later era.
 	grace, eraGrace time.Duration
 
 	applied     int64
 	confirmed   int64
 	confirmedAt time.Time
-	// initialListAt is when a reading that may be old began what is known; zero before.
+	// initialListAt is when a possibly stale initial listing was applied; zero before.
 	initialListAt time.Time
-	// missing are the revisions that others know and this node does not, in ascending
-	// order, each with when it was heard of. While changes come without a pause, a
-	// watch that brings each in time is always behind the latest.
+	// missing are the announced revisions above applied, in ascending order. Each has its own time,
+	// since under continuous changes a healthy watch is always behind the latest revision.
 	missing []announcedRevision
 }
 
-// announcedRevision is a revision of the store that this node has heard of.
+// announcedRevision is a revision of the store and when it was first announced.
 type announcedRevision struct {
 	revision int64
 	at       time.Time
 }
 
-// maxMissing bounds the revisions that are kept; beyond it, later ones count as heard
-// of when the last one was.
+// maxMissing bounds missing. Beyond it, later revisions count as announced with the last one.
 const maxMissing = 64
 
-// markApplied notes that everything up to a revision is known.
+// markApplied records that all changes up to a revision are applied.
 func (s *staleness) markApplied(revision int64) {
 	s.applied = max(s.applied, revision)
-	s.missing = slices.DeleteFunc(s.missing, func(one announcedRevision) bool { return one.revision <= s.applied })
+	s.missing = slices.DeleteFunc(s.missing, func(missing announcedRevision) bool { return missing.revision <= s.applied })
 }
 
-// confirm notes that the store was at a revision at some time. It returns true
-// when that is news which others should hear: a higher revision, or a
-// confirmation much later than the last. What is said of an era of the store that is over
-// confirms nothing.
-func (s *staleness) confirm(now, at time.Time, revision int64) (news bool) {
+// confirm records that the store was at a revision at a given time. It reports whether peers should
+// be told: the revision is new, or the confirmation is much later than the last one. Revisions of
+// an earlier era are ignored.
+func (s *staleness) confirm(now, at time.Time, revision int64) (isNews bool) {
 	if store.EraOf(revision) < store.EraOf(s.confirmed) {
 		return false
 	}
-	news = revision > s.confirmed || at.Sub(s.confirmedAt) > s.checkInterval/2
+	isNews = revision > s.confirmed || at.Sub(s.confirmedAt) > s.checkInterval/2
 	if at.After(s.confirmedAt) {
 		s.confirmedAt = at
 	}
@@ -64,10 +60,10 @@
 		s.confirmed = revision
 		s.addMissing(now, revision)
 	}
-	return news
+	return isNews
 }
 
-// addMissing notes that a revision was heard of that may not be known yet.
+// addMissing adds an announced revision if it is not applied yet.
 func (s *staleness) addMissing(now time.Time, revision int64) {
 	switch {
 	case revision <= s.applied:
@@ -78,22 +74,21 @@
 	}
 }
 
-// startFromStale notes what a first reading has told, which may be old: it confirms nothing.
-// Until the first confirmation each node waits for its turn from the reading on, as
-// all would ask at once when they start together.
+// startFromStale records a possibly stale initial listing, which confirms nothing. Checks are
+// staggered from then on, so that nodes that start together do not check at the same time.
 func (s *staleness) startFromStale(now time.Time, revision int64) {
 	s.initialListAt = now
 	s.markApplied(revision)
 }
 
-// restartGrace gives another watch the time to tell what is missing.
+// restartGrace gives a new watch the full grace period to deliver the missing revisions.
 func (s *staleness) restartGrace(now time.Time) {
 	for i := range s.missing {
 		s.missing[i].at = now
 	}
 }
 
-// nextCheck is when this node asks the store, if it hears nothing before.
+// nextCheck returns when this node checks the store's revision, unless it is confirmed before.
 func (s *staleness) nextCheck(rank int) time.Time {
 	since := s.confirmedAt
 	if s.initialListAt.After(since) {
@@ -102,8 +97,8 @@
 	return since.Add(s.checkInterval + time.Duration(rank)*s.rankDelay)
 }
 
-// watchDeadline is when the watch is given up for missing what others know; zero
-// while it misses nothing.
+// watchDeadline returns when the watch is given up for lagging behind; zero when nothing is
+// missing.
 func (s *staleness) watchDeadline() time.Time {
 	if len(s.missing) == 0 {
 		return time.Time{}
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -15,57 +15,55 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// formerEntryRetention is how long a node to which callers are not led any more still
-// counts for what entry nodes share: it may be there and have lost its record
-// only, and what it has spent counts for a while.
+// formerEntryRetention is how long a former entry node still counts in dividing shared limits. It
+// may be alive with only its entry lost, and its recent use counts too.
 const formerEntryRetention = 30 * time.Second
 
-// state is what the follower knows. It belongs to the follower's goroutine.
+// state is the follower's view of the store. Only the follower's goroutine may use it, apart from
+// publishedSuspects.
 type state struct {
 	options  *Options
 	replicas map[string]replicaEntry
 	nodes    map[string]nodeEntry
-	// evacuated are the zones to whose replicas nothing is to be sent.
+	// evacuated are the zones whose replicas receive no requests.
 	evacuated map[string]bool
-	// evacuationEnded says since when zones that were evacuated are so no more.
+	// evacuationEnded maps zones that were evacuated to the end of the evacuation.
 	evacuationEnded map[string]time.Time
-	// values are the store's, as they are handed over to other nodes.
+	// values are the store's entries, as served to peers.
 	values        map[string]store.KeyValue
 	valuesChanged bool
-	// pendingEvents are the changes of values that other nodes have not been told.
+	// pendingEvents are the changes of values not yet published to the feed.
 	pendingEvents []store.Event
-	// entryNodeUntil says until when a node was one to which callers are led; zero
-	// while it is one.
+	// entryNodeUntil maps entry nodes to when they ceased to be one; zero for current ones.
 	entryNodeUntil map[string]time.Time
 
-	// suspects are the nodes that do not answer; toldSuspects is what other nodes are
-	// told of them, nil while there are none.
+	// suspects are the nodes that do not respond; publishedSuspects is a copy for other goroutines,
+	// nil when there are none.
 	suspects          suspects
 	publishedSuspects atomic.Pointer[suspects]
 	activation        activation
-	// leaving and gone are the replicas that have said so, or vanished, since the last
-	// publication; they are logged with it.
+	// leaving and gone are the replicas that announced leaving, or whose entries went, since the
+	// last publication. They are logged with it.
 	leaving, gone   []topology.Replica
 	replicasChanged bool
 	nodesChanged    bool
-	// nextWarmAt is when the next replica that was published as cold is warm by its time;
-	// zero while there is none.
+	// nextWarmAt is when the next published cold replica becomes warm; zero when there is none.
 	nextWarmAt time.Time
-	// retained says until when entries are kept that the store's copy lacks.
+	// retained maps entries missing from a restored store to when they expire.
 	retained map[string]time.Time
-	// departed are the replicas whose entries have gone, as they were at last.
+	// departed are the replicas whose entries are gone.
 	departed map[string]departedReplica
-	// loggedUnusable are the keys of entries that name no replica, and were logged.
+	// loggedUnusable are the keys whose unusable entries have been logged.
 	loggedUnusable map[string]bool
 }
 
 type replicaEntry struct {
 	replica  topology.Replica
 	revision int64
-	// goneAt is when the entry was found to be gone; zero while it is there.
+	// goneAt is when the entry was found missing; zero while it exists.
 	goneAt time.Time
-	// coldUntil is when the replica is warm at the latest, as its entry says; zero when
-	// it says nothing of that.
+	// coldUntil is when the cold period ends according to the entry; zero when the entry does not
+	// say.
 	coldUntil time.Time
 }
 
@@ -91,8 +89,8 @@
 	}
 }
 
-// replace takes in a whole reading: entries that it lacks are gone, but for those that a copy
-// has lacked a short while ago.
+// replace applies a full listing. Missing entries are removed, except for those retained after a
+// restore.
 func (s *state) replace(now time.Time, values []store.KeyValue) {
 	s.applyAll(values, s.put, func(key string) {
 		if _, kept := s.retained[key]; !kept {
@@ -101,8 +99,9 @@
 	})
 }
 
-// applyAll puts each entry of a whole reading, then hands over the keys that it lacks.
-func (s *state) applyAll(values []store.KeyValue, put func(store.KeyValue), lacks func(key string)) {
+// applyAll calls put for each entry of a full listing, and missing for each known key that it
+// lacks.
+func (s *state) applyAll(values []store.KeyValue, put func(store.KeyValue), missing func(key string)) {
 	present := make(map[string]bool, len(values))
 	for _, value := range values {
 		present[value.Key] = true
@@ -110,12 +109,12 @@
 	}
 	for key := range s.values {
 		if !present[key] {
-			lacks(key)
+			missing(key)
 		}
 	}
 }
 
-// apply takes in one event of a watch.
+// apply applies one event of a watch.
 func (s *state) apply(now time.Time, event store.Event) {
 	if event.Deleted {
 		s.remove(now, event.KeyValue.Key)
@@ -136,7 +135,7 @@
 	case hasPrefix(value.Key, s.options.Keys.Evacuations):
 		s.evacuate(value.Key[len(s.options.Keys.Evacuations):])
 	case hasPrefix(value.Key, s.options.Keys.Quarantine):
-		if isNew { // its time counts from when it is first seen
+		if isNew { // the quarantine period starts when the entry is first seen
 			s.options.Quarantine.Adopt(value.Key[len(s.options.Keys.Quarantine):], value.Value)
 		}
 	case hasPrefix(value.Key, s.options.Keys.Nodes):
@@ -144,35 +143,37 @@
 	}
 }
 
-// recordValue keeps an entry for other nodes, and tells whether it is newer than the one before.
+// recordValue records an entry for peers. It reports whether the entry is newer than the one
+// before.
 func (s *state) recordValue(value store.KeyValue) (isNew bool) {
 	delete(s.retained, value.Key)
-	known := s.values[value.Key].ModRevision
-	if value.ModRevision >= known {
+	previous := s.values[value.Key].ModRevision
+	if value.ModRevision >= previous {
 		s.values[value.Key] = value
 		s.valuesChanged = true
 		s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: value})
 	}
-	return value.ModRevision > known
+	return value.ModRevision > previous
 }
 
-// putTable takes a configuration in.
+// putTable decodes a configuration and offers it for activation.
 func (s *state) putTable(value store.KeyValue) {
 	table, err := s.options.Decoder.Routes(value.Value)
 	if err != nil {
-		s.options.Logger.Error("configuration refused; keeping the one in force", "error", err.Error(), "revision", value.ModRevision)
+		s.options.Logger.Error("invalid configuration rejected; keeping the active one", "error", err.Error(), "revision", value.ModRevision)
 		return
 	}
 	s.activation.offer(table)
 }
 
-// putReplica takes a replica's entry in, unless a copy of the store shows one that is over.
+// putReplica applies a replica's entry, unless it is outdated or a restored store has brought back
+// a departed replica's.
 func (s *state) putReplica(value store.KeyValue) {
 	if s.isFromDeparted(value) {
 		return
 	}
-	known, found := s.replicas[value.Key]
-	if found && value.ModRevision < known.revision {
+	previous, found := s.replicas[value.Key]
+	if found && value.ModRevision < previous.revision {
 		return
 	}
 	replica, err := s.options.Decoder.Replica(value.Key, value.Value)
@@ -189,14 +190,14 @@
 	delete(s.loggedUnusable, value.Key)
 	replica.Place.Region = s.options.Regions[replica.Place.Zone]
 	entry := replicaEntry{revision: value.ModRevision, coldUntil: s.coldUntil(replica)}
-	replica.ColdFor = 0 // it changes with each entry
+	replica.ColdFor = 0 // changes with each entry
 	if s.isLeaving(value.Key, replica.Born) {
 		replica.State = topology.ReplicaLeaving
 	}
 	entry.replica = replica
 	s.replicas[value.Key] = entry
 	now := s.options.Now()
-	if found && known.goneAt.IsZero() && known.replica == replica && s.stateOf(now, &known) == s.stateOf(now, &entry) {
+	if found && previous.goneAt.IsZero() && previous.replica == replica && s.stateOf(now, &previous) == s.stateOf(now, &entry) {
 		return
 	}
 	s.replicasChanged = true
@@ -205,12 +206,12 @@
 	}
 }
 
-// errNodeIDMismatch refuses an entry that no node has written of itself.
-var errNodeIDMismatch = eris.New("the entry names another node than its key")
+// errNodeIDMismatch rejects an entry that was not written by the node of its key.
+var errNodeIDMismatch = eris.New("node ID does not match the key")
 
 func (s *state) putNode(value store.KeyValue) {
-	known, found := s.nodes[value.Key]
-	if found && value.ModRevision < known.revision {
+	previous, found := s.nodes[value.Key]
+	if found && value.ModRevision < previous.revision {
 		return
 	}
 	var node topology.Node
@@ -219,11 +220,11 @@
 		err = errNodeIDMismatch
 	}
 	if err != nil {
-		s.options.Logger.Error("node's entry refused; keeping the one before", "key", value.Key, "error", err.Error())
+		s.options.Logger.Error("invalid node entry rejected; keeping the previous one", "key", value.Key, "error", err.Error())
 		return
 	}
-	started := s.suspects.clear(node.ID) // it has just written this
-	s.nodesChanged = s.nodesChanged || started || !found || known.node != node
+	wasSuspected := s.suspects.clear(node.ID) // the node has just written the entry
+	s.nodesChanged = s.nodesChanged || wasSuspected || !found || previous.node != node
 	s.nodes[value.Key] = nodeEntry{node: node, revision: value.ModRevision}
 }
 
@@ -252,7 +253,7 @@
 	}
 }
 
-// markReplicaGone notes that a replica has no entry that names it.
+// markReplicaGone records that a replica has no valid entry.
 func (s *state) markReplicaGone(now time.Time, key string) {
 	known, found := s.replicas[key]
 	if !found || !known.goneAt.IsZero() {
@@ -264,7 +265,7 @@
 	s.gone = append(s.gone, known.replica)
 }
 
-// listValues returns the store's values, in no order.
+// listValues returns the store's entries in no particular order.
 func (s *state) listValues() []store.KeyValue {
 	values := make([]store.KeyValue, 0, len(s.values))
 	for _, value := range s.values {
@@ -273,7 +274,7 @@
 	return values
 }
 
-// publish writes what has changed to the blackboard.
+// publish expires outdated state and publishes changes to the blackboard.
 func (s *state) publish(now time.Time) {
 	s.expire(now)
 	s.replicasChanged = s.hasWarmedUp(now) || s.replicasChanged
@@ -281,7 +282,7 @@
 		table := s.activation.active
 		s.options.Board.Routes.Publish(table)
 		s.options.Logger.Info("configuration in force", "version", table.Version, "routes", len(table.Routes))
-		s.replicasChanged = true // the limits of connections are the services'
+		s.replicasChanged = true // connection limits depend on the configuration
 	}
 	if s.replicasChanged {
 		s.options.Board.Replicas.Publish(&topology.Replicas{Groups: s.replicaGroups(now)})
@@ -296,11 +297,11 @@
 	s.replicasChanged, s.nodesChanged = false, false
 }
 
-// maxReplicaLogLines is the number of replicas that are logged with a line each. A
-// reshard takes hundreds away at once; then one line counts them.
+// maxReplicaLogLines is the number of replicas up to which each is logged on its own line. A
+// reshard affects hundreds at once, which are logged as one line.
 const maxReplicaLogLines = 4
 
-// logReplicas logs what has become of some replicas.
+// logReplicas logs replicas that have changed state.
 func (s *state) logReplicas(message string, replicas []topology.Replica) {
 	if len(replicas) > maxReplicaLogLines {
 		groups := make(map[string]bool)
@@ -315,7 +316,7 @@
 	}
 }
 
-// expire drops replicas that have been gone for long enough.
+// expire drops replicas, retained entries and former entry nodes whose retention period is over.
 func (s *state) expire(now time.Time) {
 	for key, entry := range s.replicas {
 		if !entry.goneAt.IsZero() && now.Sub(entry.goneAt) >= s.options.VanishedRetention {
@@ -333,8 +334,8 @@
 	}
 }
 
-// nextDeadline returns when the next vanished replica is forgotten or a configuration is
-// put in force at the latest; zero when there is neither.
+// nextDeadline returns when the state must be published again because something expires or a
+// pending configuration is activated; zero when nothing is due.
 func (s *state) nextDeadline() time.Time {
 	next := earliest(s.activation.nextDeadline(), s.suspects.nextExpiry(), s.nextWarmAt, s.nextRetainedExpiry())
 	for _, entry := range s.replicas {
@@ -348,8 +349,8 @@
 	return next
 }
 
-// stateOf is what is believed of a replica: its entry tells neither of an evacuation nor
-// that its time to be cold is over.
+// stateOf returns the effective state of a replica, which its entry alone does not tell: the zone
+// may be evacuated or the cold period over.
 func (s *state) stateOf(now time.Time, entry *replicaEntry) topology.ReplicaState {
 	switch {
 	case entry.replica.State == topology.ReplicaLeaving:
@@ -368,11 +369,11 @@
 func (s *state) replicaGroups(now time.Time) map[string][]topology.Replica {
 	groups := make(map[string][]topology.Replica)
 	s.nextWarmAt = time.Time{}
-	tellLives := s.reportStartTimes()
+	expectStartTimes := s.expectsStartTimes()
 	for _, entry := range s.replicas {
 		replica := entry.replica
-		if tellLives && replica.Born.IsZero() {
-			continue // another writer's
+		if expectStartTimes && replica.Born.IsZero() {
+			continue // from a foreign writer
 		}
 		replica.State = s.stateOf(now, &entry)
 		replica.ConnectionLimit = s.service(replica.Group).ConnectionLimit
@@ -417,7 +418,7 @@
 	s.options.Board.Members.Publish(members)
 }
 
-// recordEntryNodes keeps who is an entry node, and who was one of late.
+// recordEntryNodes tracks current and former entry nodes.
 func (s *state) recordEntryNodes(now time.Time, entries []topology.Node) {
 	isEntry := make(map[string]bool, len(entries))
 	for _, node := range entries {
@@ -431,13 +432,13 @@
 	}
 }
 
-// isRegistered tells whether a node has an entry.
+// isRegistered reports whether a node has an entry.
 func (s *state) isRegistered(id string) bool {
 	_, found := s.nodes[s.options.Keys.Nodes+id]
 	return found
 }
 
-// memberOf is a node as those that divide connections see it.
+// memberOf returns the node as a member for dividing connections.
 func memberOf(node topology.Node) topology.Member {
 	return topology.Member{ID: node.ID, PeerAddress: node.PeerAddress, Place: node.Place}
 }
--- a/internal/follower/state_test.go
+++ b/internal/follower/state_test.go
@@ -16,7 +16,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-func TestTheConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	state, board := newTestState(t)
 	for _, step := range []struct {
 		value store.KeyValue
@@ -24,19 +24,19 @@
 	}{
 		{tableAt(t, 10, 4), 4},
 		{tableAt(t, 12, 7), 7},
-		{tableAt(t, 11, 6), 7}, // a late reading
+		{tableAt(t, 11, 6), 7}, // out of order
 		{store.KeyValue{Key: "table", Value: []byte("not a document"), ModRevision: 13}, 7},
 		{tableAt(t, 14, 9), 9},
 	} {
 		state.put(step.value)
 		state.publish(start)
 		if got := board.Routes.Load().Version; got != step.want {
-			t.Errorf("revision %d: version %d in force, want %d", step.value.ModRevision, got, step.want)
+			t.Errorf("revision %d: version %d active, want %d", step.value.ModRevision, got, step.want)
 		}
 	}
 }
 
-func TestReplicasAreFollowed(t *testing.T) {
+func TestReplicaUpdates(t *testing.T) {
 	state, board := newTestState(t)
 	state.replace(start, []store.KeyValue{
 		tableAt(t, 1, 1), replicaAt(t, 2, "a", topology.ReplicaServing), replicaAt(t, 3, "b", topology.ReplicaServing),
@@ -44,10 +44,10 @@
 	state.publish(start)
 	first := board.Replicas.Load().Groups["g"][0]
 	if first.ConnectionLimit != 9 || first.Place.Region != "r1" {
-		t.Errorf("the replica lacks its service's limit or its region: %+v", first)
+		t.Errorf("wrong connection limit or region: %+v", first)
 	}
 	state.apply(start, store.Event{KeyValue: replicaAt(t, 5, "b", topology.ReplicaLeaving)})
-	state.apply(start, store.Event{KeyValue: replicaAt(t, 4, "b", topology.ReplicaServing)}) // older
+	state.apply(start, store.Event{KeyValue: replicaAt(t, 4, "b", topology.ReplicaServing)}) // outdated
 	state.publish(start)
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaLeaving}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestAVanishedReplicaStaysForAWhile: entries vanish also while the store is
-// down; one that said that it leaves is not asked any more.
-func TestAVanishedReplicaStaysForAWhile(t *testing.T) {
+// TestVanishedReplicaRetention tests that a replica whose entry is gone remains as a last resort
+// for a while, unless it was leaving.
+func TestVanishedReplicaRetention(t *testing.T) {
 	state, board := newTestState(t)
 	serving, leaving := replicaAt(t, 2, "a", topology.ReplicaServing), replicaAt(t, 3, "b", topology.ReplicaLeaving)
 	state.replace(start, []store.KeyValue{serving, leaving})
@@ -66,18 +66,18 @@
 	state.publish(start.Add(900 * time.Millisecond))
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaVanished, "b": topology.ReplicaLeaving}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
-		t.Errorf("at first (-want +got):\n%s", diff)
+		t.Errorf("within the retention period (-want +got):\n%s", diff)
 	}
 	serving.ModRevision = 9
 	state.apply(start, store.Event{KeyValue: serving})
 	state.publish(start.Add(1100 * time.Millisecond))
 	want = map[string]topology.ReplicaState{"a": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
-		t.Errorf("after a is back and b is forgotten (-want +got):\n%s", diff)
+		t.Errorf("after a is registered again and b has expired (-want +got):\n%s", diff)
 	}
 }
 
-func TestBeatsDoNotPublish(t *testing.T) {
+func TestUnchangedEntryNotPublished(t *testing.T) {
 	state, board := newTestState(t)
 	state.put(replicaAt(t, 2, "a", topology.ReplicaServing))
 	state.publish(start)
@@ -85,13 +85,13 @@
 	state.put(replicaAt(t, 3, "a", topology.ReplicaServing))
 	state.publish(start)
 	if board.Replicas.Load() != before {
-		t.Error("an entry that has not changed was published anew")
+		t.Error("unchanged entry published again")
 	}
 }
 
-// TestNodesThatAreGoneCountForShares: a node whose entry has lapsed may live on
-// and spend its part of what nodes share.
-func TestNodesThatAreGoneCountForShares(t *testing.T) {
+// TestDepartedNodesCountInShared tests that a node whose entry has expired still counts in dividing
+// shared limits for a while, as it may be alive.
+func TestDepartedNodesCountInShared(t *testing.T) {
 	state, board := newTestState(t)
 	state.replace(start, []store.KeyValue{nodeAt(t, 1, "n1"), nodeAt(t, 2, "n2")})
 	state.publish(start)
@@ -99,11 +99,11 @@
 	state.publish(start.Add(time.Second))
 	nodes := board.Nodes.Load()
 	if len(nodes.Nodes) != 1 || nodes.Shared != 2 {
-		t.Errorf("%d nodes, shared by %d", len(nodes.Nodes), nodes.Shared)
+		t.Errorf("%d nodes, shared %d", len(nodes.Nodes), nodes.Shared)
 	}
 	state.publish(start.Add(2 * formerEntryRetention))
 	if got := board.Nodes.Load().Shared; got != 1 {
-		t.Errorf("shared by %d for ever", got)
+		t.Errorf("shared %d after the retention period", got)
 	}
 }
 
@@ -111,85 +111,84 @@
 	fresh := func() *staleness {
 		return &staleness{checkInterval: time.Second, rankDelay: 100 * time.Millisecond, grace: 200 * time.Millisecond}
 	}
-	t.Run("each node waits for its turn", func(t *testing.T) {
-		checked := fresh()
-		checked.confirm(start, start, 5)
-		if got := checked.nextCheck(3).Sub(start); got != 1300*time.Millisecond {
-			t.Errorf("the fourth node asks after %v", got)
+	t.Run("checks are staggered by rank", func(t *testing.T) {
+		s := fresh()
+		s.confirm(start, start, 5)
+		if got := s.nextCheck(3).Sub(start); got != 1300*time.Millisecond {
+			t.Errorf("fourth node checks after %v", got)
 		}
 	})
-	t.Run("a confirmation by another node counts", func(t *testing.T) {
-		checked := fresh()
-		checked.confirm(start, start, 5)
-		checked.confirm(start.Add(time.Second), start.Add(900*time.Millisecond), 5)
-		if got := checked.nextCheck(0).Sub(start); got != 1900*time.Millisecond {
-			t.Errorf("asks after %v", got)
+	t.Run("peer confirmation delays the check", func(t *testing.T) {
+		s := fresh()
+		s.confirm(start, start, 5)
+		s.confirm(start.Add(time.Second), start.Add(900*time.Millisecond), 5)
+		if got := s.nextCheck(0).Sub(start); got != 1900*time.Millisecond {
+			t.Errorf("checks after %v", got)
 		}
 	})
-	t.Run("an old confirmation changes nothing", func(t *testing.T) {
-		checked := fresh()
-		checked.confirm(start, start, 5)
-		if checked.confirm(start, start.Add(-time.Minute), 4) {
-			t.Error("it is passed on")
+	t.Run("old confirmation is ignored", func(t *testing.T) {
+		s := fresh()
+		s.confirm(start, start, 5)
+		if s.confirm(start, start.Add(-time.Minute), 4) {
+			t.Error("old confirmation forwarded")
 		}
-		if !checked.confirmedAt.Equal(start) || checked.confirmed != 5 {
-			t.Errorf("confirmed %d at %v", checked.confirmed, checked.confirmedAt)
+		if !s.confirmedAt.Equal(start) || s.confirmed != 5 {
+			t.Errorf("confirmed %d at %v", s.confirmed, s.confirmedAt)
 		}
 	})
-	t.Run("a watch that misses news is given up after the grace", func(t *testing.T) {
-		checked := fresh()
-		checked.markApplied(5)
-		checked.confirm(start, start, 5)
-		if !checked.watchDeadline().IsZero() {
-			t.Error("given up though nothing is missing")
+	t.Run("lagging watch is given up after the grace period", func(t *testing.T) {
+		s := fresh()
+		s.markApplied(5)
+		s.confirm(start, start, 5)
+		if !s.watchDeadline().IsZero() {
+			t.Error("given up with nothing missing")
 		}
-		checked.confirm(start, start, 6)
-		checked.confirm(start.Add(100*time.Millisecond), start, 7)
-		if got := checked.watchDeadline().Sub(start); got != 200*time.Millisecond {
+		s.confirm(start, start, 6)
+		s.confirm(start.Add(100*time.Millisecond), start, 7)
+		if got := s.watchDeadline().Sub(start); got != 200*time.Millisecond {
 			t.Errorf("given up after %v", got)
 		}
-		checked.markApplied(7)
-		if !checked.watchDeadline().IsZero() {
-			t.Error("given up though all is known")
+		s.markApplied(7)
+		if !s.watchDeadline().IsZero() {
+			t.Error("given up with all revisions applied")
 		}
 	})
-	t.Run("a watch that tells each change in time is not given up while more come", func(t *testing.T) {
-		checked := fresh()
+	t.Run("timely watch survives continuous changes", func(t *testing.T) {
+		s := fresh()
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-			checked.confirm(now, now, int64(i+1))
-			if giveUp := checked.watchDeadline(); !giveUp.IsZero() && !now.Before(giveUp) {
+			s.confirm(now, now, int64(i+1))
+			if giveUp := s.watchDeadline(); !giveUp.IsZero() && !now.Before(giveUp) {
 				t.Fatalf("given up after %v", now.Sub(start))
 			}
-			checked.markApplied(int64(i)) // always one behind
+			s.markApplied(int64(i)) // always one behind
 		}
 	})
-	t.Run("what is heard of beyond the bound counts from the last that is kept", func(t *testing.T) {
-		checked := fresh()
+	t.Run("revisions beyond the bound count from the last one kept", func(t *testing.T) {
+		s := fresh()
 		for i := range 2 * maxMissing {
-			checked.confirm(start.Add(time.Duration(i)*time.Millisecond), start, int64(i+1))
+			s.confirm(start.Add(time.Duration(i)*time.Millisecond), start, int64(i+1))
 		}
-		checked.markApplied(2*maxMissing - 1)
-		if got := checked.watchDeadline().Sub(start); got != (maxMissing-1)*time.Millisecond+200*time.Millisecond {
+		s.markApplied(2*maxMissing - 1)
+		if got := s.watchDeadline().Sub(start); got != (maxMissing-1)*time.Millisecond+200*time.Millisecond {
 			t.Errorf("given up after %v", got)
 		}
 	})
 }
 
-// TestEntryNodesAreTheMembers: the connections to the replicas are divided among
-// the nodes to which callers are led, and one that was such a node has its part
-// of what they share for a while.
-func TestEntryNodesAreTheMembers(t *testing.T) {
+// TestEntryNodesAreMembers tests that connections are divided among the entry nodes, and that a
+// former one still counts in Shared for a while.
+func TestEntryNodesAreMembers(t *testing.T) {
 	state, board := newTestState(t)
 	state.replace(start, []store.KeyValue{nodeAt(t, 1, "n2"), nodeAt(t, 2, "n3"), nodeAt(t, 3, "n4")})
 	state.publish(start)
 	if got := entryIDs(board); !slices.Equal(got, []string{"n2", "n3"}) {
 		t.Errorf("entry nodes %v", got)
 	}
-	state.apply(start, store.Event{KeyValue: nodeAt(t, 4, "n1")}) // goes before n3
+	state.apply(start, store.Event{KeyValue: nodeAt(t, 4, "n1")}) // displaces n3
 	state.publish(start.Add(time.Second))
 	if got, shared := entryIDs(board), board.Nodes.Load().Shared; !slices.Equal(got, []string{"n1", "n2"}) || shared != 3 {
-		t.Errorf("entry nodes %v, shared by %d", got, shared)
+		t.Errorf("entry nodes %v, shared %d", got, shared)
 	}
 	if got := len(board.Members.Load().Members); got != 2 {
 		t.Errorf("%d members", got)
@@ -197,25 +196,26 @@
 }
 
 func entryIDs(board *blackboard.Board) []string {
-	var found []string
+	var ids []string
 	for _, node := range board.Nodes.Load().Entries {
-		found = append(found, node.ID)
+		ids = append(ids, node.ID)
 	}
-	return found
+	return ids
 }
 
-// TestManyReplicasAreLoggedInOneLine: a reshard takes hundreds away, on each node.
-func TestManyReplicasAreLoggedInOneLine(t *testing.T) {
+// TestReplicaLogAggregation tests that many replicas that change state at once, as in a reshard,
+// are logged as one line.
+func TestReplicaLogAggregation(t *testing.T) {
 	for replicas, want := range map[int]int{maxReplicaLogLines: maxReplicaLogLines, maxReplicaLogLines + 1: 1} {
 		var log bytes.Buffer
-		known, _ := newTestState(t)
-		known.options.Logger = slog.New(slog.NewTextHandler(&log, nil))
+		state, _ := newTestState(t)
+		state.options.Logger = slog.New(slog.NewTextHandler(&log, nil))
 		for i := range replicas {
-			known.put(replicaAt(t, int64(i+1), fmt.Sprint("r", i), topology.ReplicaLeaving))
+			state.put(replicaAt(t, int64(i+1), fmt.Sprint("r", i), topology.ReplicaLeaving))
 		}
-		known.publish(start)
+		state.publish(start)
 		if lines := strings.Count(log.String(), "replica leaving"); lines != want {
-			t.Errorf("%d replicas in %d lines:\n%s", replicas, lines, log.String())
+			t.Errorf("%d replicas logged in %d lines:\n%s", replicas, lines, log.String())
 		}
 	}
 }
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -12,28 +12,26 @@
 )
 
 const (
-	// suspicionTTL is how long a node that does not answer counts as not ready; it is
-	// renewed as long as the node is found silent. It is over the time between two looks
-	// of the node that guards the zone and two answers of a watched node, and short
-	// enough for callers to be led again soon to a node that was cut off or frozen.
+	// suspicionTTL is how long an unresponsive node counts as not ready unless the suspicion is
+	// renewed. It must exceed the interval between two probes by the zone's guard and between two
+	// responses of a relay, and be short enough for callers to return soon to a recovered node.
 	suspicionTTL = 5 * time.Second
-	// maxSilentRelays is the number of nodes that may be silent, one after the other,
-	// before the store is watched instead: each costs a time-out, and where all are
-	// silent it is this node that is cut off.
+	// maxSilentRelays is the number of consecutive relays that may be silent before the node
+	// watches the store instead. Each costs a timeout, and if all are silent, this node itself is
+	// isolated.
 	maxSilentRelays = 3
-	// probedSuccessors is the number of nodes that are looked at when the one that was
-	// watched is silent: where a quarter of the nodes are lost at once, four in a row
-	// are once in 256 times.
+	// probedSuccessors is the number of nodes probed when a relay is silent. Even if a quarter of
+	// the nodes fail at once, runs of failed nodes are rarely longer.
 	probedSuccessors = 5
 )
 
-// suspects are the recorded nodes that do not answer, with the time until which each
-// counts as not ready. A node's record outlives it by seconds, and until it lapses
-// callers, watches and budgets would wait for a node that is gone.
+// suspects maps registered nodes that do not respond to when the suspicion expires. A node's entry
+// outlives the node by several seconds, during which callers, watches and budgets would otherwise
+// depend on a dead node.
 type suspects map[string]time.Time
 
-// add adds a suspicion, and tells whether the node was not suspected before. A
-// suspicion is never shortened.
+// add adds or extends a suspicion, but never shortens it. It reports whether the node was not
+// suspected before.
 func (s suspects) add(id string, until time.Time) (added bool) {
 	before, known := s[id]
 	if !known || until.After(before) {
@@ -42,14 +40,14 @@
 	return !known
 }
 
-// clear ends the suspicion of a node, and tells whether there was one.
+// clear removes the suspicion of a node, and reports whether there was one.
 func (s suspects) clear(id string) bool {
 	_, known := s[id]
 	delete(s, id)
 	return known
 }
 
-// expire removes what is over, and tells whether anything was.
+// expire removes expired suspicions, and reports whether there were any.
 func (s suspects) expire(now time.Time) (changed bool) {
 	for id, until := range s {
 		if !now.Before(until) {
@@ -60,7 +58,7 @@
 	return changed
 }
 
-// nextExpiry is when the next suspicion lapses; zero when there is none.
+// nextExpiry returns when the next suspicion expires; zero when there is none.
 func (s suspects) nextExpiry() time.Time {
 	var next time.Time
 	for _, until := range s {
@@ -69,80 +67,80 @@
 	return next
 }
 
-// ids returns the suspected nodes, sorted.
+// ids returns the IDs of the suspected nodes, sorted.
 func (s suspects) ids() []string {
-	found := make([]string, 0, len(s))
+	ids := make([]string, 0, len(s))
 	for id := range s {
-		found = append(found, id)
+		ids = append(ids, id)
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(ids)
+	return ids
 }
 
-// Suspect notes that recorded nodes do not answer, for a time. It may be called from
-// any goroutine; what comes while the follower is busy is told again soon, and is
-// dropped.
-func (f *Follower) Suspect(found []relay.Suspicion) {
+// Suspect reports nodes that do not respond. It is safe for concurrent use. Reports are dropped
+// while the follower is busy, as they are repeated.
+func (f *Follower) Suspect(suspicions []relay.Suspicion) {
 	select {
-	case f.suspected <- found:
+	case f.suspected <- suspicions:
 	default:
 	}
 }
 
-// SuspectUnresponsive is Suspect for nodes that this one has found silent now.
+// SuspectUnresponsive is like Suspect, for nodes that this one has just found unresponsive.
 func (f *Follower) SuspectUnresponsive(ids []string) {
-	found := make([]relay.Suspicion, 0, len(ids))
+	suspicions := make([]relay.Suspicion, 0, len(ids))
 	for _, id := range ids {
-		found = append(found, relay.Suspicion{ID: id, Milliseconds: suspicionTTL.Milliseconds()})
+		suspicions = append(suspicions, relay.Suspicion{ID: id, Milliseconds: suspicionTTL.Milliseconds()})
 	}
-	f.Suspect(found)
+	f.Suspect(suspicions)
 }
 
-// handleSuspicions takes suspicions in. A node never suspects itself.
-func (f *Follower) handleSuspicions(found []relay.Suspicion) {
+// handleSuspicions applies suspicions. A node never suspects itself.
+func (f *Follower) handleSuspicions(suspicions []relay.Suspicion) {
 	now := f.options.Now()
-	for _, one := range found {
-		if one.ID == f.options.Self.ID || !f.state.isRegistered(one.ID) {
+	for _, suspicion := range suspicions {
+		if suspicion.ID == f.options.Self.ID || !f.state.isRegistered(suspicion.ID) {
 			continue
 		}
-		if f.state.suspects.add(one.ID, now.Add(min(one.For(), suspicionTTL))) {
+		if f.state.suspects.add(suspicion.ID, now.Add(min(suspicion.For(), suspicionTTL))) {
 			f.state.nodesChanged = true
-			f.options.Logger.Info("node suspected", "node", one.ID)
+			f.options.Logger.Info("node suspected", "node", suspicion.ID)
 		}
 	}
 	f.state.publishSuspects()
 	f.state.publish(now)
 }
 
-// publishSuspects publishes the suspicions for those who watch this node.
+// publishSuspects publishes the suspicions to the peers that watch this node.
 func (s *state) publishSuspects() {
 	if len(s.suspects) == 0 {
 		s.publishedSuspects.Store(nil)
 		return
 	}
-	told := maps.Clone(s.suspects)
-	s.publishedSuspects.Store(&told)
+	published := maps.Clone(s.suspects)
+	s.publishedSuspects.Store(&published)
 }
 
-// suspicions returns what those who watch this node are told.
+// suspicions returns the current suspicions with their remaining time, for the peers that watch
+// this node.
 func (f *Follower) suspicions() []relay.Suspicion {
-	told := f.state.publishedSuspects.Load()
-	if told == nil {
+	published := f.state.publishedSuspects.Load()
+	if published == nil {
 		return nil
 	}
 	now := f.options.Now()
-	var found []relay.Suspicion
-	for id, until := range *told {
+	var current []relay.Suspicion
+	for id, until := range *published {
 		if left := until.Sub(now).Milliseconds(); left > 0 {
-			found = append(found, relay.Suspicion{ID: id, Milliseconds: left})
+			current = append(current, relay.Suspicion{ID: id, Milliseconds: left})
 		}
 	}
-	return found
+	return current
 }
 
-// handleSilentRelay notes that the node that was watched does not answer. It is suspected, so
-// that the next one by capacity is watched; that one finds the same out, and watches
-// the store when it is the first that is left.
+// handleSilentRelay suspects a relay that did not respond, so that the next node by capacity is
+// watched. That node detects the failure as well, and watches the store if it is the first that
+// remains.
 func (f *Follower) handleSilentRelay(from source) {
 	f.suspectAddresses([]netip.AddrPort{from.node})
 	f.probeSuccessors()
@@ -153,9 +151,8 @@
 	}
 }
 
-// probeSuccessors looks at the nodes that come next by capacity, all at once: they may
-// have been lost with the one that was watched, and watching each in vain would take
-// seconds.
+// probeSuccessors probes the next nodes by capacity concurrently. They may have failed together
+// with the relay, and trying them one by one would take seconds.
 func (f *Follower) probeSuccessors() {
 	nodes := f.options.Board.Nodes.Load()
 	if f.options.Unreachable == nil || nodes == nil {
@@ -173,18 +170,18 @@
 	f.suspectAddresses(unreachable)
 }
 
-// suspectAddresses suspects the nodes with some state addresses.
+// suspectAddresses suspects the nodes with the given state addresses.
 func (f *Follower) suspectAddresses(addresses []netip.AddrPort) {
 	nodes := f.options.Board.Nodes.Load()
 	if nodes == nil {
 		return
 	}
-	var found []relay.Suspicion
+	var suspicions []relay.Suspicion
 	for _, node := range nodes.Nodes {
 		address, err := netip.ParseAddrPort(node.StateAddress)
 		if err == nil && slices.Contains(addresses, address) {
-			found = append(found, relay.Suspicion{ID: node.ID, Milliseconds: suspicionTTL.Milliseconds()})
+			suspicions = append(suspicions, relay.Suspicion{ID: node.ID, Milliseconds: suspicionTTL.Milliseconds()})
 		}
 	}
-	f.handleSuspicions(found)
+	f.handleSuspicions(suspicions)
 }
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -14,140 +14,143 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// entryNodesAre tells whether callers are led to just these nodes.
+// entryNodesAre returns a condition that the entry nodes are exactly those wanted.
 func entryNodesAre(board *blackboard.Board, want ...string) func() bool {
 	return func() bool {
 		nodes := board.Nodes.Load()
 		if nodes == nil {
 			return false
 		}
-		var found []string
+		var ids []string
 		for _, entry := range nodes.Entries {
-			found = append(found, entry.ID)
+			ids = append(ids, entry.ID)
 		}
-		return slices.Equal(found, want)
+		return slices.Equal(ids, want)
 	}
 }
 
-// TestTheNextNodeIsWatchedWhenOneIsSilent: nodes whose power is gone stay recorded;
-// the next one by capacity takes over, and the store is not called.
-func TestTheNextNodeIsWatchedWhenOneIsSilent(t *testing.T) {
-	source, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), silent: map[uint16]bool{1001: true, 1002: true}}
+// TestNextNodeWatchedWhenRelaySilent tests that silent relays, which remain registered, are
+// replaced by the next nodes by capacity and not by the store.
+func TestNextNodeWatchedWhenRelaySilent(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), silent: map[uint16]bool{1001: true, 1002: true}}
 	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
-	board := startRelayed(t, source, relays, others)
+	board := startRelayed(t, fake, relays, others)
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
-	eventually(t, "what the third node tells is in force", tableActive(board, 9))
-	if watches := source.watchCount(); watches != 0 {
-		t.Errorf("the store is watched %d times", watches)
+	eventually(t, "the third node's change is active", tableActive(board, 9))
+	if watches := fake.watchCount(); watches != 0 {
+		t.Errorf("%d store watches", watches)
 	}
 	if !entryNodesAre(board, "c")() {
-		t.Errorf("callers are led to %v", board.Nodes.Load().Entries)
+		t.Errorf("entry nodes %v", board.Nodes.Load().Entries)
 	}
 }
 
-// TestTheFirstNodeThatIsLeftWatchesTheStore: it stood by, and is an entry node now.
-func TestTheFirstNodeThatIsLeftWatchesTheStore(t *testing.T) {
-	source, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true}}
-	source.put(nodeAtAddress(t, 1, "self", "127.0.0.1:1004"))
-	board := startRelayed(t, source, relays, twoPeers(t))
-	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
-	eventually(t, "callers are led to it", entryNodesAre(board, "self"))
+// TestFirstRemainingNodeWatchesStore tests that a standby node becomes an entry node and watches
+// the store when all nodes before it are silent.
+func TestFirstRemainingNodeWatchesStore(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true}}
+	fake.put(nodeAtAddress(t, 1, "self", "127.0.0.1:1004"))
+	board := startRelayed(t, fake, relays, twoPeers(t))
+	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
+	eventually(t, "the node is an entry node", entryNodesAre(board, "self"))
 	if board.Members.Load().Standby {
-		t.Error("it still stands by")
+		t.Error("still on standby")
 	}
-	if tried := relays.watchedNodes(); len(tried) != 2 {
-		t.Errorf("tried %v", tried)
+	if watched := relays.watchedNodes(); len(watched) != 2 {
+		t.Errorf("watched relays %v", watched)
 	}
 }
 
-// TestSuccessorsThatAreLostTooAreNotWatched: they are looked at all at once when the
-// node that is watched falls silent.
-func TestSuccessorsThatAreLostTooAreNotWatched(t *testing.T) {
+// TestUnreachableSuccessorsSkipped tests that successors that failed together with the relay are
+// probed concurrently and never watched.
+func TestUnreachableSuccessorsSkipped(t *testing.T) {
 	lost := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1002"), netip.MustParseAddrPort("127.0.0.1:1003")}
-	source, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true, 1003: true}, batches: make(chan store.WatchBatch)}
+	fake, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true, 1003: true}, batches: make(chan store.WatchBatch)}
 	for _, other := range append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005")) {
-		source.put(other)
+		fake.put(other)
 	}
-	source.put(tableAt(t, 6, 1))
+	fake.put(tableAt(t, 6, 1))
 	board := &blackboard.Board{}
 	runFollower(t, New(Options{
-		Store: source, Announcer: &fakeAnnouncer{received: make(chan announce.Announcement)}, RelayClient: relays,
+		Store: fake, Announcer: &fakeAnnouncer{received: make(chan announce.Announcement)}, RelayClient: relays,
 		Decoder: testDecoder{}, Keys: testKeys, Board: board, EntryNodes: 2, Self: topology.Node{ID: "self"},
 		MaxStaleness: time.Minute, VanishedRetention: time.Second, Unreachable: func(context.Context, []netip.AddrPort) []netip.AddrPort { return lost },
 	}))
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
-	eventually(t, "what the fourth node tells is in force", tableActive(board, 9))
-	if tried := relays.watchedNodes(); len(tried) != 2 || source.watchCount() != 0 {
-		t.Errorf("tried %v, the store is watched %d times", tried, source.watchCount())
+	eventually(t, "the fourth node's change is active", tableActive(board, 9))
+	if watched := relays.watchedNodes(); len(watched) != 2 || fake.watchCount() != 0 {
+		t.Errorf("watched relays %v, %d store watches", watched, fake.watchCount())
 	}
 }
 
-// TestWhoIsCutOffWatchesTheStore: where several nodes are silent one after the other,
-// the node does not try all of them.
-func TestWhoIsCutOffWatchesTheStore(t *testing.T) {
+// TestIsolatedNodeWatchesStore tests that a node to which all others are silent does not try each
+// of them.
+func TestIsolatedNodeWatchesStore(t *testing.T) {
 	silent := map[uint16]bool{1001: true, 1002: true, 1003: true, 1005: true}
-	source, relays := &fakeStore{}, &fakeRelayClient{silent: silent}
+	fake, relays := &fakeStore{}, &fakeRelayClient{silent: silent}
 	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005"))
-	startRelayed(t, source, relays, others)
-	eventually(t, "the store is watched", func() bool { return source.watchCount() == 1 })
-	if tried := relays.watchedNodes(); len(tried) != maxSilentRelays {
-		t.Errorf("tried %v", tried)
+	startRelayed(t, fake, relays, others)
+	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
+	if watched := relays.watchedNodes(); len(watched) != maxSilentRelays {
+		t.Errorf("watched relays %v", watched)
 	}
 }
 
-// newSuspectState is a state that knows node "a" and this one.
+// newSuspectState returns a state with the nodes "a", which is suspected, and "self".
 func newSuspectState(t *testing.T) (*state, *blackboard.Board) {
 	t.Helper()
-	known, board := newTestState(t)
-	known.put(nodeAt(t, 1, "a"))
-	known.put(nodeAt(t, 2, "self"))
-	known.suspects.add("a", start.Add(suspicionTTL))
-	known.nodesChanged = true
-	known.publish(start)
-	return known, board
+	state, board := newTestState(t)
+	state.put(nodeAt(t, 1, "a"))
+	state.put(nodeAt(t, 2, "self"))
+	state.suspects.add("a", start.Add(suspicionTTL))
+	state.nodesChanged = true
+	state.publish(start)
+	return state, board
 }
 
-func TestASuspectedNodeIsNoEntryNode(t *testing.T) {
-	known, board := newSuspectState(t)
+func TestSuspectedNodeIsNotEntryNode(t *testing.T) {
+	state, board := newSuspectState(t)
 	if !entryNodesAre(board, "self")() || !slices.Equal(board.Nodes.Load().Suspected, []string{"a"}) {
 		t.Errorf("nodes %+v", board.Nodes.Load())
 	}
-	if due := known.nextDeadline(); !due.Equal(start.Add(suspicionTTL)) {
-		t.Errorf("due at %v", due)
+	if due := state.nextDeadline(); !due.Equal(start.Add(suspicionTTL)) {
+		t.Errorf("next deadline %v", due)
 	}
-	known.publish(start.Add(suspicionTTL))
+	state.publish(start.Add(suspicionTTL))
 	if !entryNodesAre(board, "a", "self")() {
-		t.Errorf("after its time: nodes %+v", board.Nodes.Load())
+		t.Errorf("after expiry: nodes %+v", board.Nodes.Load())
 	}
 }
 
-// TestAStartedNodeIsNotSuspected: it has recorded itself anew, with the same content.
-func TestAStartedNodeIsNotSuspected(t *testing.T) {
-	known, board := newSuspectState(t)
-	known.put(nodeAt(t, 3, "a"))
-	known.publish(start)
-	if !entryNodesAre(board, "a", "self")() || known.publishedSuspects.Load() != nil {
+// TestNewRegistrationClearsSuspicion tests that a new write of a node's entry clears the suspicion,
+// even with unchanged content.
+func TestNewRegistrationClearsSuspicion(t *testing.T) {
+	state, board := newSuspectState(t)
+	state.put(nodeAt(t, 3, "a"))
+	state.publish(start)
+	if !entryNodesAre(board, "a", "self")() || state.publishedSuspects.Load() != nil {
 		t.Errorf("nodes %+v", board.Nodes.Load())
 	}
 }
 
-// TestASuspectedNodeCountsForTheBudget: it may live, and spend its part.
-func TestASuspectedNodeCountsForTheBudget(t *testing.T) {
-	known, board := newTestState(t)
-	known.put(nodeAt(t, 1, "a"))
-	known.put(nodeAt(t, 2, "self"))
-	known.publish(start)
-	known.suspects.add("a", start.Add(suspicionTTL))
-	known.nodesChanged = true
-	known.publish(start)
+// TestSuspectedNodeCountsInShared tests that a suspected node still counts in dividing shared
+// limits, as it may be alive.
+func TestSuspectedNodeCountsInShared(t *testing.T) {
+	state, board := newTestState(t)
+	state.put(nodeAt(t, 1, "a"))
+	state.put(nodeAt(t, 2, "self"))
+	state.publish(start)
+	state.suspects.add("a", start.Add(suspicionTTL))
+	state.nodesChanged = true
+	state.publish(start)
 	if shared := board.Nodes.Load().Shared; shared != 2 {
-		t.Errorf("the budget is divided by %d", shared)
+		t.Errorf("shared %d, want 2", shared)
 	}
 }
 
-// TestSuspicionsArePassedOnWithTheTimeLeft, so that two nodes that watch each other
-// do not keep one up.
-func TestSuspicionsArePassedOnWithTheTimeLeft(t *testing.T) {
+// TestSuspicionsForwardedWithRemainingTime tests that forwarding does not extend a suspicion.
+// Otherwise two nodes that watch each other would keep it alive.
+func TestSuspicionsForwardedWithRemainingTime(t *testing.T) {
 	now := start
 	f := New(Options{
 		Decoder: testDecoder{}, Keys: testKeys, Board: &blackboard.Board{}, Self: topology.Node{ID: "self"},
@@ -158,11 +161,11 @@
 	f.handleSuspicions([]relay.Suspicion{{ID: "a", Milliseconds: 3000}, {ID: "self", Milliseconds: 3000}, {ID: "unknown", Milliseconds: 3000}})
 	now = now.Add(time.Second)
 	f.handleSuspicions(f.suspicions())
-	if told := f.suspicions(); len(told) != 1 || told[0].ID != "a" || told[0].For() != 2*time.Second {
-		t.Errorf("told %v", told)
+	if suspicions := f.suspicions(); len(suspicions) != 1 || suspicions[0].ID != "a" || suspicions[0].For() != 2*time.Second {
+		t.Errorf("suspicions %v", suspicions)
 	}
 	now = now.Add(2 * time.Second)
-	if told := f.suspicions(); len(told) != 0 {
-		t.Errorf("told %v after its time", told)
+	if suspicions := f.suspicions(); len(suspicions) != 0 {
+		t.Errorf("suspicions %v after expiry", suspicions)
 	}
 }
--- a/internal/follower/validity.go
+++ b/internal/follower/validity.go
@@ -7,94 +7,93 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// The time for news is spent once: a check comes checkShare after the last one, and for the
-// node whose turn is last rankShare later; it is answered within askShare. What is known was
-// then confirmed longest ago. Requests are handled without asking for validShare; the rest is
-// for what the clock does not show.
+// The MaxStaleness budget is spent once: a check follows the last confirmation after
+// confirmationFraction, or up to rankFraction later for the node last in turn, and is answered
+// within callTimeoutFraction. Requests are handled without a check for validityFraction; the rest
+// allows for delays that the clock does not show.
 const (
-	// validityFraction is for how long what is known may be acted on from a moment at which the
-	// store had nothing beyond it. A process that has not run for a while, its machine
-	// suspended or overloaded, finds it over when it goes on, and asks before it answers.
+	// validityFraction is how long the state may be used after the time it was confirmed for. After
+	// a suspension or overload of the machine it has expired, so that the node checks before it
+	// answers.
 	validityFraction = 0.9
-	// activateByFraction is by when a configuration is in force at the latest, however long it has
+	// activateByFraction is when a configuration becomes active at the latest, however long it has
 	// waited for replicas of its new groups.
 	activateByFraction = 0.85
-	// noPauseFraction is for how long the process must have run without a pause before what it
-	// is told counts as said just now: before that, it may have lain unread in a socket. It
-	// is over gatherShare, for which what a watch tells is waited for.
+	// noPauseFraction is how long the process must have run without a pause before a message counts
+	// as just sent; before that, it may have waited unread in a socket. It must exceed
+	// batchFraction, by which watch events are delayed.
 	noPauseFraction = 0.2
-	// waitFraction is for how long a request waits until what is known is confirmed. Asking
-	// takes a call or two; a store that is silent is given up after askShare.
+	// waitFraction is how long a request waits for the state to be confirmed. That takes a call or
+	// two, and an unresponsive store is given up after callTimeoutFraction.
 	waitFraction = 0.3
 )
 
-// maxPendingObservations bounds the claims that are kept; beyond it, later ones count for nothing.
+// maxPendingObservations bounds the pending observations; later ones are dropped.
 const maxPendingObservations = 16
 
-// validity decides until when what is known may be acted on. It is pure: times are arguments.
+// validity decides until when the state may be used. It is pure: times are arguments.
 //
-// Invariant: at asOf the store held nothing beyond what has been taken in.
+// Invariant: at asOf the store held no changes that are not applied.
 type validity struct {
-	// bound is for how long what is known may be acted on from asOf on.
+	// bound is how long the state may be used after asOf.
 	bound time.Duration
 
 	asOf time.Time
-	// lastFailedAttempt is when the latest attempt began that has found nobody who could tell more:
-	// a node that is cut off goes on with what it knows.
+	// lastFailedAttempt is when the latest attempt began that reached neither the store nor a peer.
+	// An isolated node goes on with the state that it has.
 	lastFailedAttempt time.Time
-	// pending are of revisions that are not known yet, in the order in which they came.
+	// pending are observations of revisions not applied yet, in order of arrival.
 	pending []observation
 }
 
-// observation says that the store was at a revision at some time.
+// observation says that the store was at a revision at a given time.
 type observation struct {
 	revision int64
 	at       time.Time
 }
 
-// observe notes what the store, or another node, has said of it. What is said of an era of the
-// store that is over confirms nothing.
-func (v *validity) observe(made observation, known int64) {
-	if store.EraOf(made.revision) < store.EraOf(known) {
+// observe records an observation by this node or a peer. Revisions of an earlier era are ignored.
+func (v *validity) observe(seen observation, applied int64) {
+	if store.EraOf(seen.revision) < store.EraOf(applied) {
 		return
 	}
-	if made.revision <= known {
-		v.confirm(made.at)
+	if seen.revision <= applied {
+		v.confirm(seen.at)
 		return
 	}
 	if len(v.pending) < maxPendingObservations {
-		v.pending = append(v.pending, made)
+		v.pending = append(v.pending, seen)
 	}
 }
 
-// markApplied notes that everything up to a revision is known.
-func (v *validity) markApplied(known int64) {
+// markApplied confirms the pending observations of revisions up to the applied one.
+func (v *validity) markApplied(applied int64) {
 	kept := v.pending[:0]
-	for _, made := range v.pending {
-		if made.revision <= known {
-			v.confirm(made.at)
+	for _, seen := range v.pending {
+		if seen.revision <= applied {
+			v.confirm(seen.at)
 			continue
 		}
-		kept = append(kept, made)
+		kept = append(kept, seen)
 	}
 	v.pending = kept
 }
 
-// confirm notes a time at which the store held nothing beyond what is known.
+// confirm records a time at which the store held no changes that are not applied.
 func (v *validity) confirm(at time.Time) {
 	if at.After(v.asOf) {
 		v.asOf = at
 	}
 }
 
-// recordFailedAttempt notes that an attempt which began at some time has found nobody.
+// recordFailedAttempt records an attempt, by its start, that reached nobody.
 func (v *validity) recordFailedAttempt(at time.Time) {
 	if at.After(v.lastFailedAttempt) {
 		v.lastFailedAttempt = at
 	}
 }
 
-// expiresAt is when what is known may not be acted on any more without asking.
+// expiresAt returns until when the state may be used without a check.
 func (v *validity) expiresAt() time.Time {
 	if v.lastFailedAttempt.After(v.asOf) {
 		return v.lastFailedAttempt.Add(v.bound)
@@ -102,24 +101,23 @@
 	return v.asOf.Add(v.bound)
 }
 
-// validityWindow is what requests are told of the validity.
+// validityWindow tells request goroutines how long the state may be used.
 type validityWindow struct {
 	until time.Time
-	// activateBy is when a configuration that is known is in force at the latest; zero while
-	// none waits.
+	// activateBy is when a pending configuration must be active; zero when none is pending.
 	activateBy time.Time
-	// replaced is closed when another permit has taken the place of this one.
+	// replaced is closed when a newer window replaces this one.
 	replaced chan struct{}
 }
 
-// contains tells whether requests may be handled at some time.
-func (p *validityWindow) contains(now time.Time) bool {
-	return now.Before(p.until) && (p.activateBy.IsZero() || now.Before(p.activateBy))
+// contains reports whether requests may be handled at now.
+func (w *validityWindow) contains(now time.Time) bool {
+	return now.Before(w.until) && (w.activateBy.IsZero() || now.Before(w.activateBy))
 }
 
-// WaitUntilFresh waits until what this node knows of the store is sure to be no older than the time
-// for news allows, or nobody can tell more, and asks for that if need be. It returns false
-// when that has taken too long, or ctx has ended. What is known must be loaded after it.
+// WaitUntilFresh waits until the state is confirmed to be within MaxStaleness, or neither the store
+// nor a peer can be reached, and requests a check if needed. It returns false if that takes too
+// long or ctx is done. Load the state only after it returns.
 func (f *Follower) WaitUntilFresh(ctx context.Context) bool {
 	current := f.window.Load()
 	if current.contains(f.options.Now()) {
@@ -131,7 +129,7 @@
 	for {
 		select {
 		case f.refreshRequested <- struct{}{}:
-		default: // somebody has asked already
+		default: // already requested
 		}
 		select {
 		case <-bounded.Done():
@@ -145,16 +143,16 @@
 	}
 }
 
-// WaitCounts returns the number of requests that have waited in Await, and of those that did so in
-// vain.
-func (f *Follower) WaitCounts() (all, vain int64) { return f.waits.Load(), f.failedWaits.Load() }
+// WaitCounts returns the number of requests that have waited in WaitUntilFresh, and how many of
+// them gave up.
+func (f *Follower) WaitCounts() (total, failed int64) { return f.waits.Load(), f.failedWaits.Load() }
 
-// publishWindow tells requests until when what is known may be acted on.
+// publishWindow publishes the validity window to request goroutines.
 func (f *Follower) publishWindow() {
 	next := &validityWindow{until: f.validity.expiresAt(), activateBy: f.state.activation.nextDeadline()}
 	f.state.activation.latestDeadline = next.until.Add(-f.options.fraction(validityFraction - activateByFraction))
-	held := f.window.Load()
-	if next.until.Equal(held.until) && next.activateBy.Equal(held.activateBy) {
+	current := f.window.Load()
+	if next.until.Equal(current.until) && next.activateBy.Equal(current.activateBy) {
 		return
 	}
 	if next.contains(f.options.Now()) {
@@ -162,31 +160,32 @@
 	}
 	next.replaced = make(chan struct{})
 	f.window.Store(next)
-	close(held.replaced)
+	close(current.replaced)
 }
 
-// observe notes what was said of the store, as of some time, unless it may have waited unread
-// while the process stood still.
+// observe records the store's revision as of a given time, unless the message may have waited
+// unread during a pause of the process.
 func (f *Follower) observe(at time.Time, revision int64) {
 	if f.options.RanWithoutPause(f.options.fraction(noPauseFraction)) {
 		f.validity.observe(observation{revision: revision, at: at}, f.staleness.applied)
 	}
 }
 
-// markApplied notes that everything up to a revision is known.
+// markApplied records that all changes up to a revision are applied.
 func (f *Follower) markApplied(revision int64) {
 	f.staleness.markApplied(revision)
 	f.validity.markApplied(f.staleness.applied)
 }
 
-// recordUnreachable notes that an attempt to reach the store has failed.
-func (f *Follower) recordUnreachable(began time.Time) {
-	f.validity.recordFailedAttempt(began)
+// recordUnreachable records a failed attempt to reach the store.
+func (f *Follower) recordUnreachable(startedAt time.Time) {
+	f.validity.recordFailedAttempt(startedAt)
 	f.publishWindow()
 }
 
-// refresh asks the store for requests that wait. What others know by now, and this node does
-// not, is read without waiting for a watch to tell it.
+// refresh checks the store on behalf of waiting requests. If peers have announced revisions that
+// are not applied, it returns an error that leads to a full listing instead of waiting for the
+// watch.
 func (f *Follower) refresh(ctx context.Context) error {
 	now := f.options.Now()
 	f.state.publish(now)
--- a/internal/follower/validity_test.go
+++ b/internal/follower/validity_test.go
@@ -13,70 +13,71 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// TestTheTimeForNewsIsSpentOnce: on a calm day what is known is confirmed before requests have to
-// ask, and what is found out by asking is in force within the whole.
-func TestTheTimeForNewsIsSpentOnce(t *testing.T) {
-	for what, spent := range map[string]float64{
-		"until the last node in turn has confirmed":  confirmationFraction + rankFraction + callTimeoutFraction,
-		"until a deaf watch is given up and read":    confirmationFraction + graceFraction + callTimeoutFraction,
-		"until a node that is watched is given up":   confirmationFraction + graceFraction + relayGraceFraction,
-		"until a configuration has waited":           activateByFraction,
-		"until what a watch told counts as just now": confirmationFraction + noPauseFraction + batchFraction,
+// TestStalenessBudget tests that the fractions of MaxStaleness add up: in normal operation the
+// state is confirmed before requests have to wait, and what a check reveals takes effect within
+// MaxStaleness.
+func TestStalenessBudget(t *testing.T) {
+	for phase, spent := range map[string]float64{
+		"until the last node has checked":                         confirmationFraction + rankFraction + callTimeoutFraction,
+		"until a stalled watch is given up and everything listed": confirmationFraction + graceFraction + callTimeoutFraction,
+		"until a stalled relay is given up":                       confirmationFraction + graceFraction + relayGraceFraction,
+		"until a configuration is activated":                      activateByFraction,
+		"until a watch event counts as just sent":                 confirmationFraction + noPauseFraction + batchFraction,
 	} {
 		if spent > validityFraction {
-			t.Errorf("%s, %.2f of the time for news are spent; requests are handled for %.2f", what, spent, validityFraction)
+			t.Errorf("%s: %.2f of MaxStaleness spent, more than the validity of %.2f", phase, spent, validityFraction)
 		}
 	}
 	if validityFraction >= 1 || noPauseFraction <= batchFraction {
-		t.Error("nothing is left for what the clock does not show")
+		t.Error("no margin for delays that the clock does not show")
 	}
 }
 
-func TestWhatIsKnownIsValidFromWhatWasSaidOfIt(t *testing.T) {
-	held := validity{bound: time.Minute}
-	held.observe(observation{revision: 3, at: start}, 3)
-	held.observe(observation{revision: 5, at: start.Add(2 * time.Second)}, 3)
-	held.observe(observation{revision: 4, at: start.Add(time.Second)}, 3)
+func TestValidity(t *testing.T) {
+	v := validity{bound: time.Minute}
+	v.observe(observation{revision: 3, at: start}, 3)
+	v.observe(observation{revision: 5, at: start.Add(2 * time.Second)}, 3)
+	v.observe(observation{revision: 4, at: start.Add(time.Second)}, 3)
 	for _, step := range []struct {
 		known int64
 		after time.Duration
 	}{{3, 0}, {4, time.Second}, {5, 2 * time.Second}} {
-		held.markApplied(step.known)
-		if want := start.Add(step.after + time.Minute); !held.expiresAt().Equal(want) {
-			t.Errorf("with revision %d known it is valid until %v; want %v", step.known, held.expiresAt(), want)
+		v.markApplied(step.known)
+		if want := start.Add(step.after + time.Minute); !v.expiresAt().Equal(want) {
+			t.Errorf("revision %d applied: valid until %v, want %v", step.known, v.expiresAt(), want)
 		}
 	}
-	held.recordFailedAttempt(start.Add(time.Hour))
-	held.recordFailedAttempt(start)
-	if want := start.Add(time.Hour + time.Minute); !held.expiresAt().Equal(want) {
-		t.Errorf("after a vain attempt it is valid until %v; want %v", held.expiresAt(), want)
+	v.recordFailedAttempt(start.Add(time.Hour))
+	v.recordFailedAttempt(start)
+	if want := start.Add(time.Hour + time.Minute); !v.expiresAt().Equal(want) {
+		t.Errorf("after a failed attempt: valid until %v, want %v", v.expiresAt(), want)
 	}
 	later := store.RevisionIn(1, 2)
-	held.markApplied(later)
-	held.observe(observation{revision: 9, at: start.Add(3 * time.Hour)}, later)
-	if want := start.Add(time.Hour + time.Minute); !held.expiresAt().Equal(want) {
-		t.Errorf("what is said of an earlier era makes it valid until %v; want %v", held.expiresAt(), want)
+	v.markApplied(later)
+	v.observe(observation{revision: 9, at: start.Add(3 * time.Hour)}, later)
+	if want := start.Add(time.Hour + time.Minute); !v.expiresAt().Equal(want) {
+		t.Errorf("after an observation of an earlier era: valid until %v, want %v", v.expiresAt(), want)
 	}
 	for range 2 * maxPendingObservations {
-		held.observe(observation{revision: 9, at: start.Add(2 * time.Hour)}, 5)
+		v.observe(observation{revision: 9, at: start.Add(2 * time.Hour)}, 5)
 	}
-	if len(held.pending) != maxPendingObservations {
-		t.Errorf("%d claims are kept", len(held.pending))
+	if len(v.pending) != maxPendingObservations {
+		t.Errorf("%d pending observations", len(v.pending))
 	}
 }
 
-// testMaxStaleness is the time for news of the followers below.
+// testMaxStaleness is the MaxStaleness of the followers below.
 const testMaxStaleness = 3 * time.Second
 
-// suspendableFollower is a follower whose machine can be suspendableFollower: time goes by, and its timers stand
-// still.
+// suspendableFollower is a follower on a machine that can be suspended: the clock advances while
+// timers stand still.
 type suspendableFollower struct {
 	*Follower
 	store        *fakeStore
 	announcer    *fakeAnnouncer
 	board        *blackboard.Board
 	suspendedFor atomic.Int64
-	// paused is true while the process counts as just woken.
+	// paused is true while the process counts as just resumed.
 	paused atomic.Bool
 }
 
@@ -91,44 +92,45 @@
 		RanWithoutPause: func(time.Duration) bool { return !s.paused.Load() },
 	})
 	runFollower(t, s.Follower)
-	eventually(t, "the first table is in force", tableActive(s.board, 1))
+	eventually(t, "the first configuration is active", tableActive(s.board, 1))
 	return s
 }
 
 func (s *suspendableFollower) suspend(lasting time.Duration) { s.suspendedFor.Add(int64(lasting)) }
 
-// TestAwait: nothing is trusted before anything was heard; then it is at once.
-func TestAwait(t *testing.T) {
+// TestWaitUntilFresh tests that no state is fresh before the first response of the store, and that
+// it is fresh right after it.
+func TestWaitUntilFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source := &fakeStore{}
-		source.put(tableAt(t, 1, 1))
-		board, peers := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
-		made := New(Options{
-			Store: source, Announcer: peers, Decoder: testDecoder{}, Keys: testKeys, Board: board,
+		fake := &fakeStore{}
+		fake.put(tableAt(t, 1, 1))
+		board, announcer := &blackboard.Board{}, &fakeAnnouncer{received: make(chan announce.Announcement)}
+		f := New(Options{
+			Store: fake, Announcer: announcer, Decoder: testDecoder{}, Keys: testKeys, Board: board,
 			Self: topology.Node{ID: "self"}, MaxStaleness: testMaxStaleness, VanishedRetention: time.Second,
 		})
 		short, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
-		if made.WaitUntilFresh(short) {
-			t.Error("trusted before anything was heard")
+		if f.WaitUntilFresh(short) {
+			t.Error("fresh before the first response")
 		}
-		runFollower(t, made)
-		if !made.WaitUntilFresh(t.Context()) {
-			t.Error("not trusted though the store answers")
+		runFollower(t, f)
+		if !f.WaitUntilFresh(t.Context()) {
+			t.Error("not fresh though the store responds")
 		}
 	})
 }
 
-// TestAfterASuspensionRequestsWaitForNews: a configuration was written before or during a
-// suspension, and no watch tells it. A request that is sent later than the time for news after
-// it waits until it is in force, whenever the suspension came, and however short it was.
-func TestAfterASuspensionRequestsWaitForNews(t *testing.T) {
+// TestRequestsWaitAfterSuspension tests that a request sent more than MaxStaleness after a
+// configuration was written waits until it is active, though the watch has stalled and the machine
+// was suspended, at whatever time and for however long.
+func TestRequestsWaitAfterSuspension(t *testing.T) {
 	for _, lasting := range []time.Duration{200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond, testMaxStaleness, time.Hour} {
 		for before := time.Duration(0); before < testMaxStaleness; before += 100 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				s := startSuspendable(t)
 				s.store.setFaults(true, false)
-				time.Sleep(10 * time.Millisecond) // the next check comes as late as it can
+				time.Sleep(10 * time.Millisecond) // let the next check come as late as possible
 				s.store.put(tableAt(t, 9, 9))
 				sent := time.Now()
 				time.Sleep(before)
@@ -139,36 +141,38 @@
 				time.Sleep(time.Millisecond)
 				began := time.Now()
 				if !s.WaitUntilFresh(t.Context()) {
-					t.Errorf("refused, suspended for %v after %v", lasting, before)
+					t.Errorf("request refused, suspended for %v after %v", lasting, before)
 				}
 				if !tableActive(s.board, 9)() {
-					t.Errorf("handled by what was replaced, suspended for %v after %v", lasting, before)
+					t.Errorf("request handled with the old configuration, suspended for %v after %v", lasting, before)
 				}
 				if took := time.Since(began); took > 20*time.Millisecond {
-					t.Errorf("waited %v, suspended for %v after %v", took, lasting, before)
+					t.Errorf("request waited %v, suspended for %v after %v", took, lasting, before)
 				}
 			})
 		}
 	}
 }
 
-// TestACutOffNodeGoesOnAfterASuspension: the store is silent, and nobody else is there.
-func TestACutOffNodeGoesOnAfterASuspension(t *testing.T) {
+// TestIsolatedNodeServesAfterSuspension tests that a node that reaches neither the store nor a peer
+// goes on with its state.
+func TestIsolatedNodeServesAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startSuspendable(t)
 		s.store.setFaults(true, true)
 		for range 20 {
 			s.suspend(testMaxStaleness)
 			if !s.WaitUntilFresh(t.Context()) {
-				t.Error("refused, though nobody can tell more")
+				t.Error("request refused by an isolated node")
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
 }
 
-// TestRequestsDoNotWaitWhileTheStoreIsAway: they would for nothing.
-func TestRequestsDoNotWaitWhileTheStoreIsAway(t *testing.T) {
+// TestRequestsDoNotWaitDuringStoreOutage tests that requests do not wait when there is nothing to
+// wait for.
+func TestRequestsDoNotWaitDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startSuspendable(t)
 		s.store.breakWatches()
@@ -177,44 +181,44 @@
 		for range 6000 {
 			began := time.Now()
 			if !s.WaitUntilFresh(t.Context()) {
-				t.Fatal("refused")
+				t.Fatal("request refused")
 			}
 			waited += time.Since(began)
 			time.Sleep(10 * time.Millisecond)
 		}
 		if waited > time.Second {
-			t.Errorf("requests waited %v of a minute in which the store was away", waited)
+			t.Errorf("requests waited %v in a minute of store outage", waited)
 		}
 	})
 }
 
-// TestRequestsAskNothingOnACalmDay: what the follower does by itself confirms what is known in
-// time.
-func TestRequestsAskNothingOnACalmDay(t *testing.T) {
+// TestRequestsCauseNoStoreCalls tests that in normal operation the follower's own checks keep the
+// state fresh.
+func TestRequestsCauseNoStoreCalls(t *testing.T) {
 	calls := func(requests bool) int {
-		made := 0
+		total := 0
 		synctest.Test(t, func(t *testing.T) {
 			s := startSuspendable(t)
 			for range 6000 {
 				began := time.Now()
 				if requests && (!s.WaitUntilFresh(t.Context()) || time.Since(began) > 0) {
-					t.Fatal("a request waited")
+					t.Fatal("request waited")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			lists, gets := s.store.counts()
-			made = lists + gets
+			total = lists + gets
 		})
-		return made
+		return total
 	}
 	if without, with := calls(false), calls(true); with != without || without < 10 {
-		t.Errorf("%d calls with requests in a minute, %d without", with, without)
+		t.Errorf("%d store calls with requests in a minute, %d without", with, without)
 	}
 }
 
-// TestAnAnnouncementThatLayUnreadConfirmsNothing: it says how old it was when it was sent, and
-// has lain in the socket of a process that stood still.
-func TestAnAnnouncementThatLayUnreadConfirmsNothing(t *testing.T) {
+// TestDelayedAnnouncementDoesNotConfirm tests that an announcement that may have waited in the
+// socket of a paused process confirms nothing, as its age is that at sending.
+func TestDelayedAnnouncementDoesNotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startSuspendable(t)
 		s.store.setFaults(true, true)
@@ -224,7 +228,7 @@
 		s.announcer.received <- announce.Announcement{Revision: 1}
 		synctest.Wait()
 		if after := s.window.Load().until; !after.Equal(before) {
-			t.Errorf("valid for %v longer", after.Sub(before))
+			t.Errorf("validity extended by %v", after.Sub(before))
 		}
 	})
 }
--- a/internal/follower/watch.go
+++ b/internal/follower/watch.go
@@ -12,11 +12,11 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// errWatchLagging ends a watch that has not told what other nodes know.
-var errWatchLagging = eris.New("the watch has missed news")
+// errWatchLagging ends a watch that has not delivered revisions announced by peers.
+var errWatchLagging = eris.New("watch lags behind an announced revision")
 
-// watch follows the changes after a revision until that fails, from one source
-// or, as the nodes come and go, from several in turn.
+// watch follows the changes after a revision, switching between sources as needed, until a watch
+// fails.
 func (f *Follower) watch(ctx context.Context, revision int64) error {
 	for {
 		from := f.chooseSource()
@@ -28,9 +28,8 @@
 	}
 }
 
-// canSwitchSource tells whether another source can be watched from where one has ended. The
-// store keeps its history for a while, so that nothing has to be read anew because
-// another node could not tell of it.
+// canSwitchSource reports whether watching can go on with another source. The store keeps its
+// history for a while, so that the failure of a relay does not require a full listing.
 func (f *Follower) canSwitchSource(from source, err error) bool {
 	switch {
 	case errors.Is(err, errSourceChanged):
@@ -38,7 +37,7 @@
 	case !from.node.IsValid():
 		return false
 	case errors.Is(err, errWatchLagging):
-		f.recordRelayFailures(maxRelayFailures) // whoever watches the store is behind as well
+		f.recordRelayFailures(maxRelayFailures) // the relay's source is lagging as well
 		f.relayLagged = true
 		f.staleness.restartGrace(f.options.Now())
 	case errors.Is(err, relay.ErrForgotten):
@@ -54,20 +53,20 @@
 	return true
 }
 
-// watchSource runs a watch of one source beside the checks.
+// watchSource watches one source, and checks the store's revision when due.
 func (f *Follower) watchSource(ctx context.Context, from source, revision int64) error {
-	began := f.options.Now()
-	watching, cancel := context.WithCancel(ctx)
+	startedAt := f.options.Now()
+	watchCtx, cancel := context.WithCancel(ctx)
 	batches, ended := make(chan store.WatchBatch), make(chan error, 1)
 	go func() {
-		ended <- from.watch(watching, revision+1, func(batch store.WatchBatch) error {
+		ended <- from.watch(watchCtx, revision+1, func(batch store.WatchBatch) error {
 			select {
 			case batches <- batch:
-			case <-watching.Done():
-				return watching.Err()
+			case <-watchCtx.Done():
+				return watchCtx.Err()
 			}
-			if len(batch.Events) > 0 && !batch.Relayed { // who relays has gathered them
-				sleep(watching, f.options.fraction(batchFraction))
+			if len(batch.Events) > 0 && !batch.Relayed { // a relay has already batched them
+				sleep(watchCtx, f.options.fraction(batchFraction))
 			}
 			return nil
 		})
@@ -83,16 +82,16 @@
 			return ctx.Err()
 		case err := <-ended:
 			if !from.node.IsValid() {
-				f.recordUnreachable(began)
+				f.recordUnreachable(startedAt)
 			}
 			return err
 		case batch := <-batches:
 			f.consecutiveSilent = 0
 			f.handleBatch(batch)
-		case news := <-f.options.Announcer.Received():
-			f.handleAnnouncement(news)
-		case found := <-f.suspected:
-			f.handleSuspicions(found)
+		case announcement := <-f.options.Announcer.Received():
+			f.handleAnnouncement(announcement)
+		case suspicions := <-f.suspected:
+			f.handleSuspicions(suspicions)
 		case <-f.refreshRequested:
 			if err := f.refresh(ctx); err != nil {
 				return err
@@ -109,7 +108,7 @@
 	}
 }
 
-// watchGrace is what a watch may take to tell what others know already.
+// watchGrace returns how long a watch may lag behind an announced revision.
 func (f *Follower) watchGrace(from source) time.Duration {
 	switch {
 	case f.refreshing:
@@ -123,8 +122,8 @@
 	}
 }
 
-// eraGrace is what a watch may take to tell what others know of a later era of the store.
-// The store's own watch cannot tell it; a node that is watched reads everything first.
+// eraGrace returns how long a watch may lag behind an announced revision of a later era. The
+// store's watch cannot deliver a new era, while a relay lists everything first.
 func (f *Follower) eraGrace(from source) time.Duration {
 	if from.node.IsValid() {
 		return f.watchGrace(from)
@@ -132,10 +131,10 @@
 	return 0
 }
 
-// idleWait is how long is waited when nothing is due.
+// idleWait is how long to wait when nothing is due.
 const idleWait = time.Hour
 
-// untilNextWake is the time until something is due.
+// untilNextWake returns the time until something is due.
 func (f *Follower) untilNextWake() time.Duration {
 	at := f.nextWake()
 	if at.IsZero() {
@@ -144,13 +143,13 @@
 	return at.Sub(f.options.Now())
 }
 
-// nextWake is when the next check, the end of a deaf watch, or a change of the state
-// is due; zero when nothing is.
+// nextWake returns when the next check, watch deadline, or change of state is due; zero when
+// nothing is.
 func (f *Follower) nextWake() time.Time {
 	return earliest(f.nextCheck(), f.staleness.watchDeadline(), f.state.nextDeadline())
 }
 
-// nextCheck is when this node asks the store next; zero while it leaves it alone.
+// nextCheck returns when this node checks the store's revision next; zero while it backs off.
 func (f *Follower) nextCheck() time.Time {
 	if f.backingOff {
 		return time.Time{}
@@ -158,7 +157,7 @@
 	return f.staleness.nextCheck(f.rank())
 }
 
-// earliest returns the first of some times; zero ones do not count.
+// earliest returns the earliest of the non-zero times; zero if there is none.
 func earliest(times ...time.Time) time.Time {
 	var first time.Time
 	for _, at := range times {
@@ -169,7 +168,7 @@
 	return first
 }
 
-// rank is this node's place among those that are known, and sets the slot.
+// rank returns this node's position among the known nodes, and sets the delay per rank.
 func (f *Follower) rank() int {
 	nodes := f.options.Board.Nodes.Load()
 	if nodes == nil || len(nodes.Nodes) == 0 {
@@ -184,35 +183,35 @@
 	return len(nodes.Nodes)
 }
 
-// handleTimer does what the timer was set for.
+// handleTimer does what is due.
 func (f *Follower) handleTimer(ctx context.Context) error {
 	now := f.options.Now()
 	f.state.publish(now)
-	if giveUp := f.staleness.watchDeadline(); !giveUp.IsZero() && !now.Before(giveUp) {
+	if deadline := f.staleness.watchDeadline(); !deadline.IsZero() && !now.Before(deadline) {
 		return errWatchLagging
 	}
-	if at := f.nextCheck(); at.IsZero() || now.Before(at) {
+	if checkAt := f.nextCheck(); checkAt.IsZero() || now.Before(checkAt) {
 		return nil
 	}
 	return f.checkRevision(ctx)
 }
 
-// checkRevision asks the store for its revision and tells the others.
+// checkRevision queries the store's revision and announces it to peers.
 func (f *Follower) checkRevision(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, f.options.fraction(callTimeoutFraction))
 	defer cancel()
-	asked := f.options.Now()
+	calledAt := f.options.Now()
 	var revision int64
 	var err error
 	f.callStore(func() { _, _, revision, err = f.options.Store.Get(bounded, f.options.Keys.Configuration) })
 	if err != nil {
-		f.recordUnreachable(asked)
+		f.recordUnreachable(calledAt)
 		return err
 	}
 	now := f.options.Now()
 	f.recordResponse(now)
-	f.validity.observe(observation{revision: revision, at: asked}, f.staleness.applied)
-	f.confirm(now, asked, revision)
-	f.options.Announcer.Send(announce.Announcement{Revision: revision, AgeMilliseconds: now.Sub(asked).Milliseconds()})
+	f.validity.observe(observation{revision: revision, at: calledAt}, f.staleness.applied)
+	f.confirm(now, calledAt, revision)
+	f.options.Announcer.Send(announce.Announcement{Revision: revision, AgeMilliseconds: now.Sub(calledAt).Milliseconds()})
 	return nil
 }
