--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -154,8 +154,8 @@
 	}
 	snapshots.set(handover.Snapshot{Revision: 9, Values: []store.KeyValue{tableAt(t, 9, 9)}})
 	eventually(t, "the peer snapshot is active", tableActive(board, 9))
-	if handed, known := f.Snapshot(); !known || handed.Revision != 9 || len(handed.Values) != 1 {
-		t.Errorf("snapshot %+v, %v", handed, known)
+	if snapshot, known := f.Snapshot(); !known || snapshot.Revision != 9 || len(snapshot.Values) != 1 {
+		t.Errorf("snapshot %+v, %v", snapshot, known)
 	}
 	cancel()
 	if err := <-ended; err != nil {
--- a/internal/follower/initial_sync_test.go
+++ b/internal/follower/initial_sync_test.go
@@ -14,11 +14,11 @@
 // register, and watches the store only if it is the first.
 func TestSimultaneousStartWatchesFirstNode(t *testing.T) {
 	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch)}
-	recording := time.AfterFunc(startupDelay/4, func() {
+	registration := time.AfterFunc(startupDelay/4, func() {
 		fake.put(nodeAtAddress(t, 8, "a", "127.0.0.1:1001"))
 		fake.put(nodeAtAddress(t, 9, "self", "127.0.0.1:1004"))
 	})
-	defer recording.Stop()
+	defer registration.Stop()
 	board := startRelayed(t, fake, relays, nil)
 	eventually(t, "the configuration is active", tableActive(board, 1))
 	eventually(t, "the first node is watched", func() bool { return len(relays.watchedNodes()) == 1 })
@@ -115,8 +115,8 @@
 // off when the store is available but has compacted the requested history.
 func TestResyncImmediatelyAfterCompaction(t *testing.T) {
 	fake, relays := &fakeStore{}, &fakeRelayClient{broken: true}
-	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
-	board := startRelayed(t, fake, relays, others)
+	peers := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
+	board := startRelayed(t, fake, relays, peers)
 	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
 	fake.mutex.Lock()
 	fake.compactedWatches = 1
--- a/internal/follower/restore_test.go
+++ b/internal/follower/restore_test.go
@@ -33,8 +33,8 @@
 	state.publish(start)
 	state.replaceAfterRestore(start, withEra(1, replicaAt(t, 2, "a", topology.ReplicaServing)))
 	state.replaceAfterRestore(start.Add(time.Second), withEra(2, replicaAt(t, 2, "a", topology.ReplicaServing)))
-	kept := start.Add(time.Second + rewriteGrace - time.Millisecond)
-	state.publish(kept)
+	before := start.Add(time.Second + rewriteGrace - time.Millisecond)
+	state.publish(before)
 	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" || !state.evacuated["z9"] || board.Routes.Load().Version != 1 {
 		t.Errorf("within the grace period, evacuated %v (-want +got):\n%s", state.evacuated, diff)
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -33,8 +33,8 @@
 // add adds or extends a suspicion, but never shortens it. It reports whether the node was not
 // suspected before.
 func (s suspects) add(id string, until time.Time) (added bool) {
-	before, known := s[id]
-	if !known || until.After(before) {
+	previous, known := s[id]
+	if !known || until.After(previous) {
 		s[id] = until
 	}
 	return !known
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -33,8 +33,8 @@
 // replaced by the next nodes by capacity and not by the store.
 func TestNextNodeWatchedWhenRelaySilent(t *testing.T) {
 	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), silent: map[uint16]bool{1001: true, 1002: true}}
-	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
-	board := startRelayed(t, fake, relays, others)
+	peers := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
+	board := startRelayed(t, fake, relays, peers)
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
 	eventually(t, "the third node's change is active", tableActive(board, 9))
 	if watches := fake.watchCount(); watches != 0 {
@@ -88,8 +88,8 @@
 func TestIsolatedNodeWatchesStore(t *testing.T) {
 	silent := map[uint16]bool{1001: true, 1002: true, 1003: true, 1005: true}
 	fake, relays := &fakeStore{}, &fakeRelayClient{silent: silent}
-	others := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005"))
-	startRelayed(t, fake, relays, others)
+	peers := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005"))
+	startRelayed(t, fake, relays, peers)
 	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
 	if watched := relays.watchedNodes(); len(watched) != maxSilentRelays {
 		t.Errorf("watched relays %v", watched)
--- a/internal/follower/validity_test.go
+++ b/internal/follower/validity_test.go
@@ -39,12 +39,12 @@
 	v.observe(observation{revision: 5, at: start.Add(2 * time.Second)}, 3)
 	v.observe(observation{revision: 4, at: start.Add(time.Second)}, 3)
 	for _, step := range []struct {
-		known int64
-		after time.Duration
+		applied int64
+		after   time.Duration
 	}{{3, 0}, {4, time.Second}, {5, 2 * time.Second}} {
-		v.markApplied(step.known)
+		v.markApplied(step.applied)
 		if want := start.Add(step.after + time.Minute); !v.expiresAt().Equal(want) {
-			t.Errorf("revision %d applied: valid until %v, want %v", step.known, v.expiresAt(), want)
+			t.Errorf("revision %d applied: valid until %v, want %v", step.applied, v.expiresAt(), want)
 		}
 	}
 	v.recordFailedAttempt(start.Add(time.Hour))
