--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -35,7 +35,7 @@
 
 // Forwarder passes requests on.
 type Forwarder interface {
-	Forward(ctx context.Context, forwarding *query.Forwarding) (query.Forwarded, error)
+	Forward(ctx context.Context, forwarding *query.ForwardRequest) (query.ForwardResult, error)
 }
 
 // Options are what a Handler needs.
@@ -97,15 +97,15 @@
 	h.refuse(w, failure.New(failure.Internal, "a fault of this program"))
 }
 
-func (h *Handler) forward(r *http.Request, id string, wait time.Duration) (*routing.Route, query.Forwarded, error) {
+func (h *Handler) forward(r *http.Request, id string, wait time.Duration) (*routing.Route, query.ForwardResult, error) {
 	if h.options.Board.Routes.Load() == nil {
-		return nil, query.Forwarded{}, failure.New(failure.NoTable, "no routes are known yet")
+		return nil, query.ForwardResult{}, failure.New(failure.NoTable, "no routes are known yet")
 	}
 	began := time.Now()
 	trusted := h.options.Await(r.Context())
 	waited := time.Since(began) // of the request's time: nothing is sent for longer than is left
 	if !trusted {
-		return nil, query.Forwarded{}, failure.New(failure.StaleTable, "the routes could not be confirmed after a pause")
+		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "the routes could not be confirmed after a pause")
 	}
 	table := h.options.Board.Routes.Load() // after the wait, which may bring another one
 	target := r.RequestURI
@@ -115,16 +115,16 @@
 	path, _, _ := strings.Cut(target, "?")
 	route := table.Match(r.Host, path)
 	if route == nil {
-		return nil, query.Forwarded{}, failure.New(failure.NotFound, "no route for this host and path")
+		return nil, query.ForwardResult{}, failure.New(failure.NotFound, "no route for this host and path")
 	}
 	body, err := readBody(r, table.Limits.BodyBytes)
 	if err != nil {
-		return route, query.Forwarded{}, err
+		return route, query.ForwardResult{}, err
 	}
 	message := &upstream.Message{
 		ID: id, Caller: callerOf(r), Method: r.Method, Target: target, Host: r.Host, Header: endToEnd(r.Header), Body: body,
 	}
-	answer, err := h.options.Forwarder.Forward(r.Context(), &query.Forwarding{Message: message, Route: route, Wait: wait, Waited: waited})
+	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, Wait: wait, Waited: waited})
 	return route, answer, err
 }
 
@@ -159,7 +159,7 @@
 }
 
 // write answers with what the replicas answered.
-func (h *Handler) write(w http.ResponseWriter, answer query.Forwarded) {
+func (h *Handler) write(w http.ResponseWriter, answer query.ForwardResult) {
 	header := w.Header()
 	status, body := http.StatusOK, answer.Records
 	if answer.Reply != nil {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -41,12 +41,12 @@
 
 // fakeForwarder gives one answer and keeps what it was asked.
 type fakeForwarder struct {
-	answer query.Forwarded
+	answer query.ForwardResult
 	err    error
-	asked  *query.Forwarding
+	asked  *query.ForwardRequest
 }
 
-func (f *fakeForwarder) Forward(_ context.Context, asked *query.Forwarding) (query.Forwarded, error) {
+func (f *fakeForwarder) Forward(_ context.Context, asked *query.ForwardRequest) (query.ForwardResult, error) {
 	f.asked = asked
 	return f.answer, f.err
 }
@@ -94,7 +94,7 @@
 }
 
 func TestARequestIsPassedOnUnaltered(t *testing.T) {
-	forwarder := &fakeForwarder{answer: query.Forwarded{Reply: &upstream.Reply{
+	forwarder := &fakeForwarder{answer: query.ForwardResult{Reply: &upstream.Reply{
 		Status: 201, Header: http.Header{"X-Own": {"1"}, "Keep-Alive": {"timeout=3"}, "Content-Length": {"9"}}, Body: []byte("made"),
 	}}}
 	r := request(http.MethodPost, "/p//a%2fb?x=%20&y", "body")
@@ -120,7 +120,7 @@
 }
 
 func TestAScatteredAnswerNamesItsParts(t *testing.T) {
-	forwarder := &fakeForwarder{answer: query.Forwarded{Records: []byte("records"), Signatures: []string{"s1", "s2"}, Missing: 1}}
+	forwarder := &fakeForwarder{answer: query.ForwardResult{Records: []byte("records"), Signatures: []string{"s1", "s2"}, Missing: 1}}
 	got := serveOne(newTestHandler(forwarder, nil), request(http.MethodGet, "/p/", ""))
 	if got.Code != 200 || got.Body.String() != "records" || got.Header().Get("Parts") != "s1,s2" || got.Header().Get("Missing") != "x" {
 		t.Errorf("answer %d %v %q", got.Code, got.Header(), got.Body)
@@ -182,7 +182,7 @@
 // panickingForwarder has a fault.
 type panickingForwarder struct{}
 
-func (panickingForwarder) Forward(context.Context, *query.Forwarding) (query.Forwarded, error) {
+func (panickingForwarder) Forward(context.Context, *query.ForwardRequest) (query.ForwardResult, error) {
 	panic("fault")
 }
 
@@ -208,7 +208,7 @@
 
 func TestAStoppingNodeEndsItsConnections(t *testing.T) {
 	for _, phase := range []blackboard.Phase{blackboard.PhaseServing, blackboard.PhaseDraining, blackboard.PhaseClosing} {
-		forwarder := &fakeForwarder{answer: query.Forwarded{Records: []byte("x")}}
+		forwarder := &fakeForwarder{answer: query.ForwardResult{Records: []byte("x")}}
 		handler := newTestHandler(forwarder, func(o *Options) { o.Board.Phase.Publish(&phase) })
 		got := serveOne(handler, request(http.MethodGet, "/p/", ""))
 		if ends := got.Header().Get("Connection") == "close"; got.Code != 200 || ends != (phase != blackboard.PhaseServing) {
--- a/internal/ingress/log.go
+++ b/internal/ingress/log.go
@@ -35,7 +35,7 @@
 	id      string
 	// route is nil when there was none.
 	route  *routing.Route
-	answer *query.Forwarded
+	answer *query.ForwardResult
 	err    error
 	took   time.Duration
 }
--- a/internal/ingress/log_test.go
+++ b/internal/ingress/log_test.go
@@ -44,10 +44,10 @@
 		message   string
 		want      []string
 	}{
-		{"answered", &fakeForwarder{answer: query.Forwarded{Attempts: 4}}, messageAnswered, []string{"route", "attempts", "configuration"}},
-		{"in part", &fakeForwarder{answer: query.Forwarded{Missing: 1, Trace: trace}}, messagePartial, []string{"missing", "shards"}},
-		{"late", &fakeForwarder{answer: query.Forwarded{Late: true, Trace: trace}}, messageLate, []string{"shards"}},
-		{"failed", &fakeForwarder{answer: query.Forwarded{Trace: trace}, err: failure.New(failure.InsufficientCoverage, "2 of 4")}, messageNotServed, []string{"kind", "not_run", "reason", "shards", "caller", "target"}},
+		{"answered", &fakeForwarder{answer: query.ForwardResult{Attempts: 4}}, messageAnswered, []string{"route", "attempts", "configuration"}},
+		{"in part", &fakeForwarder{answer: query.ForwardResult{Missing: 1, Trace: trace}}, messagePartial, []string{"missing", "shards"}},
+		{"late", &fakeForwarder{answer: query.ForwardResult{Late: true, Trace: trace}}, messageLate, []string{"shards"}},
+		{"failed", &fakeForwarder{answer: query.ForwardResult{Trace: trace}, err: failure.New(failure.InsufficientCoverage, "2 of 4")}, messageNotServed, []string{"kind", "not_run", "reason", "shards", "caller", "target"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/query/budget_virtual_test.go
+++ b/internal/query/budget_virtual_test.go
@@ -321,7 +321,7 @@
 		n.requests = append(n.requests, time.Now())
 		sending.Go(func() {
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
-			_, err := nodes[number%len(nodes)].Forward(context.Background(), &query.Forwarding{Message: message, Route: route})
+			_, err := nodes[number%len(nodes)].Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route})
 			if err == nil {
 				answered.Add(1)
 			}
--- a/internal/query/crashing_request_virtual_test.go
+++ b/internal/query/crashing_request_virtual_test.go
@@ -143,7 +143,7 @@
 				ID: fmt.Sprint("c", number, "-", try), Caller: caller(number, try),
 				Method: http.MethodGet, Target: crashingTarget, Host: "h",
 			}
-			_, _ = services[(number+try)%len(services)].Forward(context.Background(), &query.Forwarding{Message: message, Route: route})
+			_, _ = services[(number+try)%len(services)].Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route})
 			if number == 0 && try == 0 {
 				n.mutex.Lock()
 				firstTry = len(n.ends)
@@ -166,7 +166,7 @@
 				ID: fmt.Sprint("q", number), Caller: netip.AddrFrom4([4]byte{198, 51, 100, byte(number)}),
 				Method: http.MethodGet, Target: target(number), Host: "h",
 			}
-			_, err := services[number%len(services)].Forward(context.Background(), &query.Forwarding{Message: message, Route: route})
+			_, err := services[number%len(services)].Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route})
 			switch {
 			case err == nil:
 				answered.Add(1)
--- a/internal/query/ended.go
+++ b/internal/query/ended.go
@@ -9,7 +9,7 @@
 
 // endsPlan says how replicas that end under a request speak against it, beside what is known
 // of it already.
-func (s *Service) endsPlan(forwarding *Forwarding, known decision.Evidence) decision.EndsPlan {
+func (s *Service) endsPlan(forwarding *ForwardRequest, known decision.Evidence) decision.EndsPlan {
 	if s.options.Quarantine == nil {
 		return decision.EndsPlan{}
 	}
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -38,8 +38,8 @@
 	lingerTime = 300 * time.Millisecond
 )
 
-// Forwarding is a request that is passed on as it is.
-type Forwarding struct {
+// ForwardRequest is a request that is passed on as it is.
+type ForwardRequest struct {
 	Message *upstream.Message
 	// Route is pinned for the whole request.
 	Route *routing.Route
@@ -51,7 +51,7 @@
 }
 
 // deadline is how much of the request's time is left: of its caller's, and of its route's.
-func (f *Forwarding) deadline() time.Duration {
+func (f *ForwardRequest) deadline() time.Duration {
 	deadline := time.Duration(f.Route.Policy.Wait.Timeout)
 	if f.Wait > 0 {
 		deadline = min(deadline, f.Wait)
@@ -59,8 +59,8 @@
 	return deadline - f.Waited
 }
 
-// Forwarded is the answer to a Forwarding.
-type Forwarded struct {
+// ForwardResult is the answer to a Forwarding.
+type ForwardResult struct {
 	// Reply is a replica's answer; nil for a scattered request.
 	Reply *upstream.Reply
 	// Records are the merged records of a scattered request, Signatures those
@@ -102,44 +102,44 @@
 // forwardRun is a run of a forwarded request.
 type forwardRun struct {
 	*run
-	forwarding *Forwarding
+	forwarding *ForwardRequest
 	terms      replica.Terms
 }
 
 // Forward passes a request on to one replica of a service, or to one of each
 // shard. Errors are *failure.Error; NotRun is true only when no replica ran
 // any part of it.
-func (s *Service) Forward(ctx context.Context, forwarding *Forwarding) (Forwarded, error) {
+func (s *Service) Forward(ctx context.Context, forwarding *ForwardRequest) (ForwardResult, error) {
 	started := s.options.Now()
 	if errors.Is(context.Cause(ctx), ErrStopping) {
 		err := failure.New(failure.Draining, "the node stops")
 		s.metrics.observe(0, err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	row, deadline := forwarding.Route.Policy, forwarding.deadline()
 	if deadline <= 0 {
 		err := failure.New(failure.DeadlineExceeded, "the request's time was over before it could be passed on").WithNotRun(true)
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	suspicion := s.options.Quarantine.Suspicion(forwarding.Message)
 	if suspicion.RefuseFor > 0 {
 		s.options.Quarantine.Refused()
 		err := failure.New(failure.Quarantined, "replicas have ended by running this request").WithRetryAfter(suspicion.RefuseFor)
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	groups := s.groupsOf(forwarding.Route)
 	terms := s.termsOf(forwarding.Route)
 	if err := s.checkServable(forwarding.Route, groups, terms); err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	target := s.targets.Of(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	defer ticket.Release()
 	current := s.newForwardRun(forwarding, groups, terms, deadline, target.Loaded(started), suspicion.Evidence)
@@ -190,7 +190,7 @@
 }
 
 func (s *Service) newForwardRun(
-	forwarding *Forwarding, groups []string, terms replica.Terms, deadline time.Duration, overloaded bool,
+	forwarding *ForwardRequest, groups []string, terms replica.Terms, deadline time.Duration, overloaded bool,
 	known decision.Evidence,
 ) *forwardRun {
 	route := forwarding.Route
@@ -249,8 +249,8 @@
 func (r *forwardRun) otherSnapshot() bool { return false }
 
 // conclude turns the run into an answer or an error.
-func (r *forwardRun) conclude() (Forwarded, error) {
-	answer := Forwarded{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
+func (r *forwardRun) conclude() (ForwardResult, error) {
+	answer := ForwardResult{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
 	answer.Late = r.inbox.Elapsed() > r.forwarding.Route.Objective
 	if answer.Late || r.core.Answered() < len(r.shards) {
 		answer.Trace = r.trace()
@@ -282,7 +282,7 @@
 }
 
 // concludePlain hands on the replica's answer, also its own failure.
-func (r *forwardRun) concludePlain(answer Forwarded) (Forwarded, error) {
+func (r *forwardRun) concludePlain(answer ForwardResult) (ForwardResult, error) {
 	shard := &r.shards[0]
 	switch {
 	case shard.part != nil:
--- a/internal/query/forward_bench_test.go
+++ b/internal/query/forward_bench_test.go
@@ -83,7 +83,7 @@
 	message := &upstream.Message{ID: "m", Method: http.MethodGet, Target: "/", Host: "h"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := service.Forward(context.Background(), &query.Forwarding{Message: message, Route: route}); err != nil {
+		if _, err := service.Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -204,7 +204,7 @@
 		sending.Go(func() {
 			started := time.Now()
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
-			answer, err := service.Forward(context.Background(), &query.Forwarding{Message: message, Route: route})
+			answer, err := service.Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route})
 			mutex.Lock()
 			defer mutex.Unlock()
 			result.requests++
@@ -293,7 +293,7 @@
 	for number := range restartBacklog {
 		sending.Go(func() {
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
-			if _, err := service.Forward(context.Background(), &query.Forwarding{Message: message, Route: route}); err == nil {
+			if _, err := service.Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route}); err == nil {
 				answered.Add(1)
 			}
 		})
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -86,7 +86,7 @@
 			}
 			under := &forwardRun{
 				run:        &run{plan: plan, core: decision.New(plan), shards: test.shards},
-				forwarding: &Forwarding{Route: &routing.Route{Objective: objective}},
+				forwarding: &ForwardRequest{Route: &routing.Route{Objective: objective}},
 			}
 			under.halfAt = time.Millisecond
 			if got := under.endedWith(objective); got.Strained != test.delayed || got.Objective != objective {
