--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -146,7 +146,7 @@
 		return "starting"
 	case *phase != blackboard.PhaseServing:
 		return "stopping"
-	case h.options.Board.Table.Load() == nil:
+	case h.options.Board.PolicyTable.Load() == nil:
 		return "no policy table is known yet"
 	case h.options.Board.Catalogue.Load() == nil:
 		return "no catalogue is known yet"
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -93,7 +93,7 @@
 	board := &blackboard.Board{}
 	serving := blackboard.PhaseServing
 	board.Phase.Publish(&serving)
-	board.Table.Publish(policy.NewIndex(&policy.Table{Revision: 8, Policies: []policy.Row{{Name: "fast"}}}))
+	board.PolicyTable.Publish(policy.NewIndex(&policy.Table{Revision: 8, Policies: []policy.Row{{Name: "fast"}}}))
 	members := []topology.Member{{ID: "a", PeerAddress: "a"}, {ID: "b", PeerAddress: "b"}, {ID: "c", PeerAddress: "c"}}
 	board.Catalogue.Publish(&catalogue.Catalogue{})
 	board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{}})
@@ -195,7 +195,7 @@
 		board := &blackboard.Board{}
 		board.Phase.Publish(&phase)
 		for _, publish := range []func(){
-			func() { board.Table.Publish(policy.NewIndex(&policy.Table{})) },
+			func() { board.PolicyTable.Publish(policy.NewIndex(&policy.Table{})) },
 			func() { board.Catalogue.Publish(&catalogue.Catalogue{}) },
 			func() { board.Replicas.Publish(&topology.Replicas{}) },
 		}[:parts] {
--- a/internal/admin/compare.go
+++ b/internal/admin/compare.go
@@ -37,7 +37,7 @@
 // that was deleted lately can still be compared.
 func (h *handler) checkKnown(measured [][]statistics.PolicyStatistics, names ...string) error {
 	known := make(map[string]bool)
-	if index := h.options.Board.Table.Load(); index != nil {
+	if index := h.options.Board.PolicyTable.Load(); index != nil {
 		for _, row := range index.Table.Policies {
 			known[row.Name] = true
 		}
--- a/internal/admin/table.go
+++ b/internal/admin/table.go
@@ -33,7 +33,7 @@
 }
 
 func (h *handler) index() (*policy.Index, error) {
-	index := h.options.Board.Table.Load()
+	index := h.options.Board.PolicyTable.Load()
 	if index == nil {
 		return nil, failure.New(failure.NoTable, "this daemon knows no policy table yet")
 	}
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -39,8 +39,8 @@
 
 // Board is the blackboard of one daemon.
 type Board struct {
-	// Table is written by package policytable.
-	Table Section[policy.Index]
+	// PolicyTable is written by package policytable.
+	PolicyTable Section[policy.Index]
 	// Routes is written by package follower.
 	Routes Section[routing.Table]
 	// Nodes is written by package follower.
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -25,7 +25,7 @@
 }
 
 func (d *Daemon) tableRevision() float64 {
-	if table := d.board.Table.Load(); table != nil {
+	if table := d.board.PolicyTable.Load(); table != nil {
 		return float64(table.Table.Revision)
 	}
 	return 0
--- a/internal/daemon/operate_test.go
+++ b/internal/daemon/operate_test.go
@@ -60,12 +60,12 @@
 	// kofi's edit is made while ama's command line has read the table but not
 	// sent its own: the watch of the daemon is held back meanwhile.
 	second, _ := startDaemon(t, running, nil, unchanged)
-	eventually(t, "the second daemon has the table", func() bool { return second.board.Table.Load() != nil })
+	eventually(t, "the second daemon has the table", func() bool { return second.board.PolicyTable.Load() != nil })
 	if err := running.Store.SetFaults(kv.Faults{FreezeWatches: true}); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, second, operator.ExitOK, "revision 2", "policy set fast retry.attempts=3 --author kofi")
-	if first.board.Table.Load().Table.Revision != 1 {
+	if first.board.PolicyTable.Load().Table.Revision != 1 {
 		t.Fatal("the first daemon has heard of the change already")
 	}
 	conflict := expect(t, first, operator.ExitConflict, "changed by kofi at revision 2", "policy set fast retry.attempts=4 --author ama")
--- a/internal/daemon/restore.go
+++ b/internal/daemon/restore.go
@@ -43,7 +43,7 @@
 // unchangedTable is the answer where only calls were to be let go on.
 func (e *restoringEditor) unchangedTable(author string) policy.Change {
 	change := policy.Change{Author: author, Time: time.Now().UTC(), Summary: []string{"calls are run again"}}
-	if inForce := e.board.Table.Load(); inForce != nil {
+	if inForce := e.board.PolicyTable.Load(); inForce != nil {
 		change.Revision = inForce.Table.Revision
 	}
 	return change
--- a/internal/daemon/secure_test.go
+++ b/internal/daemon/secure_test.go
@@ -237,7 +237,7 @@
 	expect(t, secure, operator.ExitOK, "executions", "call --key k --service refund --operation credit")
 
 	plain, _ := startDaemon(t, running, nil, unchanged)
-	eventually(t, "the daemon without TLS is ready", func() bool { return plain.board.Table.Load() != nil && plain.board.Replicas.Load() != nil })
+	eventually(t, "the daemon without TLS is ready", func() bool { return plain.board.PolicyTable.Load() != nil && plain.board.Replicas.Load() != nil })
 	if got := operate(t, plain, "query", "--corpus", "cues", "good", "--least-coverage", "0.1"); got.code == operator.ExitOK {
 		t.Errorf("back ends answered without TLS: %s", got.text)
 	}
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -20,7 +20,7 @@
 // state describes this daemon to operators and peers.
 func (d *Daemon) state() peer.NodeState {
 	state := peer.NodeState{Member: d.node.Self(), Version: Version, Phase: *d.board.Phase.Load()}
-	if table := d.board.Table.Load(); table != nil {
+	if table := d.board.PolicyTable.Load(); table != nil {
 		state.TableRevision = table.Table.Revision
 	}
 	if catalogue := d.board.Catalogue.Load(); catalogue != nil {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -197,7 +197,7 @@
 	n.addQuarantine(source, registerer)
 	n.queries = query.NewService(query.Options{
 		Board: n.board, Pool: n.pool, Registerer: registerer, Logger: n.logger, Quarantine: n.quarantine,
-		Admission: admission.New(admission.Options{Registerer: registerer}), Lost: n.meter.Lost,
+		Admission: admission.New(admission.Options{Registerer: registerer}), PausedTime: n.meter.Lost,
 	})
 	n.follower = follower.New(follower.Options{
 		Source: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
@@ -297,7 +297,7 @@
 }
 
 // loaded tells whether callers should be led to further nodes beside this one.
-func (n *Node) loaded() bool { return n.queries.Loaded() || n.processor.Loaded() }
+func (n *Node) loaded() bool { return n.queries.Overloaded() || n.processor.Loaded() }
 
 // storeEra is the store's era as far as this node knows.
 func (n *Node) storeEra() int64 {
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -76,7 +76,7 @@
 // stands still over two marks comes to both at once, and ended connections whose answers were
 // on their way.
 func (n *Node) answerRest(ctx context.Context) {
-	n.answerNow(query.ErrStopping)
+	n.answerNow(query.ErrShuttingDown)
 	_ = n.open.AwaitAnswers(ctx) // endConnections tells of those that are left
 }
 
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -124,7 +124,7 @@
 	message := &upstream.Message{
 		ID: id, Caller: callerOf(r), Method: r.Method, Target: target, Host: r.Host, Header: endToEnd(r.Header), Body: body,
 	}
-	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, Wait: wait, Waited: waited})
+	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, CallerTimeout: wait, Elapsed: waited})
 	return route, answer, err
 }
 
@@ -166,7 +166,7 @@
 		status, body = answer.Reply.Status, answer.Reply.Body
 		copyHeader(header, endToEnd(answer.Reply.Header))
 	} else {
-		h.options.Codec.WriteParts(header, answer.Signatures, answer.Missing)
+		h.options.Codec.WriteParts(header, answer.Signatures, answer.MissingShards)
 	}
 	if _, typed := header["Content-Type"]; !typed {
 		header["Content-Type"] = nil // net/http would guess one
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -87,7 +87,7 @@
 			}
 		})
 		serveOne(handler, request(http.MethodGet, "/p/", ""))
-		if forwarder.asked == nil || forwarder.asked.Wait != 2*time.Second || forwarder.asked.Waited != 700*time.Millisecond {
+		if forwarder.asked == nil || forwarder.asked.CallerTimeout != 2*time.Second || forwarder.asked.Elapsed != 700*time.Millisecond {
 			t.Errorf("asked %+v", forwarder.asked)
 		}
 	})
@@ -110,7 +110,7 @@
 	if diff := cmp.Diff(want, forwarder.asked.Message, cmpopts.EquateComparable(netip.Addr{})); diff != "" {
 		t.Errorf("message (-want +got):\n%s", diff)
 	}
-	if forwarder.asked.Wait != 2*time.Second || forwarder.asked.Route.Name != "r" {
+	if forwarder.asked.CallerTimeout != 2*time.Second || forwarder.asked.Route.Name != "r" {
 		t.Errorf("asked %+v", forwarder.asked)
 	}
 	if got.Code != 201 || got.Body.String() != "made" || got.Header().Get("X-Own") != "1" ||
@@ -120,7 +120,7 @@
 }
 
 func TestAScatteredAnswerNamesItsParts(t *testing.T) {
-	forwarder := &fakeForwarder{answer: query.ForwardResult{Records: []byte("records"), Signatures: []string{"s1", "s2"}, Missing: 1}}
+	forwarder := &fakeForwarder{answer: query.ForwardResult{Records: []byte("records"), Signatures: []string{"s1", "s2"}, MissingShards: 1}}
 	got := serveOne(newTestHandler(forwarder, nil), request(http.MethodGet, "/p/", ""))
 	if got.Code != 200 || got.Body.String() != "records" || got.Header().Get("Parts") != "s1,s2" || got.Header().Get("Missing") != "x" {
 		t.Errorf("answer %d %v %q", got.Code, got.Header(), got.Body)
--- a/internal/ingress/log.go
+++ b/internal/ingress/log.go
@@ -47,13 +47,15 @@
 func shortened(target string) string { return target[:min(len(target), mostTargetBytes)] }
 
 // noteworthy is true when a caller may ask what happened.
-func (o *outcome) noteworthy() bool { return o.err != nil || o.answer.Missing > 0 || o.answer.Late }
+func (o *outcome) noteworthy() bool {
+	return o.err != nil || o.answer.MissingShards > 0 || o.answer.Late
+}
 
 func (o *outcome) message() string {
 	switch {
 	case o.err != nil:
 		return messageNotServed
-	case o.answer.Missing > 0:
+	case o.answer.MissingShards > 0:
 		return messagePartial
 	case o.answer.Late:
 		return messageLate
@@ -107,8 +109,8 @@
 	} else {
 		attributes = append(attributes, "host", about.request.Host)
 	}
-	if about.answer.Missing > 0 {
-		attributes = append(attributes, "missing", about.answer.Missing)
+	if about.answer.MissingShards > 0 {
+		attributes = append(attributes, "missing", about.answer.MissingShards)
 	}
 	if len(about.answer.Trace) > 0 {
 		attributes = append(attributes, "shards", about.answer.Trace)
--- a/internal/ingress/log_test.go
+++ b/internal/ingress/log_test.go
@@ -45,7 +45,7 @@
 		want      []string
 	}{
 		{"answered", &fakeForwarder{answer: query.ForwardResult{Attempts: 4}}, messageAnswered, []string{"route", "attempts", "configuration"}},
-		{"in part", &fakeForwarder{answer: query.ForwardResult{Missing: 1, Trace: trace}}, messagePartial, []string{"missing", "shards"}},
+		{"in part", &fakeForwarder{answer: query.ForwardResult{MissingShards: 1, Trace: trace}}, messagePartial, []string{"missing", "shards"}},
 		{"late", &fakeForwarder{answer: query.ForwardResult{Late: true, Trace: trace}}, messageLate, []string{"shards"}},
 		{"failed", &fakeForwarder{answer: query.ForwardResult{Trace: trace}, err: failure.New(failure.InsufficientCoverage, "2 of 4")}, messageNotServed, []string{"kind", "not_run", "reason", "shards", "caller", "target"}},
 	}
--- a/internal/lab/bench/environment.go
+++ b/internal/lab/bench/environment.go
@@ -82,7 +82,7 @@
 	serving := blackboard.PhaseServing
 	e.Board.Phase.Publish(&serving)
 	e.Board.Replicas.Publish(&topology.Replicas{Groups: groups})
-	e.Board.Table.Publish(policy.NewIndex(&policy.Table{
+	e.Board.PolicyTable.Publish(policy.NewIndex(&policy.Table{
 		Revision: 1, Policies: []policy.Row{row},
 		Assignments: []policy.Assignment{{Group: policy.DefaultGroup, Shares: []policy.Share{{Policy: row.Name, Weight: 1}}}},
 	}))
--- a/internal/policytable/editor.go
+++ b/internal/policytable/editor.go
@@ -164,7 +164,7 @@
 }
 
 func (e *Editor) buildRestore(id, author string, current *stored) (*policy.Table, error) {
-	inForce := e.board.Table.Load()
+	inForce := e.board.PolicyTable.Load()
 	if inForce == nil {
 		return nil, failure.New(failure.NoTable, "restore the table: none is in force on this daemon")
 	}
--- a/internal/policytable/editor_test.go
+++ b/internal/policytable/editor_test.go
@@ -78,7 +78,7 @@
 				if err != nil || change.Revision != 1 || change.ID != "one" {
 					t.Fatalf("change %+v, error %v", change, err)
 				}
-				if row := at.board.Table.Load().Row("p"); row == nil || row.Limits.Hits != 10 || row.Revision != 1 {
+				if row := at.board.PolicyTable.Load().Row("p"); row == nil || row.Limits.Hits != 10 || row.Revision != 1 {
 					t.Errorf("in force: %+v", row)
 				}
 				checkHistory(t, at, "one")
@@ -200,10 +200,10 @@
 		group.Wait()
 		last := newDaemon(held)
 		apply(t, last, settingHits("last", "last", 1))
-		if got := len(last.board.Table.Load().Table.Policies); got != editors+1 {
+		if got := len(last.board.PolicyTable.Load().Table.Policies); got != editors+1 {
 			t.Errorf("%d policies, want %d", got, editors+1)
 		}
-		if got := last.board.Table.Load().Table.Revision; got != editors+1 {
+		if got := last.board.PolicyTable.Load().Table.Revision; got != editors+1 {
 			t.Errorf("revision %d, want %d", got, editors+1)
 		}
 	})
@@ -222,7 +222,7 @@
 		if err != nil || change.Revision != 3 {
 			t.Fatalf("change %+v, error %v", change, err)
 		}
-		if got := at.board.Table.Load(); got.Table.Revision != 3 || got.Row("p").Limits.Hits != 20 {
+		if got := at.board.PolicyTable.Load(); got.Table.Revision != 3 || got.Row("p").Limits.Hits != 20 {
 			t.Errorf("in force: %+v", got.Table)
 		}
 		_, err = restored.Restore(t.Context(), "ama")
@@ -253,7 +253,7 @@
 			apply(t, at, assigned)
 			_, err := at.editor.Apply(t.Context(), c.edit)
 			checkKind(t, err, c.want)
-			if got := at.board.Table.Load().Table.Revision; got != 1 {
+			if got := at.board.PolicyTable.Load().Table.Revision; got != 1 {
 				t.Errorf("revision %d, want 1", got)
 			}
 		})
@@ -307,7 +307,7 @@
 			if err == nil {
 				t.Error("accepted")
 			}
-			if got := at.board.Table.Load().Table.Revision; got != 1 {
+			if got := at.board.PolicyTable.Load().Table.Revision; got != 1 {
 				t.Errorf("revision %d, want 1", got)
 			}
 		})
--- a/internal/policytable/publish.go
+++ b/internal/policytable/publish.go
@@ -25,7 +25,7 @@
 		if table.Revision != version.Revision {
 			return eris.Errorf("the table says revision %d, its document %d", table.Revision, version.Revision)
 		}
-		board.Table.Publish(policy.NewIndex(table))
+		board.PolicyTable.Publish(policy.NewIndex(table))
 		return nil
 	}
 }
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -95,7 +95,7 @@
 	board.Catalogue.Publish(&catalogue.Catalogue{Corpora: []catalogue.Corpus{{
 		Name: "cards", Snapshots: []catalogue.Snapshot{{ID: 1, Indexes: []catalogue.Index{{Name: "bus", Groups: names}}}},
 	}}})
-	board.Table.Publish(policy.NewIndex(&policy.Table{
+	board.PolicyTable.Publish(policy.NewIndex(&policy.Table{
 		Policies: []policy.Row{{
 			Name: "test", Shards: policy.Shards{Selection: policy.SelectAll, Fraction: 1},
 			Replicas: policy.Replicas{ZoneWeight: 1}, Wait: policy.Wait{Timeout: policy.Duration(10 * time.Second)},
--- a/internal/query/driver.go
+++ b/internal/query/driver.go
@@ -32,7 +32,7 @@
 	// Deliver hands a result to the run; after Close it has no effect.
 	Deliver(result AttemptResult)
 	// Next waits for a result, the timer, or the end of ctx.
-	Next(ctx context.Context) (AttemptResult, Woken)
+	Next(ctx context.Context) (AttemptResult, WakeReason)
 	// Close ends the run: later results find nowhere to go.
 	Close()
 }
@@ -44,14 +44,14 @@
 	Result  replica.SearchResult
 }
 
-// Woken says why Next returned.
-type Woken int
+// WakeReason says why Next returned.
+type WakeReason int
 
 // The reasons for which Next returns.
 const (
-	WokenByResult Woken = iota
-	WokenByTimer
-	WokenByCaller
+	WakeResult WakeReason = iota
+	WakeTimer
+	WakeContextDone
 )
 
 // goroutines is the Driver of the daemon.
@@ -101,14 +101,14 @@
 	}
 }
 
-func (i *channelInbox) Next(ctx context.Context) (AttemptResult, Woken) {
+func (i *channelInbox) Next(ctx context.Context) (AttemptResult, WakeReason) {
 	select {
 	case result := <-i.results:
-		return result, WokenByResult
+		return result, WakeResult
 	case <-i.timer.C:
-		return AttemptResult{}, WokenByTimer
+		return AttemptResult{}, WakeTimer
 	case <-ctx.Done():
-		return AttemptResult{}, WokenByCaller
+		return AttemptResult{}, WakeContextDone
 	}
 }
 
--- a/internal/query/fixture_test.go
+++ b/internal/query/fixture_test.go
@@ -138,7 +138,7 @@
 }
 
 func (f *fixture) publishPolicy() {
-	f.board.Table.Publish(policy.NewIndex(&policy.Table{
+	f.board.PolicyTable.Publish(policy.NewIndex(&policy.Table{
 		Revision: 3, Policies: []policy.Row{f.row},
 		Assignments: []policy.Assignment{{Group: policy.DefaultGroup, Shares: []policy.Share{{Policy: "test", Weight: 1}}}},
 	}))
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -43,20 +43,20 @@
 	Message *upstream.Message
 	// Route is pinned for the whole request.
 	Route *routing.Route
-	// Wait is how long the caller waits from the request's arrival on; 0 means that it did
+	// CallerTimeout is how long the caller waits from the request's arrival on; 0 means that it did
 	// not say.
-	Wait time.Duration
-	// Waited is how much of the request's time is over.
-	Waited time.Duration
+	CallerTimeout time.Duration
+	// Elapsed is how much of the request's time is over.
+	Elapsed time.Duration
 }
 
 // deadline is how much of the request's time is left: of its caller's, and of its route's.
 func (f *ForwardRequest) deadline() time.Duration {
 	deadline := time.Duration(f.Route.Policy.Wait.Timeout)
-	if f.Wait > 0 {
-		deadline = min(deadline, f.Wait)
+	if f.CallerTimeout > 0 {
+		deadline = min(deadline, f.CallerTimeout)
 	}
-	return deadline - f.Waited
+	return deadline - f.Elapsed
 }
 
 // ForwardResult is the answer to a Forwarding.
@@ -65,9 +65,9 @@
 	Reply *upstream.Reply
 	// Records are the merged records of a scattered request, Signatures those
 	// of the parts that are in, and Missing the number of shards left out.
-	Records    []byte
-	Signatures []string
-	Missing    int
+	Records       []byte
+	Signatures    []string
+	MissingShards int
 	// Attempts and Hedges are what the request cost.
 	Attempts, Hedges int
 	// Late is true when the answer came after the route's objective.
@@ -84,9 +84,9 @@
 	Attempts []AttemptTrace `json:"attempts"`
 	// AnsweredMilliseconds counts from the request's start, 0 when it has not.
 	AnsweredMilliseconds int64 `json:"answered_ms,omitempty"`
-	// NoHedge is why a hedge that was due was not sent.
-	NoHedge decision.HedgeDenial `json:"no_hedge,omitempty"`
-	Error   string               `json:"error,omitempty"`
+	// HedgeDenial is why a hedge that was due was not sent.
+	HedgeDenial decision.HedgeDenial `json:"no_hedge,omitempty"`
+	Error       string               `json:"error,omitempty"`
 }
 
 // AttemptTrace is one sub-request.
@@ -111,7 +111,7 @@
 // any part of it.
 func (s *Service) Forward(ctx context.Context, forwarding *ForwardRequest) (ForwardResult, error) {
 	started := s.options.Now()
-	if errors.Is(context.Cause(ctx), ErrStopping) {
+	if errors.Is(context.Cause(ctx), ErrShuttingDown) {
 		err := failure.New(failure.Draining, "the node stops")
 		s.metrics.observe(0, err)
 		return ForwardResult{}, err
@@ -150,12 +150,12 @@
 	return answer, err
 }
 
-// Loaded is true while this node has lately had to refuse requests for load.
-func (s *Service) Loaded() bool { return s.targets.Loaded(s.options.Now()) }
+// Overloaded is true while this node has lately had to refuse requests for load.
+func (s *Service) Overloaded() bool { return s.targets.Loaded(s.options.Now()) }
 
-// Measured returns what was measured of each policy and route for some time
+// Statistics returns what was measured of each policy and route for some time
 // back.
-func (s *Service) Measured(last time.Duration) []statistics.PolicyStatistics {
+func (s *Service) Statistics(last time.Duration) []statistics.PolicyStatistics {
 	return s.options.Statistics.Snapshot(last)
 }
 
@@ -276,7 +276,7 @@
 			answer.Signatures = append(answer.Signatures, r.shards[i].part.Signature)
 		}
 	}
-	answer.Missing = len(r.shards) - answered
+	answer.MissingShards = len(r.shards) - answered
 	answer.Records = routing.MergeTop(parts, r.forwarding.Route.TopRecords)
 	return answer, nil
 }
@@ -323,7 +323,7 @@
 		}
 		described := ShardTrace{
 			Group: r.plan.Shards[i].Group, Reason: string(status.Reason),
-			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), NoHedge: diagnosis.NoHedge,
+			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), HedgeDenial: diagnosis.NoHedge,
 		}
 		if shard.err != nil {
 			described.Error = shard.err.Error()
--- a/internal/query/forwarding_internal_test.go
+++ b/internal/query/forward_internal_test.go
@@ -22,13 +22,13 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			forwarding := &ForwardRequest{Route: route, Wait: test.wait, Waited: test.waited}
+			forwarding := &ForwardRequest{Route: route, CallerTimeout: test.wait, Elapsed: test.waited}
 			if got := forwarding.deadline(); got != test.wants {
 				t.Errorf("%v are left, want %v", got, test.wants)
 			}
 		})
 	}
-	over := &ForwardRequest{Route: route, Wait: time.Second, Waited: time.Second}
+	over := &ForwardRequest{Route: route, CallerTimeout: time.Second, Elapsed: time.Second}
 	_, err := NewService(Options{}).Forward(t.Context(), over)
 	if known := failure.From(err); known.Kind != failure.DeadlineExceeded || !known.NotRun {
 		t.Errorf("a request whose time is over: %v", err)
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -211,7 +211,7 @@
 			if err == nil && time.Since(started) <= virtualObjective {
 				result.inTime++
 			}
-			if err == nil && answer.Missing == 0 {
+			if err == nil && answer.MissingShards == 0 {
 				result.whole++
 			}
 		})
--- a/internal/query/pause_virtual_test.go
+++ b/internal/query/pause_virtual_test.go
@@ -46,7 +46,7 @@
 		bubble(t, test.name, func(t *testing.T) {
 			f := newFixture(t, []respond{answering(test.after)}, []respond{answering(test.after)})
 			began := time.Now()
-			f.options.Lost = func() time.Duration { return min(max(0, time.Since(began)-runs), test.paused) }
+			f.options.PausedTime = func() time.Duration { return min(max(0, time.Since(began)-runs), test.paused) }
 			answer, err := query.NewService(f.options).Search(t.Context(), phraseQuery())
 			if answered := err == nil && answer.Coverage.Answered == 2; answered != test.answered {
 				t.Errorf("answered %v of 2 after %v, error %v", answer.Coverage.Answered, time.Since(began), err)
@@ -65,7 +65,7 @@
 		f := newFixture(t, []respond{good}, []respond{good})
 		paused := time.Duration(0)
 		f.options.Now = func() time.Time { return time.Now().Add(paused) }
-		f.options.Lost = func() time.Duration { return paused }
+		f.options.PausedTime = func() time.Duration { return paused }
 		f.options.NewID = func() string {
 			paused = time.Minute
 			return "q"
@@ -85,7 +85,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, []respond{good}, []respond{good})
 			paused, readings := time.Duration(0), 0
-			f.options.Lost = func() time.Duration {
+			f.options.PausedTime = func() time.Duration {
 				read := paused
 				if readings++; readings == at {
 					time.Sleep(time.Minute)
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -171,30 +171,30 @@
 	for !finished {
 		result, woken := r.inbox.Next(ctx)
 		switch woken {
-		case WokenByResult:
+		case WakeResult:
 			finished = r.step(r.take(result))
 			r.noteHalf()
 			if r.onEnded != nil && result.Result.Outcome == decision.Ended {
 				r.onEnded(r.shards[result.Shard].attempts[result.Attempt].canaryOf())
 			}
-		case WokenByTimer:
+		case WakeTimer:
 			if r.contested != nil && r.contested() {
 				finished = r.step(decision.Event{Kind: decision.Contested})
 			}
 			finished = finished || r.step(decision.Event{Kind: decision.TimerFired})
-		case WokenByCaller:
+		case WakeContextDone:
 			finished = r.step(r.leave(ctx))
 		}
 	}
 }
 
-// ErrStopping is the cause for which the context of a request ends that has to be answered
+// ErrShuttingDown is the cause for which the context of a request ends that has to be answered
 // now, as its node stops. Other causes mean that the caller no longer waits.
-var ErrStopping = errors.New("the node stops")
+var ErrShuttingDown = errors.New("the node stops")
 
 // leave describes the end of a request's context.
 func (r *run) leave(ctx context.Context) decision.Event {
-	if errors.Is(context.Cause(ctx), ErrStopping) {
+	if errors.Is(context.Cause(ctx), ErrShuttingDown) {
 		return decision.Event{Kind: decision.TimeOver}
 	}
 	r.abandoned = true
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -30,8 +30,8 @@
 func (i *scriptedInbox) Elapsed() time.Duration { return i.now }
 func (i *scriptedInbox) SetTimer(time.Duration) {}
 func (i *scriptedInbox) Deliver(AttemptResult)  {}
-func (i *scriptedInbox) Next(context.Context) (AttemptResult, Woken) {
-	return AttemptResult{}, WokenByTimer
+func (i *scriptedInbox) Next(context.Context) (AttemptResult, WakeReason) {
+	return AttemptResult{}, WakeTimer
 }
 func (i *scriptedInbox) Close() {}
 
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -42,9 +42,9 @@
 	Now    func() time.Time
 	// NewID names a query; it must be unique over all daemons.
 	NewID func() string
-	// Lost is for how much of the time this process has not run (elapsed.Meter); nil means
+	// PausedTime is for how much of the time this process has not run (elapsed.Meter); nil means
 	// that it always has.
-	Lost func() time.Duration
+	PausedTime func() time.Duration
 	// Driver defaults to goroutines and the real clock; a simulation brings
 	// its own.
 	Driver Driver
@@ -127,15 +127,15 @@
 
 // lost is for how much of the time this process has not run.
 func (s *Service) lost() time.Duration {
-	if s.options.Lost == nil {
+	if s.options.PausedTime == nil {
 		return 0
 	}
-	return s.options.Lost()
+	return s.options.PausedTime()
 }
 
 // pinPolicy resolves the policy and fills in the query's defaults.
 func (s *Service) pinPolicy(query client.Query, started time.Time) (*request, error) {
-	index := s.options.Board.Table.Load()
+	index := s.options.Board.PolicyTable.Load()
 	if index == nil {
 		return nil, failure.New(failure.NoTable, "no policy table has been accepted yet")
 	}
--- a/internal/query/service_test.go
+++ b/internal/query/service_test.go
@@ -176,7 +176,7 @@
 		change func(*fixture, *client.Query)
 		kind   failure.Kind
 	}{
-		{"no table", func(f *fixture, _ *client.Query) { f.board.Table = blackboard.Section[policy.Index]{} }, failure.NoTable},
+		{"no table", func(f *fixture, _ *client.Query) { f.board.PolicyTable = blackboard.Section[policy.Index]{} }, failure.NoTable},
 		{"no catalogue", func(f *fixture, _ *client.Query) {
 			f.board.Catalogue = blackboard.Section[catalogue.Catalogue]{}
 		}, failure.NoCatalogue},
--- a/internal/query/table_bench_test.go
+++ b/internal/query/table_bench_test.go
@@ -16,10 +16,10 @@
 		}}},
 	}
 	board := &blackboard.Board{}
-	board.Table.Publish(policy.NewIndex(table))
+	board.PolicyTable.Publish(policy.NewIndex(table))
 	b.ReportAllocs()
 	for b.Loop() {
-		if board.Table.Load().Resolve("gate", "console-17") == nil {
+		if board.PolicyTable.Load().Resolve("gate", "console-17") == nil {
 			b.Fatal("no policy")
 		}
 	}
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -332,7 +332,7 @@
 // acceptTable and acceptCatalogue are the daemon's acceptors. With many
 // daemons, each version is decoded once and shared, as it is immutable.
 func (w *World) acceptTable(board *blackboard.Board) func(document.Document) error {
-	return shared(w, &board.Table, policytable.Publish)
+	return shared(w, &board.PolicyTable, policytable.Publish)
 }
 
 func (w *World) acceptCatalogue(board *blackboard.Board) func(document.Document) error {
@@ -349,7 +349,7 @@
 		if err := acceptor(scratch)(version); err != nil {
 			return err
 		}
-		var decoded any = scratch.Table.Load()
+		var decoded any = scratch.PolicyTable.Load()
 		if version.Name == document.Catalogue {
 			decoded = scratch.Catalogue.Load()
 		}
--- a/internal/simulation/system/driver.go
+++ b/internal/simulation/system/driver.go
@@ -69,19 +69,19 @@
 	}
 }
 
-func (i *inbox) Next(ctx context.Context) (query.AttemptResult, query.Woken) {
+func (i *inbox) Next(ctx context.Context) (query.AttemptResult, query.WakeReason) {
 	caller := ctx.(*virtualContext)
 	for {
 		switch {
 		case caller.Err() != nil:
-			return query.AttemptResult{}, query.WokenByCaller
+			return query.AttemptResult{}, query.WakeContextDone
 		case len(i.results) > 0:
 			first := i.results[0]
 			i.results = i.results[1:]
-			return first, query.WokenByResult
+			return first, query.WakeResult
 		case i.due:
 			i.due = false
-			return query.AttemptResult{}, query.WokenByTimer
+			return query.AttemptResult{}, query.WakeTimer
 		}
 		i.daemon.world.await(func(wake func()) {
 			i.wake = wake
