--- a/internal/query/ended.go
+++ b/internal/query/quarantine.go
@@ -9,7 +9,7 @@
 
 // endsPlan says how replicas that end under a request speak against it, beside what is known
 // of it already.
-func (s *Service) endsPlan(forwarding *Forwarding, known decision.CrashEvidence) decision.CrashDetection {
+func (s *Service) endsPlan(forwarding *ForwardRequest, known decision.CrashEvidence) decision.CrashDetection {
 	if s.options.Quarantine == nil {
 		return decision.CrashDetection{}
 	}
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -30,8 +30,8 @@
 func (i *scriptedInbox) Elapsed() time.Duration { return i.now }
 func (i *scriptedInbox) SetTimer(time.Duration) {}
 func (i *scriptedInbox) Deliver(AttemptResult)  {}
-func (i *scriptedInbox) Next(context.Context) (AttemptResult, Woken) {
-	return AttemptResult{}, WokenByTimer
+func (i *scriptedInbox) Next(context.Context) (AttemptResult, WakeReason) {
+	return AttemptResult{}, WakeTimer
 }
 func (i *scriptedInbox) Close() {}
 
@@ -86,7 +86,7 @@
 			}
 			under := &forwardRun{
 				run:        &run{plan: plan, core: decision.New(plan), shards: test.shards},
-				forwarding: &Forwarding{Route: &routing.Route{Objective: objective}},
+				forwarding: &ForwardRequest{Route: &routing.Route{Objective: objective}},
 			}
 			under.halfAt = time.Millisecond
 			if got := under.endedWith(objective); got.Strained != test.delayed || got.Objective != objective {
