--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -14,71 +14,72 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// The rate at which suspects that are not quarantined are told to other nodes. When all
-// replicas of a service end at once, each request in flight is one, and does no harm.
+// Limits on broadcasting suspects that are not quarantined. When all replicas of a service
+// crash at once, every request in flight becomes a suspect.
 const (
-	toldPerSecond = 2
-	toldAtOnce    = 4
+	broadcastsPerSecond = 2
+	broadcastBurst      = 4
 )
 
-// toldFrom is the number of replicas that have to end under a suspect before other nodes are
-// told. One that goes to fewer at once is told when as many have ended: each node on its own
-// would need three ends of a plain request, nine nodes 27. One end alone says little, as other
-// requests were in flight at that replica.
-const toldFrom = 2
+// minCrashesToBroadcast is the number of replicas that have to crash under a suspect before
+// other nodes are told, or the number of shards of its route if that is smaller. A single crash
+// says little, as other requests were in flight at that replica; waiting for more would let each
+// node collect its own evidence at the cost of further replicas.
+const minCrashesToBroadcast = 2
 
-// Config is what a List is made of. Zero values take defaults.
+// Config configures a List. Zero values select the defaults.
 type Config struct {
-	// Duration is for how long a request is refused, Most the number of requests that are
-	// known. Beyond it the suspect that is forgotten soonest makes room, and a new one is
-	// not kept when all are quarantined.
-	Duration   time.Duration
+	// Duration is how long a request is quarantined.
+	Duration time.Duration
+	// MaxEntries bounds the number of known requests. When it is reached, the suspect that
+	// expires first is evicted; a new request is dropped if all are quarantined.
 	MaxEntries int
-	// Broadcast tells other nodes of a request; nil means that there are none. It must not
-	// block.
+	// Broadcast sends a record to the other nodes; nil means that there are none. It must
+	// not block.
 	Broadcast  func(record Record)
 	Registerer prometheus.Registerer
 	Logger     *slog.Logger
 	Now        func() time.Time
 }
 
-// List holds the requests that are suspected or quarantined. It is safe for concurrent use;
-// a nil List knows none.
+// List holds the suspected and quarantined requests. It is safe for concurrent use. A nil List
+// is empty and ignores updates.
 type List struct {
-	config  Config
-	metrics listMetrics
-	told    *rate.Limiter
-	// size is the number of entries: requests ask the list only while there are any.
+	config           Config
+	metrics          listMetrics
+	broadcastLimiter *rate.Limiter
+	// size is the number of entries. Requests skip the lookup while it is zero.
 	size atomic.Int64
 
-	// found wakes the Keeper.
-	found    chan struct{}
-	answered answered
+	// wake signals the Persister.
+	wake          chan struct{}
+	recentAnswers recentAnswers
 
 	mutex   sync.Mutex
 	entries map[Identity]*entry
 }
 
-// entry is one request.
+// entry is the state of one request.
 type entry struct {
 	record Record
-	// until is when the quarantine ends, or a suspect is forgotten.
-	until       time.Time
+	// expires is when the quarantine ends, or when a suspect is forgotten.
+	expires     time.Time
 	quarantined bool
-	// own is true when this node has found it out, told when it has told others of it, and
-	// stored when the store holds it.
-	own, told, stored bool
-	// since is when this node came to know of the quarantine.
-	since time.Time
-	// convictedAt is when the evidence first convicted it, before any verdict.
-	convictedAt time.Time
+	// detected is set if this node quarantined the request, broadcast once other nodes were
+	// told of it, and stored once the store holds it.
+	detected, broadcast, stored bool
+	// quarantinedAt is when this node learned of the quarantine.
+	quarantinedAt time.Time
+	// conclusiveAt is when the evidence became conclusive, before the request is quarantined.
+	conclusiveAt time.Time
 }
 
-// verdictDue is for how long a request is refused that is convicted without a verdict yet: a
-// node waits for others to contest it, and its verdict takes its way.
-const verdictDue = 200 * time.Millisecond
+// confirmationWindow is how long a request with conclusive evidence is refused before it is
+// quarantined: the detecting node first waits for evidence that makes the cause ambiguous, and
+// its decision has to reach the others.
+const confirmationWindow = 200 * time.Millisecond
 
-// New makes a List.
+// New returns an empty List.
 func New(config Config) *List {
 	if config.Duration <= 0 {
 		config.Duration = DefaultDuration
@@ -97,13 +98,13 @@
 	}
 	l := &List{
 		config: config, entries: make(map[Identity]*entry),
-		told: rate.NewLimiter(toldPerSecond, toldAtOnce), found: make(chan struct{}, 1),
+		broadcastLimiter: rate.NewLimiter(broadcastsPerSecond, broadcastBurst), wake: make(chan struct{}, 1),
 	}
 	l.metrics = newListMetrics(config.Registerer, l)
 	return l
 }
 
-// Lookup returns what is known of a request that comes.
+// Lookup returns the status of an incoming request.
 func (l *List) Lookup(message *upstream.Message) Status {
 	if l == nil || l.size.Load() == 0 {
 		return Status{}
@@ -112,24 +113,24 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.current(identity)
-	if known == nil || l.answered.recently(message, l.config.Now()) {
+	if known == nil || l.recentAnswers.contains(message, l.config.Now()) {
 		return Status{}
 	}
-	found := Status{Evidence: known.record.Evidence()}
+	status := Status{Evidence: known.record.Evidence()}
 	if known.quarantined {
-		found.RefuseFor = known.until.Sub(l.config.Now())
-		return found
+		status.RefuseFor = known.expires.Sub(l.config.Now())
+		return status
 	}
-	if found.Evidence.Convicts() {
-		found.RefuseFor = max(0, known.convictedAt.Add(verdictDue).Sub(l.config.Now()))
+	if status.Evidence.Convicts() {
+		status.RefuseFor = max(0, known.conclusiveAt.Add(confirmationWindow).Sub(l.config.Now()))
 	}
-	if found.Evidence.Convicts() && found.RefuseFor == 0 {
-		found.Evidence = found.Evidence.Lapsed() // it was contested
+	if status.Evidence.Convicts() && status.RefuseFor == 0 {
+		status.Evidence = status.Evidence.Lapsed() // not quarantined in time: the cause was ambiguous
 	}
-	return found
+	return status
 }
 
-// IsQuarantined tells whether a request is refused by the verdict of a node.
+// IsQuarantined reports whether a node has quarantined the request.
 func (l *List) IsQuarantined(message *upstream.Message) bool {
 	if l == nil || l.size.Load() == 0 {
 		return false
@@ -141,69 +142,69 @@
 	return known != nil && known.quarantined
 }
 
-// CountRefused counts a request that was refused.
+// CountRefused counts a refused request in the metrics.
 func (l *List) CountRefused() { l.metrics.refused.Inc() }
 
-// current returns the entry of a request, nil if there is none or its time is over. It must
-// be called with the mutex held, as must all functions below that are not exported.
+// current returns the entry of a request, or nil if there is none or it has expired. The
+// caller must hold the mutex, as for all unexported methods below.
 func (l *List) current(identity Identity) *entry {
 	known := l.entries[identity]
-	if known == nil || l.config.Now().Before(known.until) {
+	if known == nil || l.config.Now().Before(known.expires) {
 		return known
 	}
 	if !known.quarantined {
 		l.remove(identity)
 		return nil
 	}
-	l.lapse(known)
+	l.demote(known)
 	return known
 }
 
-// lapse makes a request whose quarantine is over a suspect again: the next time it comes, it
-// is tried on one replica, and if that ends it is quarantined anew.
-func (l *List) lapse(known *entry) {
-	known.quarantined, known.stored, known.own = false, false, false
+// demote turns a request whose quarantine has expired into a suspect: it is next tried on a
+// single replica, and one more crash quarantines it again.
+func (l *List) demote(known *entry) {
+	known.quarantined, known.stored, known.detected = false, false, false
 	known.record.RefuseMilliseconds = 0
 	known.record.setEvidence(known.record.Evidence().Lapsed())
-	known.until = l.config.Now().Add(l.config.Duration)
-	l.log("quarantine is over; the request will be tried on one replica", &known.record)
+	known.expires = l.config.Now().Add(l.config.Duration)
+	l.log("quarantine expired; the request will be tried on one replica first", &known.record)
 }
 
-// Route is what a request was sent by.
+// Route describes the route of a request.
 type Route struct {
 	Name string
-	// Shards is the number of replicas that it goes to at once.
+	// Shards is the number of replicas that a request is sent to in parallel.
 	Shards int
 }
 
-// RecordCrash takes in that replicas ended while they ran a request that none has survived, unless
-// one has answered it of late: the evidence is all there is by now. canary names the replica that ended last, if it was tried
-// there alone.
+// RecordCrash records that replicas crashed while running a request that no replica has
+// answered. evidence is the total so far. canary names the replica that crashed last if the
+// request was tried there alone, and is empty otherwise. Requests that were answered recently
+// are ignored.
 func (l *List) RecordCrash(message *upstream.Message, route Route, canary string, evidence decision.Evidence) {
-	if l == nil || l.answered.recently(message, l.config.Now()) {
+	if l == nil || l.recentAnswers.contains(message, l.config.Now()) {
 		return
 	}
 	record := Record{
-		Identity: IdentityOf(message), Route: shortened(route.Name, mostRouteBytes), Caller: message.Caller.String(), Target: shortened(message.Target, mostTargetBytes),
+		Identity: IdentityOf(message), Route: truncate(route.Name, maxRouteBytes), Caller: message.Caller.String(), Target: truncate(message.Target, maxTargetBytes),
 	}
 	record.setEvidence(evidence)
 	if canary != "" {
-		record.Canaries = []string{shortened(canary, mostProcessBytes)}
+		record.Canaries = []string{truncate(canary, maxReplicaNameBytes)}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	changed, known := l.merge(record)
-	if known == nil || known.quarantined || known.record.CrashedReplicas < min(toldFrom, route.Shards) || (known.told && !changed) {
+	if known == nil || known.quarantined || known.record.CrashedReplicas < min(minCrashesToBroadcast, route.Shards) || (known.broadcast && !changed) {
 		return
 	}
-	if evidence.Convicts() || l.told.AllowN(l.config.Now(), 1) {
-		known.told = true
+	if evidence.Convicts() || l.broadcastLimiter.AllowN(l.config.Now(), 1) {
+		known.broadcast = true
 		l.config.Broadcast(known.record)
 	}
 }
 
-// Quarantine quarantines a suspect: enough speaks against it, and no other node has contested
-// that.
+// Quarantine quarantines a suspect with conclusive evidence, and tells the other nodes.
 func (l *List) Quarantine(message *upstream.Message) {
 	if l == nil {
 		return
@@ -217,15 +218,15 @@
 	record := known.record
 	record.RefuseMilliseconds = l.config.Duration.Milliseconds()
 	l.merge(record)
-	known.own = true
+	known.detected = true
 	l.metrics.found.Inc()
-	l.log("request quarantined: replicas end by running it", &known.record)
-	l.wakeKeeper()
+	l.log("request quarantined: replicas crash when they run it", &known.record)
+	l.wakePersister()
 	l.config.Broadcast(known.record)
 }
 
-// Ambiguous tells whether all replicas that ended by canaries of a request have ended by those
-// of another one as well, so that nothing tells which of them it was.
+// Ambiguous reports whether all replicas that crashed under canaries of a request also crashed
+// under canaries of another one, so that either may be the cause.
 func (l *List) Ambiguous(message *upstream.Message) bool {
 	if l == nil {
 		return false
@@ -254,13 +255,13 @@
 	return true
 }
 
-// RecordAnswer takes in that a replica has run a request and answered: it does no harm. Another
-// node that has quarantined it is told.
+// RecordAnswer records that a replica ran a request and answered it, which clears the request.
+// If it was quarantined, the other nodes are told of the release.
 func (l *List) RecordAnswer(message *upstream.Message) {
 	if l == nil {
 		return
 	}
-	l.answered.note(message, l.config.Now())
+	l.recentAnswers.add(message, l.config.Now())
 	if l.size.Load() == 0 {
 		return
 	}
@@ -272,15 +273,15 @@
 		return
 	}
 	if known.quarantined {
-		l.log("request released: a replica has answered it", &known.record)
+		l.log("request released: a replica answered it", &known.record)
 		l.config.Broadcast(Record{Identity: identity, Released: true})
 	}
 	l.remove(identity)
 }
 
-// Receive takes in what another node tells. It returns whether that was news, which should be
-// passed on.
-func (l *List) Receive(record Record) (news bool) {
+// Receive applies a record from another node. It reports whether the record was new, so that it
+// should be forwarded.
+func (l *List) Receive(record Record) (isNew bool) {
 	if l == nil {
 		return false
 	}
@@ -297,8 +298,8 @@
 	return changed
 }
 
-// merge takes in a record, and returns whether it says more than was known; the entry is nil
-// when there is no room.
+// merge merges a record into the request's entry. It reports whether that added information,
+// and returns the entry, which is nil if the list is full.
 func (l *List) merge(record Record) (changed bool, known *entry) {
 	known = l.current(record.Identity)
 	if known == nil {
@@ -318,34 +319,35 @@
 	changed = changed || record.Rounds > known.record.Rounds || record.RefuseMilliseconds > 0
 	known.record.setEvidence(known.record.Evidence().Join(record.Evidence()))
 	known.record.addCanaries(record.Canaries)
-	if known.record.Evidence().Convicts() && (changed || known.convictedAt.IsZero()) {
-		known.convictedAt = l.config.Now()
+	if known.record.Evidence().Convicts() && (changed || known.conclusiveAt.IsZero()) {
+		known.conclusiveAt = l.config.Now()
 	}
-	known.until = l.config.Now().Add(suspectFor)
+	known.expires = l.config.Now().Add(suspectTTL)
 	if record.RefuseMilliseconds > 0 {
 		known.quarantined = true
 		known.record.RefuseMilliseconds = record.RefuseMilliseconds
-		known.since = l.config.Now()
-		known.until = known.since.Add(record.RefuseFor())
+		known.quarantinedAt = l.config.Now()
+		known.expires = known.quarantinedAt.Add(record.RefuseFor())
 	}
 	return changed, known
 }
 
-// makeRoom tells whether there is room for another entry, and makes some if there is not.
+// makeRoom ensures that there is room for another entry, evicting the suspect that expires
+// first if necessary. It reports false if all entries are quarantined.
 func (l *List) makeRoom() bool {
 	if len(l.entries) < l.config.MaxEntries {
 		return true
 	}
-	var soonest *entry
+	var victim *entry
 	for _, known := range l.entries {
-		if !known.quarantined && (soonest == nil || known.until.Before(soonest.until)) {
-			soonest = known
+		if !known.quarantined && (victim == nil || known.expires.Before(victim.expires)) {
+			victim = known
 		}
 	}
-	if soonest == nil {
+	if victim == nil {
 		return false
 	}
-	l.remove(soonest.record.Identity)
+	l.remove(victim.record.Identity)
 	return true
 }
 
@@ -356,8 +358,8 @@
 	}
 }
 
-// Release ends what is known of a request, and tells the other nodes. It returns whether
-// there was anything.
+// Release removes a request from the list and tells the other nodes. It reports whether the
+// request was known.
 func (l *List) Release(identity Identity) bool {
 	if l == nil {
 		return false
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -25,45 +25,45 @@
 	return made
 }
 
-// TestIdentity: what a replica sees of a request tells it from others, what differs with each
-// try does not.
+// The identity must cover everything that a replica sees of a request, and nothing that differs
+// between tries of the same request.
 func TestIdentity(t *testing.T) {
 	same := map[string]func(*upstream.Message){
-		"another identifier": func(m *upstream.Message) { m.ID = "b" },
-		"another address":    func(m *upstream.Message) { m.Caller = netip.MustParseAddr("192.0.2.2") },
-		"another header":     func(m *upstream.Message) { m.Header = http.Header{"User-Agent": {"x"}} },
+		"request ID":     func(m *upstream.Message) { m.ID = "b" },
+		"caller address": func(m *upstream.Message) { m.Caller = netip.MustParseAddr("192.0.2.2") },
+		"other header":   func(m *upstream.Message) { m.Header = http.Header{"User-Agent": {"x"}} },
 	}
 	for name, change := range same {
 		if IdentityOf(message(change)) != IdentityOf(message(nil)) {
-			t.Errorf("%s makes it another request", name)
+			t.Errorf("%s changes the identity", name)
 		}
 	}
-	other := map[string]func(*upstream.Message){
+	different := map[string]func(*upstream.Message){
 		"method":      func(m *upstream.Message) { m.Method = http.MethodPut },
 		"host":        func(m *upstream.Message) { m.Host = "i" },
 		"path":        func(m *upstream.Message) { m.Target = "/r?q=1" },
 		"query":       func(m *upstream.Message) { m.Target = "/p?q=2" },
 		"body":        func(m *upstream.Message) { m.Body = []byte("bodz") },
 		"credentials": func(m *upstream.Message) { m.Header = http.Header{"Authorization": {"x"}} },
-		"host and path that join to the same": func(m *upstream.Message) {
+		"host and path with the same concatenation": func(m *upstream.Message) {
 			m.Host, m.Target = "h/p", "?q=1"
 		},
 	}
-	seen := map[Identity]string{IdentityOf(message(nil)): "itself"}
-	for name, change := range other {
+	seen := map[Identity]string{IdentityOf(message(nil)): "the original"}
+	for name, change := range different {
 		identity := IdentityOf(message(change))
-		if before, known := seen[identity]; known {
-			t.Errorf("%s is taken for %s", name, before)
+		if previous, collides := seen[identity]; collides {
+			t.Errorf("%s has the same identity as %s", name, previous)
 		}
 		seen[identity] = name
 	}
 	parsed, valid := ParseIdentity(IdentityOf(message(nil)).String())
 	if !valid || parsed != IdentityOf(message(nil)) {
-		t.Error("an identity does not survive being printed")
+		t.Error("ParseIdentity does not invert String")
 	}
 }
 
-// clock is a time that a test moves.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func (c *clock) read() time.Time { return c.now }
@@ -71,50 +71,53 @@
 var testRoute = Route{Name: "r", Shards: 10}
 
 var (
-	suspected = decision.Evidence{Ended: 4, Rounds: 1, Blame: 1}
-	convicted = decision.Evidence{Ended: 6, Rounds: 3, Blame: 3}
+	suspicious = decision.Evidence{Ended: 4, Rounds: 1, Blame: 1}
+	conclusive = decision.Evidence{Ended: 6, Rounds: 3, Blame: 3}
 )
 
+// newTestList returns a list, its clock and the records that it has broadcast.
 func newTestList(change func(*Config)) (*List, *clock, *[]Record) {
-	time0 := &clock{now: time.Unix(1000, 0)}
-	told := &[]Record{}
-	config := Config{Now: time0.read, Broadcast: func(record Record) { *told = append(*told, record) }}
+	fakeClock := &clock{now: time.Unix(1000, 0)}
+	broadcasts := &[]Record{}
+	config := Config{Now: fakeClock.read, Broadcast: func(record Record) { *broadcasts = append(*broadcasts, record) }}
 	if change != nil {
 		change(&config)
 	}
-	return New(config), time0, told
+	return New(config), fakeClock, broadcasts
 }
 
-func convict(list *List, found *upstream.Message) {
-	list.RecordCrash(found, testRoute, "", convicted)
-	list.Quarantine(found)
+func quarantine(list *List, request *upstream.Message) {
+	list.RecordCrash(request, testRoute, "", conclusive)
+	list.Quarantine(request)
 }
 
+// target returns one of several distinct requests.
 func target(n int) *upstream.Message {
 	return message(func(m *upstream.Message) { m.Target = fmt.Sprint("/", n) })
 }
 
-// TestASuspectBecomesQuarantined: others are told of it, and it is tried again after its time.
-func TestASuspectBecomesQuarantined(t *testing.T) {
-	list, now, told := newTestList(nil)
+// A request passes from suspect to quarantined, back to suspect when the quarantine expires, and is
+// cleared by an answer.
+func TestRequestLifecycle(t *testing.T) {
+	list, now, broadcasts := newTestList(nil)
 	if got := list.Lookup(message(nil)); got != (Status{}) {
-		t.Fatalf("unknown: %+v", got)
+		t.Fatalf("unknown request: %+v", got)
 	}
-	list.RecordCrash(message(nil), testRoute, "", suspected)
-	if got := list.Lookup(message(nil)); got.Evidence != suspected || got.RefuseFor != 0 {
+	list.RecordCrash(message(nil), testRoute, "", suspicious)
+	if got := list.Lookup(message(nil)); got.Evidence != suspicious || got.RefuseFor != 0 {
 		t.Fatalf("suspect: %+v", got)
 	}
-	list.RecordCrash(message(nil), testRoute, "a/1", convicted)
-	if got := list.Lookup(message(nil)); got.RefuseFor != verdictDue {
-		t.Fatalf("before the verdict: %+v", got)
+	list.RecordCrash(message(nil), testRoute, "a/1", conclusive)
+	if got := list.Lookup(message(nil)); got.RefuseFor != confirmationWindow {
+		t.Fatalf("conclusive evidence: %+v", got)
 	}
 	list.Quarantine(message(nil))
 	list.Quarantine(message(nil))
 	if got := list.Lookup(message(nil)); got.RefuseFor != DefaultDuration {
 		t.Fatalf("quarantined: %+v", got)
 	}
-	if len(*told) != 3 || (*told)[1].RefuseMilliseconds != 0 || (*told)[2].RefuseFor() != DefaultDuration {
-		t.Errorf("told: %+v", *told)
+	if len(*broadcasts) != 3 || (*broadcasts)[1].RefuseMilliseconds != 0 || (*broadcasts)[2].RefuseFor() != DefaultDuration {
+		t.Errorf("broadcasts: %+v", *broadcasts)
 	}
 	if got := list.IsQuarantined(target(1)); got {
 		t.Error("another request is quarantined")
@@ -125,12 +128,12 @@
 	now.now = now.now.Add(DefaultDuration)
 	got := list.Lookup(message(nil))
 	if got.RefuseFor != 0 || !got.Evidence.Suspects() || got.Evidence.Convicts() {
-		t.Fatalf("after its time: %+v", got)
+		t.Fatalf("after the quarantine: %+v", got)
 	}
 	again := got.Evidence
 	again.Rounds, again.Blame = again.Rounds+1, again.Blame+1
 	if !again.Convicts() {
-		t.Error("another end does not convict it again")
+		t.Error("one more crash is not conclusive again")
 	}
 	list.RecordAnswer(message(nil))
 	if got := list.Lookup(message(nil)); got != (Status{}) {
@@ -138,22 +141,21 @@
 	}
 }
 
-// TestASuspectIsForgotten: nothing is kept or asked afterwards.
-func TestASuspectIsForgotten(t *testing.T) {
+func TestSuspectExpires(t *testing.T) {
 	list, now, _ := newTestList(nil)
-	list.RecordCrash(message(nil), testRoute, "", suspected)
-	now.now = now.now.Add(suspectFor)
+	list.RecordCrash(message(nil), testRoute, "", suspicious)
+	now.now = now.now.Add(suspectTTL)
 	if got := list.Lookup(message(nil)); got != (Status{}) || list.size.Load() != 0 {
-		t.Errorf("%+v, %d are kept", got, list.size.Load())
+		t.Errorf("%+v, %d entries", got, list.size.Load())
 	}
 }
 
-// TestOthersAreBelieved: what a node hears counts as its own, and is news only once.
-func TestOthersAreBelieved(t *testing.T) {
-	list, _, told := newTestList(nil)
-	from, _, heard := newTestList(nil)
-	convict(from, message(nil))
-	encoded, err := msgpack.Marshal(&(*heard)[1])
+// A record from another node must take effect like a local one, and must be forwarded only once.
+func TestReceiveRecord(t *testing.T) {
+	list, _, broadcasts := newTestList(nil)
+	sender, _, sent := newTestList(nil)
+	quarantine(sender, message(nil))
+	encoded, err := msgpack.Marshal(&(*sent)[1])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,139 +163,139 @@
 	if err := msgpack.Unmarshal(encoded, &record); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff((*heard)[1], record); diff != "" {
-		t.Errorf("record (-told +heard):\n%s", diff)
+	if diff := cmp.Diff((*sent)[1], record); diff != "" {
+		t.Errorf("record (-sent +received):\n%s", diff)
 	}
 	if !list.Receive(record) || list.Receive(record) {
-		t.Error("it is not news exactly once")
+		t.Error("record is not new exactly once")
 	}
 	if got := list.Lookup(message(nil)); got.RefuseFor != DefaultDuration {
-		t.Errorf("heard of: %+v", got)
+		t.Errorf("received: %+v", got)
 	}
-	if len(*told) != 0 || len(list.unstored(-1)) != 0 || len(list.unstored(0)) != 1 || len(from.unstored(-1)) != 1 {
-		t.Error("the node that found it out, and after a wait others, have to write it")
+	if len(*broadcasts) != 0 || len(list.unstored(-1)) != 0 || len(list.unstored(0)) != 1 || len(sender.unstored(-1)) != 1 {
+		t.Error("the request must be due for the sender at once and for the receiver after a wait")
 	}
 	if !list.Release(IdentityOf(message(nil))) || list.Release(IdentityOf(message(nil))) {
-		t.Error("it is not released exactly once")
+		t.Error("request is not released exactly once")
 	}
-	if len(*told) != 1 || !(*told)[0].Released || !from.Receive((*told)[0]) {
-		t.Errorf("told of the release: %+v", *told)
+	if len(*broadcasts) != 1 || !(*broadcasts)[0].Released || !sender.Receive((*broadcasts)[0]) {
+		t.Errorf("broadcasts of the release: %+v", *broadcasts)
 	}
-	if got := from.Lookup(message(nil)); got != (Status{}) {
+	if got := sender.Lookup(message(nil)); got != (Status{}) {
 		t.Errorf("released by another node: %+v", got)
 	}
 }
 
-// TestTheListIsBounded: suspects make room for others, what is quarantined does not.
-func TestTheListIsBounded(t *testing.T) {
-	const most = 8
-	list, now, told := newTestList(func(config *Config) { config.MaxEntries = most })
-	for n := range 3 * most {
+// A full list must evict suspects but not quarantined requests.
+func TestMaxEntries(t *testing.T) {
+	const limit = 8
+	list, now, broadcasts := newTestList(func(config *Config) { config.MaxEntries = limit })
+	for n := range 3 * limit {
 		now.now = now.now.Add(time.Millisecond)
-		list.RecordCrash(target(n), testRoute, "", suspected)
+		list.RecordCrash(target(n), testRoute, "", suspicious)
 	}
-	if size := list.size.Load(); size != most || list.Lookup(target(3*most-1)) == (Status{}) {
-		t.Errorf("%d are kept, and not the latest", size)
+	if size := list.size.Load(); size != limit || list.Lookup(target(3*limit-1)) == (Status{}) {
+		t.Errorf("%d entries, or the latest is missing", size)
 	}
-	if len(*told) > toldAtOnce+1 {
-		t.Errorf("others were told of %d suspects", len(*told))
+	if len(*broadcasts) > broadcastBurst+1 {
+		t.Errorf("%d broadcasts of suspects", len(*broadcasts))
 	}
-	for n := range 3 * most {
-		convict(list, target(n))
+	for n := range 3 * limit {
+		quarantine(list, target(n))
 	}
-	if got := list.Lookup(target(0)); got.RefuseFor == 0 || list.size.Load() != most {
-		t.Errorf("the first quarantined: %+v, %d are kept", got, list.size.Load())
+	if got := list.Lookup(target(0)); got.RefuseFor == 0 || list.size.Load() != limit {
+		t.Errorf("first quarantined request: %+v, %d entries", got, list.size.Load())
 	}
 }
 
-// TestAListThatIsOff knows nothing.
-func TestAListThatIsOff(t *testing.T) {
+func TestNilList(t *testing.T) {
 	var list *List
-	convict(list, message(nil))
+	quarantine(list, message(nil))
 	list.RecordAnswer(message(nil))
 	list.Adopt("x", nil)
 	list.Forgotten("x")
 	if list.Receive(Record{}) || list.Release(Identity{}) || list.Lookup(message(nil)) != (Status{}) || len(list.Records()) != 0 {
-		t.Error("it knows something")
+		t.Error("a nil list is not empty")
 	}
 }
 
-func BenchmarkSuspicion(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	asked := message(func(m *upstream.Message) { m.Body = make([]byte, 1024) })
-	b.Run("nobody suspected", func(b *testing.B) {
+	b.Run("no suspect", func(b *testing.B) {
 		list := New(Config{})
 		for b.Loop() {
 			list.Lookup(asked)
 		}
 	})
-	b.Run("somebody suspected, 1 KiB", func(b *testing.B) {
+	b.Run("one suspect, 1 KiB", func(b *testing.B) {
 		list := New(Config{})
-		convict(list, target(1))
+		quarantine(list, target(1))
 		for b.Loop() {
 			list.Lookup(asked)
 		}
 	})
 }
 
-// TestAConvictionCanBeContested: as long as another request was tried at the same replicas.
-func TestAConvictionCanBeContested(t *testing.T) {
+// The cause is ambiguous while another request crashed all of the same replicas.
+func TestAmbiguous(t *testing.T) {
 	list, now, _ := newTestList(nil)
-	from, _, heard := newTestList(nil)
+	sender, _, sent := newTestList(nil)
 	for _, canary := range []string{"a/1", "b/2"} {
-		list.RecordCrash(message(nil), testRoute, canary, suspected)
-		from.RecordCrash(target(1), testRoute, canary, suspected)
+		list.RecordCrash(message(nil), testRoute, canary, suspicious)
+		sender.RecordCrash(target(1), testRoute, canary, suspicious)
 	}
-	list.RecordCrash(message(nil), testRoute, "b/2", convicted)
+	list.RecordCrash(message(nil), testRoute, "b/2", conclusive)
 	if list.Ambiguous(message(nil)) {
-		t.Error("contested before anything is heard")
+		t.Error("ambiguous without another request")
 	}
-	from.RecordCrash(target(1), testRoute, "b/2", convicted)
-	for _, record := range *heard {
+	sender.RecordCrash(target(1), testRoute, "b/2", conclusive)
+	for _, record := range *sent {
 		list.Receive(record)
 	}
 	if !list.Ambiguous(message(nil)) {
-		t.Error("not contested by a request that was tried at the same replicas")
+		t.Error("not ambiguous with a request that crashed the same replicas")
 	}
-	list.RecordCrash(message(nil), testRoute, "c/3", convicted)
+	list.RecordCrash(message(nil), testRoute, "c/3", conclusive)
 	if list.Ambiguous(message(nil)) {
-		t.Error("contested by a request that was not tried at the last one")
+		t.Error("ambiguous with a request that did not crash the last replica")
 	}
-	now.now = now.now.Add(verdictDue)
+	now.now = now.now.Add(confirmationWindow)
 	if got := list.Lookup(message(nil)); got.RefuseFor != 0 || got.Evidence.Convicts() || !got.Evidence.Suspects() {
-		t.Errorf("without a verdict: %+v", got)
+		t.Errorf("after the confirmation window: %+v", got)
 	}
 }
 
-// TestARequestThatWasAnsweredIsNoSuspect: for a while, as it is not what ends replicas now.
-func TestARequestThatWasAnsweredIsNoSuspect(t *testing.T) {
-	list, now, told := newTestList(nil)
+// A request that was answered recently is not the cause of current crashes, also if another node
+// has quarantined it.
+func TestRecentAnswerClearsRequest(t *testing.T) {
+	list, now, broadcasts := newTestList(nil)
 	list.RecordAnswer(message(nil))
-	now.now = now.now.Add(answeredFor)
-	convict(list, message(nil))
+	now.now = now.now.Add(recentAnswerTTL)
+	quarantine(list, message(nil))
 	if list.IsQuarantined(message(nil)) || list.size.Load() != 0 {
-		t.Error("it is suspected though it was answered")
+		t.Error("recently answered request is suspected")
 	}
-	convict(list, target(1))
+	quarantine(list, target(1))
 	if !list.IsQuarantined(target(1)) {
-		t.Error("another request is not")
+		t.Error("another request is not quarantined")
 	}
 	list.Receive(Record{Identity: IdentityOf(message(nil)), CrashedReplicas: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
 	if got := list.Lookup(message(nil)); got != (Status{}) {
-		t.Errorf("it is refused as another node says: %+v", got)
+		t.Errorf("recently answered request is refused for another node: %+v", got)
 	}
 	list.RecordAnswer(message(nil))
-	if last := (*told)[len(*told)-1]; !last.Released || last.Identity != IdentityOf(message(nil)) {
-		t.Errorf("the other nodes are not told of the answer: %+v", last)
+	if last := (*broadcasts)[len(*broadcasts)-1]; !last.Released || last.Identity != IdentityOf(message(nil)) {
+		t.Errorf("last broadcast %+v, want a release", last)
 	}
-	now.now = now.now.Add(answeredFor)
+	now.now = now.now.Add(recentAnswerTTL)
 	now.now = now.now.Add(2 * time.Second)
-	convict(list, message(nil))
+	quarantine(list, message(nil))
 	if !list.IsQuarantined(message(nil)) {
-		t.Error("an answer counts for longer than it should")
+		t.Error("request is not quarantined after the answer has expired")
 	}
 }
 
-func BenchmarkAnswered(b *testing.B) {
+func BenchmarkRecordAnswer(b *testing.B) {
 	asked := message(func(m *upstream.Message) { m.Body = make([]byte, 1024) })
 	list := New(Config{})
 	for b.Loop() {
@@ -301,16 +303,14 @@
 	}
 }
 
-// TestOtherNodesAreToldOfTwoEndsUnderOneRequest: one end may be any other request's doing, two under
-// one request seldom are. A request whose shards have few replicas left ends before a third one
-// ends under it, and with each node it would begin from nothing: one that came to eight nodes in
-// turn ended 23 replicas in 8 s.
-func TestOtherNodesAreToldOfTwoEndsUnderOneRequest(t *testing.T) {
-	for _, test := range []struct{ ended, told int }{{1, 0}, {2, 1}} {
-		list, _, told := newTestList(nil)
-		list.RecordCrash(message(nil), Route{Name: "r", Shards: 4}, "", decision.Evidence{Ended: test.ended, Rounds: 1, Blame: 1})
-		if len(*told) != test.told {
-			t.Errorf("%d ended: told %d times", test.ended, len(*told))
+// A suspect must be broadcast from the second crash: a request whose shards have few replicas left
+// may fail before the third, and each node would collect evidence anew.
+func TestBroadcastFromSecondCrash(t *testing.T) {
+	for _, test := range []struct{ crashed, broadcasts int }{{1, 0}, {2, 1}} {
+		list, _, sent := newTestList(nil)
+		list.RecordCrash(message(nil), Route{Name: "r", Shards: 4}, "", decision.Evidence{Ended: test.crashed, Rounds: 1, Blame: 1})
+		if len(*sent) != test.broadcasts {
+			t.Errorf("%d crashes: %d broadcasts", test.crashed, len(*sent))
 		}
 	}
 }
--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -12,33 +12,33 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// Store is the part of the store that a Keeper writes.
+// Store is the part of the store that a Persister writes to.
 type Store interface {
 	store.Committer
 	store.Leaser
 }
 
-// PersisterConfig is what a Keeper is made of.
+// PersisterConfig configures a Persister.
 type PersisterConfig struct {
 	Store Store
-	// Prefix begins the keys; the rest is the identity.
+	// Prefix is the key prefix; the request's identity follows it.
 	Prefix string
 	List   *List
-	// Rank is this node's place among those that are known, from 0.
+	// Rank returns this node's index among the known nodes, starting at 0.
 	Rank   func() int
 	Logger *slog.Logger
 }
 
-// Persister writes what is quarantined into the store, so that it outlasts the loss of all
-// nodes, and reaches those that start later or cannot be reached by the others. Without a
-// quarantined request it calls nothing.
+// Persister writes quarantined requests to the store, so that they survive the loss of all
+// nodes and reach nodes that start later or miss the notices of the others. It makes no store
+// calls while no request is quarantined.
 type Persister struct {
 	config PersisterConfig
-	// pause is the wait after a call that has failed; it doubles.
-	pause time.Duration
+	// backoff is the delay after the latest failed call; it doubles with each failure.
+	backoff time.Duration
 }
 
-// NewPersister makes a Keeper.
+// NewPersister returns a Persister; Run starts it.
 func NewPersister(config PersisterConfig) *Persister {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -46,65 +46,65 @@
 	return &Persister{config: config}
 }
 
-// The times of a Keeper.
 const (
-	// keepInterval is the time between two looks for what is to be written.
-	keepInterval = 500 * time.Millisecond
-	// firstPause and longestPause bound the wait after a call that has failed: calls that
-	// the store refuses are priced as well.
-	firstPause   = 500 * time.Millisecond
-	longestPause = 4 * time.Second
-	// standInAfter is how long the first nodes by rank wait for the node that has found a
-	// request to write it, standInStep how much longer each than the one before:
-	// that node may be gone, or cut off from the store.
-	standInAfter = 3 * time.Second
-	standInStep  = time.Second
-	// standIns is the number of nodes that do so.
-	standIns = 3
+	// persistInterval is the interval between checks for requests to write.
+	persistInterval = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay after a failed call: calls that the store
+	// rejects are billed as well.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// takeoverDelay is how long the node of rank 0 waits for the detecting node to write a
+	// request before writing it itself; each further rank waits takeoverStep longer. The
+	// detecting node may be gone or cut off from the store.
+	takeoverDelay = 3 * time.Second
+	takeoverStep  = time.Second
+	// takeoverNodes is the number of nodes, by rank, that take over writes.
+	takeoverNodes = 3
 )
 
-// Run writes until ctx ends, and returns nil then.
-func (k *Persister) Run(ctx context.Context) error {
-	ticker := time.NewTicker(keepInterval)
+// Run writes quarantined requests to the store until ctx is done. It always returns nil.
+func (p *Persister) Run(ctx context.Context) error {
+	ticker := time.NewTicker(persistInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.config.List.found:
+		case <-p.config.List.wake:
 		case <-ticker.C:
 		}
-		for _, record := range k.config.List.unstored(k.wait()) {
-			if !k.keep(ctx, record) {
+		for _, record := range p.config.List.unstored(p.takeoverWait()) {
+			if !p.persist(ctx, record) {
 				break
 			}
 		}
 	}
 }
 
-// wait is how long after it has heard of a request this node writes it in place of another;
-// negative means never.
-func (k *Persister) wait() time.Duration {
-	rank := k.config.Rank()
-	if rank >= standIns {
+// takeoverWait returns how long after learning of a request this node writes it in place of
+// the detecting node; a negative value means never.
+func (p *Persister) takeoverWait() time.Duration {
+	rank := p.config.Rank()
+	if rank >= takeoverNodes {
 		return -1
 	}
-	return standInAfter + time.Duration(rank)*standInStep
+	return takeoverDelay + time.Duration(rank)*takeoverStep
 }
 
-// keep writes a record, and pauses after a failure.
-func (k *Persister) keep(ctx context.Context, record Record) bool {
-	err := k.write(ctx, record)
+// persist writes a record and reports whether that succeeded. After a failure it waits for the
+// backoff delay.
+func (p *Persister) persist(ctx context.Context, record Record) bool {
+	err := p.write(ctx, record)
 	if err == nil {
-		k.pause = 0
-		k.config.List.markStored(record.Identity)
+		p.backoff = 0
+		p.config.List.markStored(record.Identity)
 		return true
 	}
-	if k.pause == 0 {
-		k.config.Logger.Warn("a quarantined request cannot be written to the store", "identity", record.Identity.String(), "error", err.Error())
+	if p.backoff == 0 {
+		p.config.Logger.Warn("failed to write a quarantined request to the store", "identity", record.Identity.String(), "error", err.Error())
 	}
-	k.pause = min(max(firstPause, 2*k.pause), longestPause)
-	timer := time.NewTimer(k.pause/2 + rand.N(k.pause))
+	p.backoff = min(max(minBackoff, 2*p.backoff), maxBackoff)
+	timer := time.NewTimer(p.backoff/2 + rand.N(p.backoff))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -113,38 +113,37 @@
 	return false
 }
 
-// write puts a record under a lease that ends with the quarantine. Writing it twice does no
-// harm.
-func (k *Persister) write(ctx context.Context, record Record) error {
-	lease, err := k.config.Store.Grant(ctx, max(record.RefuseFor(), time.Second))
+// write stores a record under a lease that ends with the quarantine. It is idempotent.
+func (p *Persister) write(ctx context.Context, record Record) error {
+	lease, err := p.config.Store.Grant(ctx, max(record.RefuseFor(), time.Second))
 	if err != nil {
 		return err
 	}
-	return k.put(ctx, record, lease)
+	return p.put(ctx, record, lease)
 }
 
-func (k *Persister) put(ctx context.Context, record Record, lease store.Lease) error {
+func (p *Persister) put(ctx context.Context, record Record, lease store.Lease) error {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return eris.Wrap(err, "encode a quarantined request")
 	}
-	_, err = k.config.Store.Commit(ctx, store.Transaction{
-		Writes: []store.Write{{Key: k.config.Prefix + record.Identity.String(), Value: value, Lease: lease}},
+	_, err = p.config.Store.Commit(ctx, store.Transaction{
+		Writes: []store.Write{{Key: p.config.Prefix + record.Identity.String(), Value: value, Lease: lease}},
 	})
 	return err
 }
 
-// Release ends the quarantine of a request on all nodes. The store is told first: a node that
-// hears nothing else follows it. The entry stays there as released for as long as a
-// quarantine lasts, so that no node writes it again.
-func (k *Persister) Release(ctx context.Context, identity Identity) error {
-	lease, err := k.config.Store.Grant(ctx, k.config.List.config.Duration)
+// Release ends the quarantine of a request on all nodes. It writes to the store first, so that
+// nodes which miss the notice still learn of the release. The store entry is marked as released
+// and kept for the duration of a quarantine, so that no node writes the request again.
+func (p *Persister) Release(ctx context.Context, identity Identity) error {
+	lease, err := p.config.Store.Grant(ctx, p.config.List.config.Duration)
 	if err != nil {
 		return eris.Wrap(err, "release a request")
 	}
-	if err := k.put(ctx, Record{Identity: identity, Released: true}, lease); err != nil {
+	if err := p.put(ctx, Record{Identity: identity, Released: true}, lease); err != nil {
 		return eris.Wrap(err, "release a request")
 	}
-	k.config.List.Release(identity)
+	p.config.List.Release(identity)
 	return nil
 }
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -12,13 +12,13 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// fakeStore keeps what is written, and fails while it is away.
+// fakeStore stores what is written under its lease, and fails while it is unavailable.
 type fakeStore struct {
-	mutex   sync.Mutex
-	away    bool
-	calls   int
-	ttl     time.Duration
-	written map[string][]byte
+	mutex       sync.Mutex
+	unavailable bool
+	calls       int
+	ttl         time.Duration
+	written     map[string][]byte
 }
 
 func (f *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
@@ -26,7 +26,7 @@
 	defer f.mutex.Unlock()
 	f.calls++
 	f.ttl = ttl
-	if f.away {
+	if f.unavailable {
 		return 0, store.ErrUnclear
 	}
 	return 7, nil
@@ -38,7 +38,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.calls++
-	if f.away {
+	if f.unavailable {
 		return store.Outcome{}, store.ErrUnclear
 	}
 	for _, write := range transaction.Writes {
@@ -53,10 +53,10 @@
 	return nil, errors.ErrUnsupported
 }
 
-func (f *fakeStore) setAway(away bool) {
+func (f *fakeStore) setUnavailable(unavailable bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.away = away
+	f.unavailable = unavailable
 }
 
 func (f *fakeStore) value(key string) ([]byte, int) {
@@ -65,17 +65,17 @@
 	return f.written[key], f.calls
 }
 
-// keep runs a Keeper of a rank on a virtual clock.
-func keep(t *testing.T, rank int, play func(kept *fakeStore, list *List, keeper *Persister)) {
+// runPersister calls do with a running Persister of the given rank, on a virtual clock.
+func runPersister(t *testing.T, rank int, do func(backing *fakeStore, list *List, persister *Persister)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		kept := &fakeStore{written: map[string][]byte{}}
+		backing := &fakeStore{written: map[string][]byte{}}
 		list := New(Config{})
-		keeper := NewPersister(PersisterConfig{Store: kept, Prefix: "q/", List: list, Rank: func() int { return rank }})
+		persister := NewPersister(PersisterConfig{Store: backing, Prefix: "q/", List: list, Rank: func() int { return rank }})
 		ended := make(chan error)
-		go func() { ended <- keeper.Run(ctx) }()
-		play(kept, list, keeper)
+		go func() { ended <- persister.Run(ctx) }()
+		do(backing, list, persister)
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
@@ -85,80 +85,79 @@
 
 var key = "q/" + IdentityOf(message(nil)).String()
 
-// TestWhatIsFoundIsWritten: at once, also after the store was away, and adopted by a node
-// that knows nothing; without it, nothing is called.
-func TestWhatIsFoundIsWritten(t *testing.T) {
-	keep(t, standIns, func(kept *fakeStore, list *List, _ *Persister) {
+// A quarantined request must be written once, also after an outage of the store, adopted by new
+// nodes, and written again if the store loses it. Without one there must be no store calls.
+func TestPersisterWritesQuarantinedRequest(t *testing.T) {
+	runPersister(t, takeoverNodes, func(backing *fakeStore, list *List, _ *Persister) {
 		time.Sleep(time.Minute)
-		if _, calls := kept.value(key); calls != 0 {
-			t.Errorf("%d calls without a quarantined request", calls)
+		if _, calls := backing.value(key); calls != 0 {
+			t.Errorf("%d store calls without a quarantined request", calls)
 		}
-		kept.setAway(true)
-		convict(list, message(nil))
+		backing.setUnavailable(true)
+		quarantine(list, message(nil))
 		time.Sleep(10 * time.Second)
-		if _, calls := kept.value(key); calls < 2 || calls > 8 {
-			t.Errorf("%d calls in 10 s of an outage", calls)
+		if _, calls := backing.value(key); calls < 2 || calls > 8 {
+			t.Errorf("%d store calls in 10 s of an outage", calls)
 		}
-		kept.setAway(false)
-		time.Sleep(2 * longestPause)
-		value, calls := kept.value(key)
+		backing.setUnavailable(false)
+		time.Sleep(2 * maxBackoff)
+		value, calls := backing.value(key)
 		time.Sleep(time.Minute)
-		if _, later := kept.value(key); value == nil || later != calls || kept.ttl > DefaultDuration {
-			t.Errorf("value %s, %d calls after it was written, lease %v", value, later-calls, kept.ttl)
+		if _, later := backing.value(key); value == nil || later != calls || backing.ttl > DefaultDuration {
+			t.Errorf("value %s, %d calls after the write, lease %v", value, later-calls, backing.ttl)
 		}
-		started := New(Config{})
-		started.Adopt(IdentityOf(message(nil)).String(), value)
-		if !started.IsQuarantined(message(nil)) || len(started.unstored(0)) != 0 {
-			t.Error("a node that reads it does not take it over")
+		newNode := New(Config{})
+		newNode.Adopt(IdentityOf(message(nil)).String(), value)
+		if !newNode.IsQuarantined(message(nil)) || len(newNode.unstored(0)) != 0 {
+			t.Error("a new node does not adopt the stored request")
 		}
-		started.Forgotten(IdentityOf(message(nil)).String())
-		if len(started.unstored(0)) != 1 || len(started.unstored(standInAfter)) != 0 {
-			t.Error("what the store has lost is not written again after a wait")
+		newNode.Forgotten(IdentityOf(message(nil)).String())
+		if len(newNode.unstored(0)) != 1 || len(newNode.unstored(takeoverDelay)) != 0 {
+			t.Error("a request lost by the store is not due again after the takeover delay")
 		}
 	})
 }
 
-// TestOthersStandIn: the first nodes by rank write what the node that has found it does not.
-func TestOthersStandIn(t *testing.T) {
-	for rank, want := range map[int]bool{0: true, standIns - 1: true, standIns: false} {
-		keep(t, rank, func(kept *fakeStore, list *List, _ *Persister) {
+// The first nodes by rank must write a request if the detecting node does not.
+func TestPersisterTakeover(t *testing.T) {
+	for rank, want := range map[int]bool{0: true, takeoverNodes - 1: true, takeoverNodes: false} {
+		runPersister(t, rank, func(backing *fakeStore, list *List, _ *Persister) {
 			list.Receive(Record{Identity: IdentityOf(message(nil)), CrashedReplicas: 12, Rounds: 3, Blame: 3, RefuseMilliseconds: 600_000})
-			time.Sleep(standInAfter / 2)
-			if value, _ := kept.value(key); value != nil {
-				t.Errorf("rank %d: written without a wait", rank)
+			time.Sleep(takeoverDelay / 2)
+			if value, _ := backing.value(key); value != nil {
+				t.Errorf("rank %d: written before the takeover delay", rank)
 			}
-			time.Sleep(2 * (standInAfter + standIns*standInStep))
-			if value, _ := kept.value(key); (value != nil) != want {
+			time.Sleep(2 * (takeoverDelay + takeoverNodes*takeoverStep))
+			if value, _ := backing.value(key); (value != nil) != want {
 				t.Errorf("rank %d: written %v, want %v", rank, value != nil, want)
 			}
 		})
 	}
 }
 
-// TestAReleaseIsKept: nodes that hear nothing but the store follow it, and none writes the
-// request again.
-func TestAReleaseIsKept(t *testing.T) {
-	keep(t, 0, func(kept *fakeStore, list *List, keeper *Persister) {
-		convict(list, message(nil))
+// A release must reach nodes through the store alone, and must fail if it cannot be stored.
+func TestPersisterRelease(t *testing.T) {
+	runPersister(t, 0, func(backing *fakeStore, list *List, persister *Persister) {
+		quarantine(list, message(nil))
 		time.Sleep(time.Second)
-		kept.setAway(true)
-		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err == nil || !list.IsQuarantined(message(nil)) {
-			t.Error("released though the store does not know")
+		backing.setUnavailable(true)
+		if err := persister.Release(t.Context(), IdentityOf(message(nil))); err == nil || !list.IsQuarantined(message(nil)) {
+			t.Error("released although the store is unavailable")
 		}
-		kept.setAway(false)
-		if err := keeper.Release(t.Context(), IdentityOf(message(nil))); err != nil || list.IsQuarantined(message(nil)) {
+		backing.setUnavailable(false)
+		if err := persister.Release(t.Context(), IdentityOf(message(nil))); err != nil || list.IsQuarantined(message(nil)) {
 			t.Errorf("not released: %v", err)
 		}
-		value, _ := kept.value(key)
+		value, _ := backing.value(key)
 		var record Record
 		if err := json.Unmarshal(value, &record); err != nil || !record.Released {
-			t.Errorf("the store holds %s", value)
+			t.Errorf("stored value %s, want a release", value)
 		}
 		other := New(Config{})
-		convict(other, message(nil))
+		quarantine(other, message(nil))
 		other.Adopt(IdentityOf(message(nil)).String(), value)
 		if other.IsQuarantined(message(nil)) {
-			t.Error("a node that reads the release goes on refusing")
+			t.Error("a node that reads the release still refuses the request")
 		}
 	})
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,10 +1,10 @@
-// Package quarantine keeps requests from replicas that would end by running them. A request
-// under which replicas have ended is a suspect: the next time it comes, it is tried on one
-// replica first. One that goes on ending replicas is quarantined: all nodes refuse it, for a
-// time. Nodes tell each other by datagram, and the store keeps what is quarantined.
+// Package quarantine protects replicas from requests that crash them. A request under which
+// replicas crashed becomes a suspect: the next time it arrives it is tried on a single replica
+// first. If it keeps crashing replicas it is quarantined: all nodes refuse it for a limited
+// time. Nodes exchange records by datagram, and quarantined requests are persisted in the store.
 //
-// While no request is suspected, nothing is sent or kept, and a request costs one atomic
-// read.
+// While no request is suspected, nothing is sent or stored, and the check costs one atomic load
+// per request.
 package quarantine
 
 import (
@@ -19,50 +19,47 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// The defaults of a Config.
 const (
-	// DefaultDuration is for how long a request is refused: as long as the store's longest
-	// lease, which keeps it.
+	// DefaultDuration is the default duration of a quarantine. It equals the longest lease
+	// of the store.
 	DefaultDuration = 10 * time.Minute
-	// DefaultMaxEntries bounds the requests that are known, some 400 bytes each.
+	// DefaultMaxEntries is the default limit on known requests, at about 400 bytes each.
 	DefaultMaxEntries = 1024
 )
 
-// suspectFor is for how long a suspect is remembered that is not quarantined: longer than
-// replicas take to be back, and callers to come again.
-const suspectFor = time.Minute
+// suspectTTL is how long a suspect that is not quarantined is remembered. It covers the restart
+// of the replicas and the retries of callers.
+const suspectTTL = time.Minute
 
-// Identity tells requests apart: a wide hash of what a replica sees of them, which is method,
-// host, path, query, the caller's credentials and the body. Identifiers and other headers
-// differ with each try of a request, and so may the address that it comes from, of which a
-// replica sees nothing. (With the address, a request that came from another one each time
-// ended 12 replicas with each try.)
+// Identity identifies a request by a hash of what replicas see of it: method, host, path, query,
+// the caller's credentials and the body. The request ID, other headers and the caller's address
+// are left out, as they may differ between tries of the same request.
 type Identity [sha256.Size]byte
 
 // IdentityOf returns the identity of a request.
 func IdentityOf(message *upstream.Message) Identity {
 	digest := sha256.New()
-	for _, part := range []string{message.Method, message.Host, message.Target, message.Header.Get("Authorization")} {
-		writePart(digest, part)
+	for _, field := range []string{message.Method, message.Host, message.Target, message.Header.Get("Authorization")} {
+		writeField(digest, field)
 	}
-	_, _ = digest.Write(message.Body) // a hash takes all that is written
+	_, _ = digest.Write(message.Body) // never fails
 	var identity Identity
 	digest.Sum(identity[:0])
 	return identity
 }
 
-// writePart writes a part behind its length, so that parts do not run into each other.
-func writePart(digest hash.Hash, part string) {
+// writeField writes a length-prefixed field, so that adjacent fields cannot be confused.
+func writeField(digest hash.Hash, field string) {
 	var length [8]byte
-	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
+	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 	_, _ = digest.Write(length[:])
-	_, _ = digest.Write([]byte(part))
+	_, _ = digest.Write([]byte(field))
 }
 
-// String returns the identity as operators and logs name it.
+// String returns the identity in hexadecimal.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
 
-// ParseIdentity reads what String writes.
+// ParseIdentity parses the output of Identity.String.
 func ParseIdentity(text string) (Identity, bool) {
 	var identity Identity
 	decoded, err := hex.DecodeString(text)
@@ -73,66 +70,66 @@
 	return identity, true
 }
 
-// Status is what is known of a request that comes.
+// Status is the status of an incoming request.
 type Status struct {
-	// Evidence is what speaks against it; zero for nothing.
+	// Evidence is the evidence against the request; zero if there is none.
 	Evidence decision.Evidence
-	// RefuseFor is for how long it is still quarantined; 0 when it is not.
+	// RefuseFor is the remaining time for which the request is refused; 0 if it is not.
 	RefuseFor time.Duration
 }
 
-// Record is what nodes tell each other of a request, and what the store keeps. Times are
-// lengths, as clocks of nodes differ.
+// Record describes a suspected or quarantined request, as nodes exchange it and the store holds
+// it. It contains durations instead of timestamps, as the clocks of nodes differ.
 type Record struct {
 	Identity Identity `msgpack:"i" json:"-"`
-	// CrashedReplicas, Rounds and Blame are the evidence.
+	// CrashedReplicas, Rounds and Blame are the evidence; see decision.Evidence.
 	CrashedReplicas int     `msgpack:"e" json:"ended"`
 	Rounds          int     `msgpack:"m" json:"rounds"`
 	Blame           float64 `msgpack:"b" json:"blame"`
-	// RefuseMilliseconds is for how long it is still quarantined; 0 when it is a suspect.
+	// RefuseMilliseconds is the remaining time of the quarantine; 0 for a suspect.
 	RefuseMilliseconds int64 `msgpack:"r,omitempty" json:"refuse_ms"`
-	// Canaries names the latest replicas that ended by canaries of the request.
+	// Canaries names the latest replicas that crashed while they ran the request alone.
 	Canaries []string `msgpack:"l,omitempty" json:"canaries,omitempty"`
-	// Released is true when an operator has ended the quarantine.
+	// Released is true if the quarantine was ended early, by an operator or an answer.
 	Released bool `msgpack:"x,omitempty" json:"released,omitempty"`
-	// Route, Caller and Target name the request for operators.
+	// Route, Caller and Target describe the request to operators.
 	Route  string `msgpack:"n" json:"route"`
 	Caller string `msgpack:"c" json:"caller"`
 	Target string `msgpack:"t" json:"target"`
 }
 
-// RefuseFor is for how long the request is still quarantined.
+// RefuseFor returns the remaining time of the quarantine.
 func (r *Record) RefuseFor() time.Duration {
 	return time.Duration(r.RefuseMilliseconds) * time.Millisecond
 }
 
-// Evidence is what speaks against the request.
+// Evidence returns the evidence against the request.
 func (r *Record) Evidence() decision.Evidence {
 	return decision.Evidence{Ended: r.CrashedReplicas, Rounds: r.Rounds, Blame: r.Blame}
 }
 
-func (r *Record) setEvidence(found decision.Evidence) {
-	r.CrashedReplicas, r.Rounds, r.Blame = found.Ended, found.Rounds, found.Blame
+func (r *Record) setEvidence(evidence decision.Evidence) {
+	r.CrashedReplicas, r.Rounds, r.Blame = evidence.Ended, evidence.Rounds, evidence.Blame
 }
 
-// The bounds of what names a request, in bytes: a record fits into a datagram.
+// Limits on the descriptive fields of a Record, so that it fits into a datagram.
 const (
-	mostRouteBytes   = 64
-	mostTargetBytes  = 128
-	mostProcessBytes = 48
-	mostCanaries     = 3
+	maxRouteBytes       = 64
+	maxTargetBytes      = 128
+	maxReplicaNameBytes = 48
+	maxCanaries         = 3
 )
 
-// addCanaries adds the names of replicas; the latest are kept.
+// addCanaries adds replica names and keeps the latest maxCanaries.
 func (r *Record) addCanaries(names []string) {
 	for _, name := range names {
 		if !slices.Contains(r.Canaries, name) {
 			r.Canaries = append(r.Canaries, name)
 		}
 	}
-	if extra := len(r.Canaries) - mostCanaries; extra > 0 {
+	if extra := len(r.Canaries) - maxCanaries; extra > 0 {
 		r.Canaries = r.Canaries[extra:]
 	}
 }
 
-func shortened(text string, most int) string { return text[:min(len(text), most)] }
+func truncate(text string, limit int) string { return text[:min(len(text), limit)] }
--- a/internal/quarantine/records.go
+++ b/internal/quarantine/records.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Records returns what is known now, with what is left of each time: first what is
-// quarantined, then by identity.
+// Records returns the known requests with their remaining times, quarantined ones first, then
+// ordered by identity.
 func (l *List) Records() []Record {
 	if l == nil {
 		return []Record{}
@@ -23,11 +23,11 @@
 	return records
 }
 
-// recordOf returns an entry's record as it is told now.
+// recordOf returns an entry's record with the remaining time of the quarantine.
 func (l *List) recordOf(known *entry) Record {
 	record := known.record
 	if known.quarantined {
-		record.RefuseMilliseconds = max(1, known.until.Sub(l.config.Now()).Milliseconds())
+		record.RefuseMilliseconds = max(1, known.expires.Sub(l.config.Now()).Milliseconds())
 	}
 	return record
 }
--- a/internal/quarantine/stored.go
+++ b/internal/quarantine/stored.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Adopt takes in what the store holds of a request. Its time counts from now on, as the
-// store does not say how old it is; it never holds it for longer.
+// Adopt applies an entry of the store. The quarantine counts from now, as the store does not
+// tell the age of an entry; the entry's lease bounds how late that can be.
 func (l *List) Adopt(identity string, value []byte) {
 	if l == nil {
 		return
 	}
-	read, known := ParseIdentity(identity)
+	parsed, valid := ParseIdentity(identity)
 	var record Record
-	if err := json.Unmarshal(value, &record); err != nil || !known {
-		l.config.Logger.Error("entry of a quarantined request refused", "identity", identity)
+	if err := json.Unmarshal(value, &record); err != nil || !valid {
+		l.config.Logger.Error("invalid store entry of a quarantined request", "identity", identity)
 		return
 	}
-	record.Identity = read
+	record.Identity = parsed
 	l.Receive(record)
-	l.markStored(read)
+	l.markStored(parsed)
 }
 
-// markStored notes that the store holds a request.
+// markStored marks a request as held by the store.
 func (l *List) markStored(identity Identity) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -31,23 +31,24 @@
 	}
 }
 
-// Forgotten takes in that the store has lost a request before its time: it is written again.
+// Forgotten handles the loss of a store entry before the end of the quarantine: the request is
+// written again.
 func (l *List) Forgotten(identity string) {
-	read, valid := ParseIdentity(identity)
+	parsed, valid := ParseIdentity(identity)
 	if l == nil || !valid {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.entries[read]; known != nil && known.stored {
+	if known := l.entries[parsed]; known != nil && known.stored {
 		known.stored = false
-		known.since = l.config.Now()
+		known.quarantinedAt = l.config.Now()
 	}
 }
 
-// unstored returns the quarantined requests that this node has to write into the store: those
-// that it has found itself, and those of others that are not there after a wait. A negative
-// wait means that it leaves these to others.
+// unstored returns the quarantined requests that this node has to write to the store: those it
+// detected itself, and those of other nodes that are not stored after wait. A negative wait
+// excludes the latter.
 func (l *List) unstored(wait time.Duration) []Record {
 	if l.size.Load() == 0 {
 		return nil
@@ -60,7 +61,7 @@
 		if known == nil || !known.quarantined || known.stored {
 			continue
 		}
-		due := known.own || (wait >= 0 && l.config.Now().Sub(known.since) >= wait)
+		due := known.detected || (wait >= 0 && l.config.Now().Sub(known.quarantinedAt) >= wait)
 		if due {
 			records = append(records, l.recordOf(known))
 		}
@@ -68,9 +69,9 @@
 	return records
 }
 
-func (l *List) wakeKeeper() {
+func (l *List) wakePersister() {
 	select {
-	case l.found <- struct{}{}:
-	default: // it is awake, and looks at all
+	case l.wake <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// FuzzAdopt: no entry of another writer makes a node panic or hold more requests than it may.
+// No store entry, whoever wrote it, may cause a panic, exceed the limit on entries or extend a
+// quarantine beyond its duration.
 func FuzzAdopt(f *testing.F) {
-	known := IdentityOf(message(nil)).String()
-	f.Add(known, []byte(`{"refuse_ms":1000,"ended":3}`))
-	f.Add(known, []byte("null"))
+	identity := IdentityOf(message(nil)).String()
+	f.Add(identity, []byte(`{"refuse_ms":1000,"ended":3}`))
+	f.Add(identity, []byte("null"))
 	f.Add("", []byte("{"))
-	f.Add(known[1:], []byte(`{"refuse_ms":-1}`))
-	f.Fuzz(func(t *testing.T, identity string, value []byte) {
+	f.Add(identity[1:], []byte(`{"refuse_ms":-1}`))
+	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		list := New(Config{Duration: time.Minute, MaxEntries: 1, Broadcast: func(Record) {}})
+		list.Adopt(key, value)
 		list.Adopt(identity, value)
-		list.Adopt(known, value)
-		if held := len(list.Records()); held > 1 {
-			t.Errorf("%d requests are held", held)
+		if entries := len(list.Records()); entries > 1 {
+			t.Errorf("%d entries, want at most 1", entries)
 		}
 		for _, record := range list.Records() {
 			if record.RefuseFor() > time.Minute {
-				t.Errorf("refused for %v", record.RefuseFor())
+				t.Errorf("quarantined for %v", record.RefuseFor())
 			}
 		}
 	})
