--- a/internal/edge/budget_test.go
+++ b/internal/edge/budget_test.go
@@ -8,29 +8,28 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// TestRestartsAddNothingToTheBudget: what all nodes grant for a group in one window stays
-// within the ratio of its requests and the slack, though each of them starts anew with a
-// budget of its own, and though they know no other node at first.
-func TestRestartsAddNothingToTheBudget(t *testing.T) {
+// Nodes that restart, or that know no other node yet, must not grant more retries in a window
+// than the bound allows for all of them.
+func TestBudgetWithinBoundAcrossRestarts(t *testing.T) {
 	const nodes, requestsEach = 6, 100
 	bounds := BoundsSettings{RetryRatio: 0.2, RetrySlack: 52, RetryWindow: 10 * time.Second}
-	knowing := (&testBoard{}).of(nodes)
+	populated := (&testBoard{}).withNodes(nodes)
 	cases := []struct {
 		name   string
 		starts int
 		board  *blackboard.Board
 	}{
-		{"no restart", 1, knowing},
-		{"all restart twice", 3, knowing},
-		{"all know no other node", 1, &blackboard.Board{}},
-		{"all restart twice and know no other node", 3, &blackboard.Board{}},
-		{"all stand by", 1, standbyBoard(nodes)},
+		{"no restart", 1, populated},
+		{"two restarts", 3, populated},
+		{"nodes unknown", 1, &blackboard.Board{}},
+		{"two restarts, nodes unknown", 3, &blackboard.Board{}},
+		{"standby", 1, standbyBoard(nodes)},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			granted, requests := 0, 0
 			for range test.starts * nodes {
-				budget := newBudgets(test.board, func() BoundsSettings { return bounds }, time.Now).of("g")
+				budget := newBudgets(test.board, func() BoundsSettings { return bounds }, time.Now).forGroup("g")
 				for range requestsEach {
 					budget.Deposit()
 					requests++
@@ -40,18 +39,18 @@
 				}
 			}
 			if most := bounds.RetryRatio*float64(requests) + bounds.RetrySlack; float64(granted) > most {
-				t.Errorf("%d repeats granted for %d requests, %.0f allowed", granted, requests, most)
+				t.Errorf("granted %d retries for %d requests, want at most %.0f", granted, requests, most)
 			}
 			if granted == 0 {
-				t.Error("no repeat was granted")
+				t.Error("granted no retry")
 			}
 		})
 	}
 }
 
-// TestABudgetIsFullAWindowAfterTheStart: what an earlier life of the node has spent is out
-// of the window by then.
-func TestABudgetIsFullAWindowAfterTheStart(t *testing.T) {
+// A node's first budgets are reduced, as its previous process may have spent tokens in the same
+// window.
+func TestInitialTokensByAge(t *testing.T) {
 	const window = 10 * time.Second
 	for _, test := range []struct {
 		name   string
@@ -60,27 +59,27 @@
 		want   int
 	}{
 		{"just started", 0, window, 10},
-		{"nearly a window ago", window - time.Second, window, 10},
-		{"a window ago", window, window, 40},
-		{"no window is stated", time.Hour, 0, 10},
+		{"shortly before the end of the window", window - time.Second, window, 10},
+		{"after a window", window, window, 40},
+		{"window unspecified", time.Hour, 0, 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			bounds := BoundsSettings{RetryRatio: 0.2, RetrySlack: 50, RetryWindow: test.window}
-			divided := newBudgets((&testBoard{}).of(1), func() BoundsSettings { return bounds }, func() time.Time { return now })
+			budgets := newBudgets((&testBoard{}).withNodes(1), func() BoundsSettings { return bounds }, func() time.Time { return now })
 			now = now.Add(test.age)
 			granted := 0
-			for divided.of("g").Withdraw() {
+			for budgets.forGroup("g").Withdraw() {
 				granted++
 			}
 			if granted != test.want {
-				t.Errorf("%d granted, want %d", granted, test.want)
+				t.Errorf("granted %d retries, want %d", granted, test.want)
 			}
 		})
 	}
 }
 
-// standbyBoard is that of a node to which no callers are led, with as many entry nodes.
+// standbyBoard returns the board of a standby node beside a number of entry nodes.
 func standbyBoard(entries int) *blackboard.Board {
 	nodes := &topology.Nodes{Nodes: make([]topology.Node, entries+1), Shared: entries}
 	for i := range nodes.Nodes {
--- a/internal/edge/budgetusage.go
+++ b/internal/edge/budgetusage.go
@@ -9,24 +9,24 @@
 	"github.com/doorpond/doorpond/internal/inspect"
 )
 
-// mostListedBudgets bounds what a node tells operators: there may be thousands of groups,
-// and thousands of nodes that are asked at once.
-const mostListedBudgets = 10
+// maxListedBudgets bounds the list of budgets in a node's state: there may be thousands of
+// groups, and operators' tools query thousands of nodes at once.
+const maxListedBudgets = 10
 
-// usage returns the budgets of the groups that have replicas, those first of which most
-// was denied, then those of which most was granted.
+// usage returns the used budgets of the groups that have replicas, ordered by denied, then by
+// granted withdrawals, highest first.
 func (b *budgets) usage() []inspect.Budget {
 	used := []inspect.Budget{}
 	b.each(func(group string, usage decision.BudgetUsage) {
-		if b.isCurrent(group) && usage.Granted()+usage.Denied() > 0 {
+		if b.hasReplicas(group) && usage.Granted()+usage.Denied() > 0 {
 			used = append(used, inspect.Budget{Group: group, BudgetUsage: usage})
 		}
 	})
 	slices.SortFunc(used, inspect.CompareBudgets)
-	return used[:min(len(used), mostListedBudgets)]
+	return used[:min(len(used), maxListedBudgets)]
 }
 
-// each calls do with each group's budget.
+// each calls do with the usage of each group's budget.
 func (b *budgets) each(do func(group string, usage decision.BudgetUsage)) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
@@ -35,14 +35,14 @@
 	}
 }
 
-// isCurrent tells whether a group has replicas: those of earlier shards have none.
-func (b *budgets) isCurrent(group string) bool {
+// hasReplicas reports whether a group has replicas. Groups of removed shards have none.
+func (b *budgets) hasReplicas(group string) bool {
 	replicas := b.board.Replicas.Load()
 	return replicas != nil && len(replicas.Groups[group]) > 0
 }
 
-// budgetCollector measures a node's budgets when its metrics are read. All groups are
-// added up, as there may be thousands.
+// budgetCollector exports the budgets as metrics. It sums over all groups, as there may be
+// thousands.
 type budgetCollector struct {
 	budgets     *budgets
 	withdrawals *prometheus.Desc
@@ -71,7 +71,7 @@
 	spent := 0
 	c.budgets.each(func(group string, usage decision.BudgetUsage) {
 		sum = sum.Plus(usage)
-		if usage.Spent() && c.budgets.isCurrent(group) {
+		if usage.Spent() && c.budgets.hasReplicas(group) {
 			spent++
 		}
 	})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,7 +1,6 @@
-// Package edge assembles the node that serves callers who run no process of
-// ours: it takes their requests, passes them on to the replicas that the store
-// lists, and tells callers which nodes to use. All nodes are equal, and none
-// keeps anything on a disk.
+// Package edge implements the edge node, which serves callers that run no doorpond daemon. It
+// forwards their requests to the replicas listed in the store, and tells callers which nodes to
+// use. All nodes are equal and keep no state on disk.
 package edge
 
 import (
@@ -38,7 +37,6 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// Version is the program's version.
 const Version = "0.2.0"
 
 // Store is the store that a node reads and writes.
@@ -47,63 +45,59 @@
 	registry.Store
 }
 
-// Codec speaks the protocols of callers, replicas and operators.
+// Codec encodes and decodes the protocols of callers, replicas and operators.
 type Codec interface {
 	upstream.Codec
 	ingress.Codec
 	follower.Decoder
 }
 
-// Platform is what a node stands on.
+// Platform is the platform that a node runs on.
 type Platform struct {
 	Store Store
 	Codec Codec
 	Keys  follower.Keys
-	// ReadinessHandler and Directory make the handlers of the platform's calls.
+	// ReadinessHandler and DirectoryHandler return the handlers of the platform's calls.
 	ReadinessHandler func(ready func() bool) http.Handler
 	DirectoryHandler func(resolve func(host string, caller topology.Place) (directory.Answer, bool)) http.Handler
 }
 
-// Options are what a Node is made of.
+// Options configure a Node.
 type Options struct {
 	Settings Settings
 	Platform Platform
-	// Reload reads the settings anew; nil means that they never change.
+	// Reload reads the settings again; nil means that they never change.
 	Reload func() (Settings, error)
 	Logger *slog.Logger
 }
 
-// The constants of a node.
 const (
-	// entryTTL is how long a node's entry outlives it. Other nodes notice sooner that
-	// it is gone (liveness), and each renewal is priced.
-	// With 30 s it is renewed each 10 s; no node waits for its end.
+	// entryTTL is the lease of a node's entry in the store. It can be long, as other nodes
+	// detect a lost node by probing (liveness); each renewal is billed.
 	entryTTL = 30 * time.Second
-	// headerTimeout and idleTimeout bound what a caller may do with a
-	// connection; callers keep to the operators' smaller limits.
+	// headerTimeout and idleTimeout bound how long a caller may occupy a connection. They
+	// exceed the limits that operators set for callers.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeaderBytes is net/http's limit; callers keep to the operators' own.
+	// maxHeaderBytes is enforced by net/http, in addition to the limits that operators set.
 	maxHeaderBytes = 64 << 10
-	// relayWait is how long a question to another node for changes waits for one. The
-	// answer shows that the node lives, so it is well under the time for which callers
-	// should notice that a node is gone (two seconds).
-	relayWait = time.Second
-	// relaySlack is how much longer the answer may take: one packet lost and sent
-	// again, or a busy node.
-	relaySlack = 500 * time.Millisecond
-	// sweepInterval is the time between two looks for connections to replicas that
-	// have rested for too long.
+	// relayPollTimeout is how long another node holds a poll for changes. As its answer also
+	// proves that the node is alive, this is well below the two seconds within which a lost
+	// node should be detected.
+	relayPollTimeout = time.Second
+	// relayPollSlack is how much later the answer may arrive, because of a retransmission or
+	// a busy node.
+	relayPollSlack = 500 * time.Millisecond
+	// sweepInterval is the interval between sweeps of idle connections to replicas.
 	sweepInterval = time.Second
-	// vanishedShare of the drain time is how long a replica whose entry is gone
-	// may still be asked; the rest is for the time to hear of it.
-	vanishedShare = 0.4
+	// removedReplicaShare is the share of the drain time for which a replica whose entry is
+	// gone may still be used; the rest allows for the delay until this node learns of it.
+	removedReplicaShare = 0.4
 )
 
 // Node is one edge node.
 type Node struct {
-	// settings are those of the start; current ones may differ in what can
-	// change while the node runs.
+	// settings are those the node started with; current includes the changes of Reload.
 	settings  Settings
 	current   atomic.Pointer[Settings]
 	reload    func() (Settings, error)
@@ -115,34 +109,34 @@
 	pool      *replica.Pool
 	queries   *query.Service
 	announcer *announce.Announcer
-	// quarantine is nil when it is off.
+	// quarantine and persister are nil if the quarantine is disabled.
 	quarantine *quarantine.List
-	keeper     *quarantine.Persister
+	persister  *quarantine.Persister
 	follower   *follower.Follower
 	registry   *registry.Registry
-	// meter tells for how long this process has run.
+	// meter measures how long this process has run, without the time it was suspended.
 	meter     *elapsed.Meter
 	processor *processor.Meter
 	liveness  *liveness.Checker
-	// self is this node as it records itself, but for its readiness and load.
-	self    topology.Node
-	callers *drain.Listener
-	open    drain.Connections
-	server  *http.Server
-	// cutOff counts the requests that a stop has cut off.
-	cutOff prometheus.Counter
-	// answerNow ends the contexts of all callers' requests with a cause.
-	answerNow context.CancelCauseFunc
-	auxiliary map[string]*auxiliary // by name
+	// self is this node's entry in the store, except for its readiness and load.
+	self        topology.Node
+	callers     *drain.Listener
+	connections drain.Connections
+	server      *http.Server
+	// abortedRequests counts the requests that a shutdown has aborted.
+	abortedRequests prometheus.Counter
+	// cancelRequests cancels the contexts of all requests with a cause.
+	cancelRequests context.CancelCauseFunc
+	auxiliary      map[string]*auxiliaryServer // by name
 }
 
-// auxiliary is a listener beside that of the callers.
-type auxiliary struct {
+// auxiliaryServer is a listener other than that of the callers, and its server.
+type auxiliaryServer struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// New assembles a node and opens its listeners. Run serves them.
+// New returns a node with its listeners open. Run serves them.
 func New(options Options) (*Node, error) {
 	n := &Node{
 		settings: options.Settings, platform: options.Platform, logger: options.Logger, board: &blackboard.Board{},
@@ -152,10 +146,10 @@
 	if n.logger == nil {
 		n.logger = slog.New(slog.DiscardHandler)
 	}
-	n.enter(blackboard.PhaseStarting)
+	n.setPhase(blackboard.PhaseStarting)
 	var err error
 	n.announcer, err = announce.New(announce.Options{
-		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, Notice: n.hearOfRequest,
+		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, Notice: n.handleNotice,
 	})
 	if err != nil {
 		return nil, err
@@ -168,7 +162,7 @@
 	return n, nil
 }
 
-func (n *Node) enter(phase blackboard.Phase) { n.board.Phase.Publish(&phase) }
+func (n *Node) setPhase(phase blackboard.Phase) { n.board.Phase.Publish(&phase) }
 
 func (n *Node) assemble() {
 	place := topology.Place{Region: n.settings.Region, Zone: n.settings.Zone}
@@ -181,8 +175,8 @@
 		registerer = n.metrics
 	}
 	n.meter = elapsed.New(elapsed.Config{Logger: n.logger, Registerer: registerer})
-	n.open.Meter = n.meter
-	n.addCutOff(registerer)
+	n.connections.Meter = n.meter
+	n.registerAbortedRequests(registerer)
 	source := countCalls(n.platform.Store, registerer)
 	n.liveness = liveness.New(liveness.Config{Logger: n.logger})
 	n.processor = processor.New(processor.Options{Processors: n.settings.Limits.Processors(), Logger: n.logger})
@@ -191,10 +185,10 @@
 		registerer.MustRegister(newBudgetCollector(n.budgets))
 	}
 	n.pool = replica.NewPool(replica.PoolOptions{
-		Board: n.board, Self: place, Codec: n.platform.Codec, GroupBudget: n.budgets.of, Registerer: registerer,
-		OnElsewhere: n.tellDisplaced,
+		Board: n.board, Self: place, Codec: n.platform.Codec, GroupBudget: n.budgets.forGroup, Registerer: registerer,
+		OnElsewhere: n.logDisplacedReplica,
 	})
-	n.addQuarantine(source, registerer)
+	n.initQuarantine(source, registerer)
 	n.queries = query.NewService(query.Options{
 		Board: n.board, Pool: n.pool, Registerer: registerer, Logger: n.logger, Quarantine: n.quarantine,
 		Admission: admission.New(admission.Options{Registerer: registerer}), Lost: n.meter.Lost,
@@ -205,29 +199,29 @@
 		Peers: n.announcer, News: n.settings.Bounds.MaxStaleness(),
 		Others: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
 		Relays: relay.New(relay.Config{
-			HTTP: relayClient(), Wait: relayWait, Slack: relaySlack,
+			HTTP: relayClient(), Wait: relayPollTimeout, Slack: relayPollSlack,
 			Suspected: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
 		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, Steady: n.meter.Steady,
-		VanishedFor: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
+		VanishedFor: time.Duration(removedReplicaShare * float64(n.settings.Bounds.Drain)),
 		ColdBound:   decision.ColdBound{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
-	n.addNewsMetrics(registerer)
+	n.registerStoreMetrics(registerer)
 	n.registry = registry.New(registry.Config{
 		Store: source, Key: n.platform.Keys.Nodes + n.settings.Node, TTL: max(entryTTL, n.settings.Store.MinTTL),
 		Listed: n.listed, Era: n.storeEra,
 		Node: func() topology.Node {
-			recorded := n.self
-			recorded.Ready, recorded.Loaded = n.ready(), n.loaded()
-			return recorded
+			entry := n.self
+			entry.Ready, entry.Loaded = n.ready(), n.loaded()
+			return entry
 		},
 		Logger: n.logger,
 	})
-	n.addServers()
+	n.initServers()
 }
 
-// addNewsMetrics registers what tells how far this node is behind the store.
-func (n *Node) addNewsMetrics(registerer prometheus.Registerer) {
+// registerStoreMetrics registers metrics of the node's view of the store.
+func (n *Node) registerStoreMetrics(registerer prometheus.Registerer) {
 	if registerer == nil {
 		return
 	}
@@ -250,28 +244,27 @@
 	)
 }
 
-func (n *Node) addCutOff(registerer prometheus.Registerer) {
-	n.cutOff = prometheus.NewCounter(prometheus.CounterOpts{
+func (n *Node) registerAbortedRequests(registerer prometheus.Registerer) {
+	n.abortedRequests = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "doorpondd_requests_cut_off_total", Help: "Requests whose connections ended without an answer in a planned stop.",
 	})
 	if registerer != nil {
-		registerer.MustRegister(n.cutOff)
+		registerer.MustRegister(n.abortedRequests)
 	}
 }
 
-// tellDisplaced logs that a replica's address is another process's by now.
-func (n *Node) tellDisplaced(replica topology.Replica) {
+// logDisplacedReplica logs that another process now uses a replica's address.
+func (n *Node) logDisplacedReplica(replica topology.Replica) {
 	n.logger.Info("another process answers at a replica's address",
 		"group", replica.Group, "address", replica.Address, "incarnation", replica.Incarnation)
 }
 
-// relayClient is for watching another node: one question waits after the other.
+// relayClient returns the client for polling another node, with one request at a time.
 func relayClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: upstream.DialContext, MaxIdleConnsPerHost: 1}}
 }
 
-// sweep closes connections to replicas that have rested for too long, until ctx
-// ends.
+// sweep periodically closes idle connections to replicas until ctx is done.
 func (n *Node) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -285,85 +278,86 @@
 	}
 }
 
-// stateClient is for reading what other nodes know.
+// stateClient returns the client for reading the state of other nodes.
 func stateClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: upstream.DialContext, DisableKeepAlives: true}}
 }
 
-// ready tells whether the node takes new callers.
+// ready reports whether the node accepts new callers.
 func (n *Node) ready() bool {
 	return *n.board.Phase.Load() == blackboard.PhaseServing &&
 		n.board.Routes.Load() != nil && n.board.Replicas.Load() != nil
 }
 
-// loaded tells whether callers should be led to further nodes beside this one.
+// loaded reports whether callers should be directed to further nodes besides this one.
 func (n *Node) loaded() bool { return n.queries.Loaded() || n.processor.Loaded() }
 
-// storeEra is the store's era as far as this node knows.
+// storeEra returns the latest era of the store that this node knows. The era rises when the
+// store is restored from a backup.
 func (n *Node) storeEra() int64 {
 	revision, _ := n.follower.Known()
 	return store.EraOf(revision)
 }
 
-// listed tells whether this node is among those that are known.
+// listed reports whether this node is among the known nodes, or none are known yet.
 func (n *Node) listed() bool {
 	nodes := n.board.Nodes.Load()
 	return nodes == nil || slices.ContainsFunc(nodes.Nodes, func(node topology.Node) bool { return node.ID == n.self.ID })
 }
 
-// nodes returns the nodes with what this one knows of itself now: its entry in
-// the store may have lapsed, or be older than its load.
+// nodes returns the known nodes with the current state of this one, whose entry in the store may
+// be missing or outdated.
 func (n *Node) nodes() *topology.Nodes {
 	recorded := n.board.Nodes.Load()
 	if recorded == nil || n.board.Routes.Load() == nil {
-		return nil // another directory knows more
+		return nil // callers then ask another directory
 	}
 	own := recorded.Self
 	own.Ready, own.Loaded = n.ready(), n.loaded()
-	at := slices.IndexFunc(recorded.Nodes, func(node topology.Node) bool { return node.ID == own.ID })
-	if at >= 0 && recorded.Nodes[at] == own {
+	index := slices.IndexFunc(recorded.Nodes, func(node topology.Node) bool { return node.ID == own.ID })
+	if index >= 0 && recorded.Nodes[index] == own {
 		return recorded
 	}
 	current := *recorded
 	current.Nodes = slices.Clone(recorded.Nodes)
-	if at < 0 {
+	if index < 0 {
 		current.Nodes = append(current.Nodes, own)
 	} else {
-		current.Nodes[at] = own
+		current.Nodes[index] = own
 	}
 	return &current
 }
 
-// Run serves until ctx ends, then goes through the planned stop.
+// Run serves until ctx is done, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	control, stopControl := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopControl()
 	group, running := errgroup.WithContext(control)
-	recording, stopRecording := context.WithCancel(running)
-	defer stopRecording()
-	recorded := make(chan struct{})
+	registering, stopRegistration := context.WithCancel(running)
+	defer stopRegistration()
+	registrationDone := make(chan struct{})
 	group.Go(func() error { return n.announcer.Run(running) })
 	group.Go(func() error { return n.follower.Run(running) })
 	group.Go(func() error { return n.meter.Run(running) })
 	group.Go(func() error { return n.processor.Run(running) })
 	group.Go(func() error { return n.sweep(running) })
-	group.Go(func() error { return n.guard(running) })
-	group.Go(func() error { return n.keepQuarantine(running) })
+	group.Go(func() error { return n.probeZone(running) })
+	group.Go(func() error { return n.persistQuarantine(running) })
 	group.Go(func() error {
-		defer close(recorded)
-		return n.registry.Run(recording)
+		defer close(registrationDone)
+		return n.registry.Run(registering)
 	})
 	group.Go(func() error { return serve(n.server, n.callers) })
-	for _, one := range n.auxiliary {
-		group.Go(func() error { return serve(one.server, one.listener) })
+	for _, aux := range n.auxiliary {
+		group.Go(func() error { return serve(aux.server, aux.listener) })
 	}
-	n.enter(blackboard.PhaseServing)
+	n.setPhase(blackboard.PhaseServing)
 	n.logger.Info("started", "node", n.settings.Node, "version", Version, "zone", n.settings.Zone, "callers", n.callers.Addr().String())
 	select {
 	case <-ctx.Done():
-		n.stop(func() {
-			stopRecording()
-			<-recorded
+		n.shutdown(func() {
+			stopRegistration()
+			<-registrationDone
 		})
 	case <-running.Done():
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -25,7 +25,7 @@
 
 var zones = []string{"a", "b"}
 
-// system is a deployment with nodes and a caller beside them.
+// system is a deployment with edge nodes and a caller.
 type system struct {
 	*standin.Deployment
 	t      *testing.T
@@ -36,24 +36,23 @@
 
 func startSystem(t *testing.T, change func(*edge.Settings)) *system {
 	t.Helper()
-	return startSystemOn(t, func(*standin.Deployment) {}, change)
+	return startSystemWithHook(t, func(*standin.Deployment) {}, change)
 }
 
-// startPatientSystem is startSystem with routes whose objective lets an answer wait for all
-// its shards on a machine that runs the nodes late.
-func startPatientSystem(t *testing.T) *system {
+// startSystemWithLongObjective starts a system whose routes have an objective long enough for complete
+// answers on a busy machine.
+func startSystemWithLongObjective(t *testing.T) *system {
 	t.Helper()
 	return startShape(t, standin.Shape{Zones: zones, Shards: shards, Work: work, Objective: 2 * time.Second}, func(*standin.Deployment) {}, nil)
 }
 
-// startSystemOn is startSystem, and tells of the deployment before the nodes
-// start.
-func startSystemOn(t *testing.T, started func(*standin.Deployment), change func(*edge.Settings)) *system {
+// startSystemWithHook starts a system and calls started with the deployment before the nodes start.
+func startSystemWithHook(t *testing.T, started func(*standin.Deployment), change func(*edge.Settings)) *system {
 	t.Helper()
 	return startShape(t, standin.Shape{Zones: zones, Shards: shards, Work: work}, started, change)
 }
 
-// startShape starts a deployment of a shape, and three nodes in two zones.
+// startShape starts a system with a deployment of the given shape and three nodes in two zones.
 func startShape(t *testing.T, shape standin.Shape, started func(*standin.Deployment), change func(*edge.Settings)) *system {
 	t.Helper()
 	deployment, err := standin.Start(shape)
@@ -84,7 +83,7 @@
 		s.nodes = append(s.nodes, node)
 		s.caller.Directories = append(s.caller.Directories, node.Addresses().Directory)
 	}
-	s.eventually("all nodes are ready and known", func() bool {
+	s.eventually("all nodes are ready and listed", func() bool {
 		for _, node := range s.nodes {
 			if s.get(node.Addresses().Readiness, standin.ReadyPath) != http.StatusOK {
 				return false
@@ -95,7 +94,7 @@
 	})
 }
 
-// stop stops all nodes at the same time.
+// stop stops all nodes in parallel.
 func (s *system) stop() {
 	var stopping sync.WaitGroup
 	for _, node := range s.nodes {
@@ -108,14 +107,14 @@
 	stopping.Wait()
 }
 
-// eventually looks until a condition holds; the limit is generous, so that the
-// speed of the machine does not decide.
+// eventually waits until a condition holds. The limit is generous, so that it does not depend on
+// the speed of the machine.
 func (s *system) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -138,36 +137,36 @@
 	return id, response, err
 }
 
-// whole sends a scattered request that must be answered whole.
-func (s *system) whole() {
+// sendComplete sends a scattered request that must be answered by all shards.
+func (s *system) sendComplete() {
 	s.t.Helper()
 	id, response, err := s.send(standin.ScatteredPath)
 	if err != nil || response.Status != http.StatusOK || response.Missing != 0 {
-		s.t.Fatalf("status %d, %d missing, error %v", response.Status, response.Missing, err)
+		s.t.Fatalf("status %d, %d shards missing, error %v", response.Status, response.Missing, err)
 	}
 	if err := standin.CheckScattered(id, shards, response); err != nil {
 		s.t.Error(err)
 	}
 }
 
-func TestTheWholePath(t *testing.T) {
-	s := startPatientSystem(t)
+func TestForwarding(t *testing.T) {
+	s := startSystemWithLongObjective(t)
 	for range 20 {
-		s.whole()
+		s.sendComplete()
 	}
 	id, response, err := s.send(standin.PlainPath)
 	want := "answer of " + standin.PlainService + " to " + id
 	if err != nil || string(response.Body) != want || response.Signature() != standin.PlainService+"."+id {
-		t.Errorf("answer %q %v, error %v", response.Body, response.Header, err)
+		t.Errorf("response %q %v, error %v", response.Body, response.Header, err)
 	}
 	if _, response, _ := s.send("/nowhere/"); response.Status != http.StatusNotFound {
-		t.Errorf("status %d without a route", response.Status)
+		t.Errorf("status %d for a path without a route", response.Status)
 	}
 }
 
-func TestMetricsAreServed(t *testing.T) {
-	s := startPatientSystem(t)
-	s.whole()
+func TestMetricsEndpoint(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	s.sendComplete()
 	found := ""
 	for _, node := range s.nodes {
 		response, err := http.Get("http://" + node.Addresses().Metrics + "/metrics")
@@ -183,40 +182,39 @@
 	}
 	for _, name := range []string{`doorpondd_queries_total{kind="answered"} 1`, "doorpondd_query_duration_seconds_bucket", `doorpondd_subrequests_total{outcome="success"}`} {
 		if !strings.Contains(found, name) {
-			t.Errorf("the metrics lack %s", name)
+			t.Errorf("metrics lack %s", name)
 		}
 	}
 }
 
-// TestAPausedReplicaCostsNoShard: a hedge goes to the other zone.
-func TestAPausedReplicaCostsNoShard(t *testing.T) {
+// A hedge to the other zone replaces the answer of a paused replica.
+func TestHedgeCoversPausedReplica(t *testing.T) {
 	s := startSystem(t, nil)
 	for range 30 {
-		s.whole() // what is usual is known now
+		s.sendComplete() // establishes the usual latency
 	}
 	s.Of(standin.ShardService(1))[0].Pause()
 	for range 5 {
-		s.whole()
+		s.sendComplete()
 	}
 }
 
-// TestAShardOutOfReachIsSaidToBeMissing: a true count, within the objective.
-func TestAShardOutOfReachIsSaidToBeMissing(t *testing.T) {
+func TestFailedShardIsReportedMissing(t *testing.T) {
 	s := startSystem(t, nil)
 	for _, replica := range s.Of(standin.ShardService(2)) {
 		replica.Spoil(true)
 	}
 	id, response, err := s.send(standin.ScatteredPath)
 	if err != nil || response.Status != http.StatusOK || response.Missing != 1 {
-		t.Fatalf("status %d, %d missing, error %v", response.Status, response.Missing, err)
+		t.Fatalf("status %d, %d shards missing, error %v", response.Status, response.Missing, err)
 	}
 	if err := standin.CheckScattered(id, shards, response); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestTooFewShards: two of four are under the least share of 0.7, and the
-// failure does not promise that nothing ran.
+// Two of four shards are below the minimum coverage of 0.7. The error must not claim that the
+// request did not run.
 func TestTooFewShards(t *testing.T) {
 	s := startSystem(t, nil)
 	for _, shard := range []int{1, 2} {
@@ -229,10 +227,10 @@
 	}
 }
 
-// TestOnceRunsAtMostOnce: a request that may not be repeated ends unclear when
-// its replica breaks off, and moves on only after a refusal.
-func TestOnceRunsAtMostOnce(t *testing.T) {
-	s := startPatientSystem(t)
+// A non-repeatable request must be retried only after a refusal; if its replica breaks off, its
+// outcome is unknown.
+func TestNonRepeatableRequestRunsAtMostOnce(t *testing.T) {
+	s := startSystemWithLongObjective(t)
 	replicas := s.Of(standin.PlainService)
 	replicas[0].Refuse(true)
 	for range 10 {
@@ -262,22 +260,21 @@
 	}
 }
 
-// TestALeavingReplicaReceivesNothing: whether it says so or its entry is gone.
-func TestALeavingReplicaReceivesNothing(t *testing.T) {
+func TestLeavingReplicaReceivesNoRequests(t *testing.T) {
 	for name, leave := range map[string]func(*standin.Replica) error{
-		"draining": (*standin.Replica).Drain, "gone": (*standin.Replica).Vanish,
+		"draining": (*standin.Replica).Drain, "entry removed": (*standin.Replica).Vanish,
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startPatientSystem(t)
+			s := startSystemWithLongObjective(t)
 			leaving := s.Of(standin.ShardService(0))[0]
-			s.whole()
+			s.sendComplete()
 			if err := leave(leaving); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(3 * time.Second) // the drain time of the settings
+			time.Sleep(3 * time.Second) // the Drain bound
 			before := leaving.Arrivals()
 			for range 20 {
-				s.whole()
+				s.sendComplete()
 			}
 			if after := leaving.Arrivals(); after != before {
 				t.Errorf("%d requests arrived after the drain time", after-before)
@@ -286,8 +283,7 @@
 	}
 }
 
-// TestACallersEndReachesTheReplicas: within half a second.
-func TestACallersEndReachesTheReplicas(t *testing.T) {
+func TestCallerCancellationReachesReplicas(t *testing.T) {
 	s := startSystem(t, nil)
 	replicas := s.Of(standin.PlainService)
 	for _, replica := range replicas {
@@ -304,15 +300,15 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("error %v", err)
 	}
-	s.eventually("no replica works on it", func() bool { return replicas[0].Working()+replicas[1].Working() == 0 })
+	s.eventually("no replica works on the request", func() bool { return replicas[0].Working()+replicas[1].Working() == 0 })
 }
 
-// TestOperatorsSeeTheSystem: any node answers for all.
-func TestOperatorsSeeTheSystem(t *testing.T) {
-	s := startPatientSystem(t)
-	s.whole()
+// Every node reports the state of the whole system to operators.
+func TestSystemState(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	s.sendComplete()
 	var seen inspect.System
-	s.eventually("all nodes are seen with the configuration in force", func() bool {
+	s.eventually("all nodes are reported with the current configuration", func() bool {
 		response, err := s.caller.HTTP.Get("http://" + s.nodes[2].Addresses().State + "/v1/system")
 		if err != nil {
 			return false
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// arrivalsAt counts what has come to the replicas of a zone.
+// arrivalsAt returns the number of requests that arrived at the replicas of a zone.
 func (s *system) arrivalsAt(zone string) int {
 	count := 0
 	for _, replica := range s.Replicas {
@@ -20,8 +20,8 @@
 	return count
 }
 
-// sendTo sends a scattered request to one node, whatever the directory says, and returns
-// the status of the answer, 0 when there is none.
+// sendTo sends a scattered request directly to a node, and returns the status of the response or
+// 0 if there is none.
 func (s *system) sendTo(node *standin.Node, id string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+node.Addresses().Callers+standin.ScatteredPath+"x", nil)
 	if err != nil {
@@ -37,20 +37,20 @@
 	return response.StatusCode
 }
 
-// TestNothingReachesAnEvacuatedZone: on no node, also on one that starts meanwhile, by
-// no hedge, until it is withdrawn. With both zones evacuated, requests are refused at
-// once and have not run.
-func TestNothingReachesAnEvacuatedZone(t *testing.T) {
-	s := startPatientSystem(t)
+// An evacuated zone must receive no requests until it is readmitted, neither hedges nor requests
+// of a node that has just started. With both zones evacuated, requests are refused without
+// running.
+func TestEvacuatedZoneReceivesNoRequests(t *testing.T) {
+	s := startSystemWithLongObjective(t)
 	for range 30 {
-		s.whole() // connections rest at replicas of both zones, and hedges know what is usual
+		s.sendComplete() // opens connections to both zones, and establishes the usual latency
 	}
 	if err := s.Evacuate("a"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(3 * time.Second) // the time to evacuate of the settings
+	time.Sleep(3 * time.Second) // the Evacuate bound
 	before := s.arrivalsAt("a")
-	s.Of(standin.ShardService(1))[1].Pause() // that of zone b: a hedge would go to zone a
+	s.Of(standin.ShardService(1))[1].Pause() // in zone b: a hedge would go to zone a
 	for range 5 {
 		if _, response, err := s.send(standin.ScatteredPath); err != nil || response.Status != http.StatusOK {
 			t.Errorf("status %d, error %v", response.Status, err)
@@ -62,12 +62,12 @@
 		t.Fatal(err)
 	}
 	s.nodes = append(s.nodes, node)
-	s.eventually("the node is ready", func() bool {
+	s.eventually("the new node is ready", func() bool {
 		return s.get(node.Addresses().Readiness, standin.ReadyPath) == http.StatusOK
 	})
 	for i := range 5 {
 		if status := s.sendTo(node, fmt.Sprint("direct-", i)); status != http.StatusOK {
-			t.Errorf("the node that has just started answers %d", status)
+			t.Errorf("status %d from the new node", status)
 		}
 	}
 	if got := s.arrivalsAt("a"); got != before {
@@ -76,10 +76,10 @@
 	if err := s.Evacuate("b"); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("requests are refused, with a time to come back", func() bool {
+	s.eventually("requests are refused with Retry-After", func() bool {
 		id, response, err := s.send(standin.ScatteredPath)
 		return err == nil && response.Status == http.StatusServiceUnavailable &&
-			response.Header.Get("Retry-After") != "" && len(s.ranAt(id)) == 0
+			response.Header.Get("Retry-After") != "" && len(s.regionsRunning(id)) == 0
 	})
 	for _, zone := range zones {
 		if err := s.Readmit(zone); err != nil {
@@ -87,7 +87,7 @@
 		}
 	}
 	s.eventually("both zones serve again", func() bool {
-		_, _, _ = s.send(standin.ScatteredPath) // what it does is read from the replicas
+		_, _, _ = s.send(standin.ScatteredPath) // its effect is observed at the replicas
 		return s.arrivalsAt("a") > before
 	})
 }
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -10,10 +10,10 @@
 
 func textLogger(out io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(out, nil)) }
 
-// testBoard makes a blackboard that knows a number of nodes.
+// testBoard builds a blackboard with a number of nodes.
 type testBoard struct{ board blackboard.Board }
 
-func (b *testBoard) of(nodes int) *blackboard.Board {
+func (b *testBoard) withNodes(nodes int) *blackboard.Board {
 	b.board.Nodes.Publish(&topology.Nodes{Shared: nodes})
 	return &b.board
 }
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -16,9 +16,8 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// TestTheLongestRecordFitsIntoANotice: however long the names of a request and of the replicas
-// that it has ended.
-func TestTheLongestRecordFitsIntoANotice(t *testing.T) {
+// A record must fit into a datagram regardless of the length of the names in it.
+func TestLongestRecordFitsNotice(t *testing.T) {
 	announcer, err := announce.New(announce.Options{Address: "127.0.0.1:0", Nodes: func() *topology.Nodes { return nil }})
 	if err != nil {
 		t.Fatal(err)
@@ -29,9 +28,9 @@
 		Method: http.MethodGet, Host: long, Target: "/" + long,
 		Caller: netip.MustParseAddr("2001:db8:1111:2222:3333:4444:5555:6666"),
 	}
-	told := 0
+	broadcasts := 0
 	list := quarantine.New(quarantine.Config{Broadcast: func(record quarantine.Record) {
-		told++
+		broadcasts++
 		notice, err := msgpack.Marshal(&record)
 		if err != nil {
 			t.Fatal(err)
@@ -46,7 +45,7 @@
 		list.RecordCrash(message, quarantine.Route{Name: long, Shards: 1}, fmt.Sprint(replica, long), evidence)
 	}
 	list.Quarantine(message)
-	if told < 2 {
-		t.Errorf("%d records were told", told)
+	if broadcasts < 2 {
+		t.Errorf("%d broadcasts, want at least 2", broadcasts)
 	}
 }
--- a/internal/edge/pause_test.go
+++ b/internal/edge/pause_test.go
@@ -17,8 +17,8 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// pauseProcess stops this process for some time, from outside: nodes, store, replicas and
-// callers stand still together, as they do on a machine that is suspended or overloaded.
+// pauseProcess suspends this process with SIGSTOP: nodes, store, replicas and callers pause
+// together, as on a machine that is suspended or overloaded.
 func pauseProcess(t *testing.T, lasting time.Duration) {
 	t.Helper()
 	script := `kill -STOP "$0" && sleep "$1"; kill -CONT "$0"`
@@ -28,12 +28,9 @@
 	}
 }
 
-// TestAPauseAtTheEndOfAStopCutsNothingOff: a node that stops answers what it cannot wait for
-// and ends its connections a little later. A process that stood still over both moments did
-// both at once, and callers saw their connection end (EOF) in place of the answer: with marks
-// at 0.87 and 0.94 of the grace time, 2 of 17 plays of the listed test with a pause of 1 s.
-// The end has to follow the answers, not a mark of the clock.
-func TestAPauseAtTheEndOfAStopCutsNothingOff(t *testing.T) {
+// A node that is suspended while it shuts down must still write the answers of pending requests
+// before it closes their connections.
+func TestShutdownAnswersPendingRequestsAfterPause(t *testing.T) {
 	const (
 		grace   = 3 * time.Second
 		callers = 24
@@ -46,7 +43,7 @@
 				replica.Pause()
 			}
 			ended := s.sendAll(callers, 4*grace)
-			s.eventually("the requests have arrived", func() bool {
+			s.eventually("requests have arrived", func() bool {
 				return slices.ContainsFunc(s.Replicas, func(r *standin.Replica) bool { return r.Working() > 0 })
 			})
 			time.AfterFunc(pausedAfter, func() { pauseProcess(t, 700*time.Millisecond) })
@@ -60,9 +57,8 @@
 	}
 }
 
-// sendAll sends requests to the first node at once, from callers that each have a connection
-// of their own, and hands over the errors of those that have no answer; the channel is closed
-// when all have ended.
+// sendAll sends requests to the first node in parallel, each on its own connection. It delivers
+// the errors of requests without a response, and closes the channel when all have finished.
 func (s *system) sendAll(callers int, wait time.Duration) <-chan error {
 	ended := make(chan error, callers)
 	var sending sync.WaitGroup
@@ -83,13 +79,9 @@
 	return ended
 }
 
-// TestAConfigurationIsInForceAfterAPause: the watches of the store tell nothing, so that a
-// configuration is found out by asking, which takes up to 0.85 of the time to apply. A pause of
-// which the process knew nothing came on top: beside the listed test, stopped for 1.4 s, requests
-// were answered by a configuration replaced 3 s before they were sent (q1 has 4 parts), and where
-// the pause was noticed they were refused. A node that cannot know whether it is in time has to
-// ask before it answers, and the request can wait for that.
-func TestAConfigurationIsInForceAfterAPause(t *testing.T) {
+// With frozen watches, a node learns of a configuration by polling, which takes most of the Apply
+// bound. After a pause it must poll the store before it answers, and must not refuse the request.
+func TestConfigurationInForceAfterPause(t *testing.T) {
 	const (
 		apply = 3 * time.Second
 		pause = 1400 * time.Millisecond
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -15,33 +15,34 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// retellAfter are the times after which a notice of a request that is quarantined or released
-// is sent again: a datagram may be lost. The store, where it answers, tells of it as well.
-var retellAfter = []time.Duration{200 * time.Millisecond, time.Second}
+// resendDelays are the delays after which the notice of a quarantine or release is sent again,
+// as datagrams may be lost. Nodes also learn of both from the store while it is available.
+var resendDelays = []time.Duration{200 * time.Millisecond, time.Second}
 
-// addQuarantine makes the quarantine and what keeps it in the store, unless it is off.
-func (n *Node) addQuarantine(source quarantine.Store, registerer prometheus.Registerer) {
+// initQuarantine creates the quarantine list and its persister, unless the quarantine is
+// disabled.
+func (n *Node) initQuarantine(source quarantine.Store, registerer prometheus.Registerer) {
 	if n.settings.Quarantine.Disabled {
 		return
 	}
 	n.quarantine = quarantine.New(quarantine.Config{
 		Duration: n.settings.Quarantine.Duration, MaxEntries: n.settings.Quarantine.MaxEntries,
-		Broadcast: n.tellOfRequest, Registerer: registerer, Logger: n.logger,
+		Broadcast: n.broadcastRecord, Registerer: registerer, Logger: n.logger,
 	})
-	n.keeper = quarantine.NewPersister(quarantine.PersisterConfig{
+	n.persister = quarantine.NewPersister(quarantine.PersisterConfig{
 		Store: source, Prefix: n.platform.Keys.Quarantine, List: n.quarantine, Rank: n.rank, Logger: n.logger,
 	})
 }
 
-// keepQuarantine writes what is quarantined into the store, until ctx ends.
-func (n *Node) keepQuarantine(ctx context.Context) error {
-	if n.keeper == nil {
+// persistQuarantine writes quarantined requests to the store until ctx is done.
+func (n *Node) persistQuarantine(ctx context.Context) error {
+	if n.persister == nil {
 		return nil
 	}
-	return n.keeper.Run(ctx)
+	return n.persister.Run(ctx)
 }
 
-// rank is this node's place among those that are known.
+// rank returns this node's index among the known nodes.
 func (n *Node) rank() int {
 	nodes := n.board.Nodes.Load()
 	if nodes == nil {
@@ -50,43 +51,44 @@
 	return max(0, slices.IndexFunc(nodes.Nodes, func(node topology.Node) bool { return node.ID == n.self.ID }))
 }
 
-// tellOfRequest tells other nodes of a suspect, and again of what they must not miss.
-func (n *Node) tellOfRequest(record quarantine.Record) {
+// broadcastRecord sends a quarantine record to the other nodes. Quarantines and releases are
+// sent repeatedly, suspicions once.
+func (n *Node) broadcastRecord(record quarantine.Record) {
 	notice, err := msgpack.Marshal(&record)
 	if err == nil {
 		err = n.announcer.Spread(notice)
 	}
 	if err != nil {
-		n.logger.Error("other nodes were not told of a request", "identity", record.Identity.String(), "error", err.Error())
+		n.logger.Error("failed to broadcast a quarantine record", "identity", record.Identity.String(), "error", err.Error())
 		return
 	}
 	if record.RefuseMilliseconds == 0 && !record.Released {
 		return
 	}
-	for _, wait := range retellAfter {
-		time.AfterFunc(wait, func() { _ = n.announcer.Spread(notice) }) // it was sent before
+	for _, delay := range resendDelays {
+		time.AfterFunc(delay, func() { _ = n.announcer.Spread(notice) }) // the first send succeeded
 	}
 }
 
-// hearOfRequest takes in what another node tells of a request, and passes on what is news and
-// concerns all nodes.
-func (n *Node) hearOfRequest(notice []byte) {
+// handleNotice applies a quarantine record from another node, and forwards it if it is new and
+// a quarantine or release.
+func (n *Node) handleNotice(notice []byte) {
 	var record quarantine.Record
 	if err := msgpack.Unmarshal(notice, &record); err != nil {
-		n.logger.Debug("a notice was not read", "error", err.Error())
+		n.logger.Debug("failed to decode a notice", "error", err.Error())
 		return
 	}
 	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
-		_ = n.announcer.Spread(notice) // as long as when it came
+		_ = n.announcer.Spread(notice) // no longer than when it arrived
 	}
 }
 
 // release ends the quarantine of a request on all nodes.
 func (n *Node) release(ctx context.Context, identity quarantine.Identity) error {
-	if n.keeper == nil {
-		return failure.New(failure.NotFound, "the quarantine is off")
+	if n.persister == nil {
+		return failure.New(failure.NotFound, "the quarantine is disabled")
 	}
-	if err := n.keeper.Release(ctx, identity); err != nil {
+	if err := n.persister.Release(ctx, identity); err != nil {
 		return failure.Wrap(err, failure.StoreUnavailable, "release a request").WithNotRun(errors.Is(err, store.ErrNotApplied))
 	}
 	return nil
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -12,10 +12,10 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-const endingPath = standin.ScatteredPath + "x" + standin.EndingTarget
+const crashingPath = standin.ScatteredPath + "x" + standin.EndingTarget
 
-// endedReplicas counts the replicas that a request has ended.
-func (s *system) endedReplicas() int {
+// crashedReplicas counts the replicas that a request has crashed.
+func (s *system) crashedReplicas() int {
 	count := 0
 	for _, replica := range s.Replicas {
 		if by, _ := replica.EndedBy(); by != "" {
@@ -25,22 +25,22 @@
 	return count
 }
 
-// sendEnding sends the request that ends replicas to one node.
-func (s *system) sendEnding(node *standin.Node) (standin.Response, error) {
+// sendCrashing sends the request that crashes replicas to a node.
+func (s *system) sendCrashing(node *standin.Node) (standin.Response, error) {
 	caller := &standin.Client{HTTP: s.caller.HTTP}
 	caller.StayWith(node.Addresses().Callers)
-	return caller.Send(s.t.Context(), fmt.Sprint("q", s.serial.Add(1)), endingPath, 4*time.Second)
+	return caller.Send(s.t.Context(), fmt.Sprint("q", s.serial.Add(1)), crashingPath, 4*time.Second)
 }
 
-// restart ends all nodes and starts others in their place, which know nothing.
-func (s *system) restart() {
+// replaceNodes stops all nodes and starts new ones without any state.
+func (s *system) replaceNodes() {
 	s.t.Helper()
 	s.stop()
 	s.nodes, s.caller.Directories = nil, nil
 	s.startNodes(nil)
 }
 
-// post makes a call and returns the status.
+// post sends a POST request and returns the status, or 0 if there is no response.
 func (s *system) post(address, path string) int {
 	response, err := s.caller.HTTP.Post("http://"+address+path, "", nil)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return response.StatusCode
 }
 
-// quarantined returns what the nodes know of requests that end replicas.
+// quarantined returns the suspected and quarantined requests of all nodes.
 func (s *system) quarantined() []inspect.Request {
 	var known inspect.System
 	response, err := s.caller.HTTP.Get("http://" + s.nodes[0].Addresses().State + "/v1/system")
@@ -64,64 +64,63 @@
 	return known.Quarantined
 }
 
-// TestAllNodesRefuseARequestThatEndsReplicas: one of them finds it out, the others hear of it,
-// also those that start after all have ended; an operator can release it.
-func TestAllNodesRefuseARequestThatEndsReplicas(t *testing.T) {
-	s := startPatientSystem(t)
-	if response, err := s.sendEnding(s.nodes[0]); err != nil || response.Status != http.StatusBadGateway {
-		t.Fatalf("the first try: status %d, error %v", response.Status, err)
+// All nodes must refuse a request that crashes replicas, once one of them has detected it and
+// also after all nodes were replaced, until an operator releases it.
+func TestAllNodesRefuseCrashingRequest(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	if response, err := s.sendCrashing(s.nodes[0]); err != nil || response.Status != http.StatusBadGateway {
+		t.Fatalf("first try: status %d, error %v", response.Status, err)
 	}
-	ended := s.endedReplicas()
-	if most := shards + 2; ended > most {
-		t.Errorf("%d replicas ended, want %d at the most", ended, most)
+	crashed := s.crashedReplicas()
+	if limit := shards + 2; crashed > limit {
+		t.Errorf("%d replicas crashed, want at most %d", crashed, limit)
 	}
 	refused := func() bool {
 		found := s.quarantined()
 		return len(found) == 1 && found[0].Refusing == len(s.nodes)
 	}
-	s.eventually("all nodes refuse it", refused)
-	s.refusedByAll()
-	s.eventually("the store holds it", func() bool {
+	s.eventually("all nodes refuse the request", refused)
+	s.expectRefusedByAll()
+	s.eventually("the store holds the request", func() bool {
 		held, err := s.Quarantined()
 		return err == nil && held == 1
 	})
 
-	s.restart()
-	s.eventually("all nodes that have started anew refuse it", refused)
-	s.refusedByAll()
-	if now := s.endedReplicas(); now != ended {
-		t.Errorf("%d replicas have ended since", now-ended)
+	s.replaceNodes()
+	s.eventually("all new nodes refuse the request", refused)
+	s.expectRefusedByAll()
+	if now := s.crashedReplicas(); now != crashed {
+		t.Errorf("%d more replicas crashed", now-crashed)
 	}
 
 	identity := s.quarantined()[0].Identity
 	if status := s.post(s.nodes[1].Addresses().State, "/v1/release?identity="+identity); status != http.StatusOK {
-		t.Fatalf("released: status %d", status)
+		t.Fatalf("release: status %d", status)
 	}
-	s.eventually("no node refuses it", func() bool { return len(s.quarantined()) == 0 })
+	s.eventually("no node refuses the request", func() bool { return len(s.quarantined()) == 0 })
 	if status := s.post(s.nodes[1].Addresses().State, "/v1/release?identity="+identity); status != http.StatusNotFound {
-		t.Errorf("released again: status %d", status)
+		t.Errorf("second release: status %d", status)
 	}
 	if status := s.post(s.nodes[1].Addresses().State, "/v1/release?identity=x"); status != http.StatusBadRequest {
-		t.Errorf("released by no identity: status %d", status)
+		t.Errorf("release of an invalid identity: status %d", status)
 	}
 }
 
-// refusedByAll checks that each node refuses the request with a promise that it has not run.
-func (s *system) refusedByAll() {
+// expectRefusedByAll checks that each node refuses the request without running it.
+func (s *system) expectRefusedByAll() {
 	s.t.Helper()
 	for i, node := range s.nodes {
-		response, err := s.sendEnding(node)
+		response, err := s.sendCrashing(node)
 		if err != nil || response.Status != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 			s.t.Errorf("node %d: status %d, error %v", i, response.Status, err)
 		}
 	}
 }
 
-// TestTheQuarantineCanBeOff: then ends of replicas are failures like others.
-func TestTheQuarantineCanBeOff(t *testing.T) {
+func TestQuarantineDisabled(t *testing.T) {
 	s := startSystem(t, func(settings *edge.Settings) { settings.Quarantine.Disabled = true })
 	for range 2 {
-		if response, err := s.sendEnding(s.nodes[0]); err != nil || response.Status == http.StatusOK {
+		if response, err := s.sendCrashing(s.nodes[0]); err != nil || response.Status == http.StatusOK {
 			t.Fatalf("status %d, error %v", response.Status, err)
 		}
 	}
--- a/internal/edge/regions_test.go
+++ b/internal/edge/regions_test.go
@@ -8,13 +8,13 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// answerDue is when a scattered answer does without the shards that are late: by then
-// 0.88 of the stand-in's objective of 250 ms are over. A shard has one replica in a
-// region, so that no hedge helps where a busy machine holds it up.
-const answerDue = 220 * time.Millisecond
+// partialAnswerAfter is when a scattered request is answered without late shards: 0.88 of the
+// stand-in's objective of 250 ms. Each shard has one replica per region, so that on a busy machine
+// no hedge can cover for a late one.
+const partialAnswerAfter = 220 * time.Millisecond
 
-// ranAt returns the regions whose replicas a request has come to.
-func (s *system) ranAt(id string) map[string]bool {
+// regionsRunning returns the regions whose replicas ran a request.
+func (s *system) regionsRunning(id string) map[string]bool {
 	regions := make(map[string]bool)
 	for _, replica := range s.Replicas {
 		if replica.Ran(id) > 0 {
@@ -24,10 +24,10 @@
 	return regions
 }
 
-// TestABoundRouteIsServedInItsRegionsOnly: by each node, at first attempts and at later
-// ones; where too few shards can be had there, it is refused at once and has not run.
-func TestABoundRouteIsServedInItsRegionsOnly(t *testing.T) {
-	s := startPatientSystem(t)
+// A region-bound route must be served only by replicas of its regions, on each node and at each
+// attempt. If too few shards have replicas there, the request is refused without running.
+func TestRegionBoundRoute(t *testing.T) {
+	s := startSystemWithLongObjective(t)
 	for _, node := range s.nodes {
 		caller := &standin.Client{Directories: []string{node.Addresses().Directory}, HTTP: s.caller.HTTP}
 		s.caller = caller
@@ -41,11 +41,11 @@
 			if err := standin.CheckScattered(id, shards, response); err != nil {
 				t.Fatal(err)
 			}
-			if response.Missing > 0 && took < answerDue {
-				t.Fatalf("%d missing after %v", response.Missing, took)
+			if response.Missing > 0 && took < partialAnswerAfter {
+				t.Fatalf("%d shards missing after %v", response.Missing, took)
 			}
-			if regions := s.ranAt(id); len(regions) != 1 || !regions[s.BoundRegion()] {
-				t.Fatalf("it ran in %v", regions)
+			if regions := s.regionsRunning(id); len(regions) != 1 || !regions[s.BoundRegion()] {
+				t.Fatalf("request ran in %v", regions)
 			}
 		}
 	}
@@ -56,10 +56,10 @@
 			t.Fatal(err)
 		}
 	}
-	s.eventually("a bound request is refused, as two shards have no replica left there", func() bool {
+	s.eventually("a bound request is refused, as two shards have no replica in its region", func() bool {
 		id, response, err := s.send(standin.BoundPath)
 		return err == nil && response.Status == http.StatusServiceUnavailable &&
-			response.Header.Get("Retry-After") != "" && len(s.ranAt(id)) == 0
+			response.Header.Get("Retry-After") != "" && len(s.regionsRunning(id)) == 0
 	})
-	s.whole()
+	s.sendComplete()
 }
--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -10,40 +10,37 @@
 )
 
 const (
-	// fewShare is the part of the longest time to keep addresses for which a caller
-	// keeps them that was told few: some keep them for three times as long.
-	fewShare = 0.3
-	// stopShare of the grace time is for how long the others keep addresses, if they
-	// may: for as long as a stopping node takes new connections, less the time that
-	// the others need to hear of the stop. Shorter is worse: a caller that asks a
-	// directory whose power is gone waits for a second.
-	stopShare = 0.8 * acceptShare
-	// resolveTimeout is for how long an answer of the directory may look whether the
-	// nodes that it would name can be reached, and then those that it would name in
-	// place of the ones that cannot. Callers ask another directory after a second.
+	// fewTTLShare is the share of the longest permitted TTL that is used for answers with few
+	// addresses: some callers keep these for three times their TTL.
+	fewTTLShare = 0.3
+	// ttlShare is the share of the grace period that is used as TTL of other answers, within
+	// the permitted TTL: the time for which a stopping node accepts new connections, less the
+	// time until other nodes learn of the stop. A shorter TTL makes callers resolve more
+	// often, and each query to a directory that lost power costs a caller a second.
+	ttlShare = 0.8 * acceptShare
+	// resolveTimeout bounds the reachability checks of a directory answer, including those of
+	// the nodes that replace unreachable ones. Callers try another directory after a second.
 	resolveTimeout = 300 * time.Millisecond
 )
 
-// resolve names the nodes that a caller of a host should use, without those that
-// cannot be reached.
+// resolve returns the reachable nodes that a caller of a host should use.
 func (n *Node) resolve(host string, caller topology.Place) (directory.Answer, bool) {
 	bounds := n.current.Load().Bounds
-	few := shareOf(fewShare, bounds.DirectoryTTL)
+	fewTTL := scaleDuration(fewTTLShare, bounds.DirectoryTTL)
 	options := directory.Options{
-		TTL:    max(few, min(bounds.DirectoryTTL, shareOf(stopShare, bounds.Grace))),
-		FewTTL: few, EntryNodes: n.settings.Bounds.EntryNodes(),
+		TTL:    max(fewTTL, min(bounds.DirectoryTTL, scaleDuration(ttlShare, bounds.Grace))),
+		FewTTL: fewTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
 		options.Regions, options.Bound = table.RegionsOf(host)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
-	return resolveReachable(ctx, n.nodes(), caller, options, n.unreachable)
+	return resolveReachable(ctx, n.nodes(), caller, options, n.unreachableAt)
 }
 
-// resolveReachable names nodes without those that cannot be reached, whose IDs
-// unreachable returns. When ctx ends, those that were not looked at by then are named:
-// nothing is known against them.
+// resolveReachable resolves to nodes other than those whose IDs unreachable returns. Once ctx is
+// done, nodes that were not checked yet are included.
 func resolveReachable(
 	ctx context.Context, nodes *topology.Nodes, caller topology.Place, options directory.Options,
 	unreachable func(ctx context.Context, nodes *topology.Nodes, addresses []string) []string,
@@ -61,14 +58,14 @@
 	}
 }
 
-// unreachable returns the IDs of the ready nodes at some addresses that cannot be
-// reached. This node itself can.
-func (n *Node) unreachable(ctx context.Context, nodes *topology.Nodes, addresses []string) []string {
-	var named []topology.Node
+// unreachableAt returns the IDs of the ready nodes at the addresses that cannot be reached. It
+// does not check this node.
+func (n *Node) unreachableAt(ctx context.Context, nodes *topology.Nodes, addresses []string) []string {
+	var candidates []topology.Node
 	for _, node := range nodes.Nodes {
 		if node.Ready && node.ID != n.self.ID && slices.Contains(addresses, node.Address) {
-			named = append(named, node)
+			candidates = append(candidates, node)
 		}
 	}
-	return n.silent(ctx, named)
+	return n.unreachable(ctx, candidates)
 }
--- a/internal/edge/restored_store_test.go
+++ b/internal/edge/restored_store_test.go
@@ -10,18 +10,14 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// The store was away for three seconds and came back from a copy that was some seconds old: its
-// revisions had gone back and were given out again. The nodes took the highest revision that
-// they had ever seen for the newest: their logs show 150 readings in 7.5 s that each ended well,
-// each followed by a refused watch (known_revision 87 in all of them), until the store had passed
-// that revision. A configuration that was written at or below it, after the last reading, was
-// told by no watch: version 30 was acknowledged at 26.5 s and in force at none of nine nodes,
-// and the six that watch other nodes missed two versions that the readers had.
+// When the store is restored from a backup, its revisions go back and are assigned again. Nodes
+// must not wait for the highest revision they have seen, nor miss changes at or below it.
 
-// newsTime is within what time a change must be in force, of the settings of these nodes.
-const newsTime = 3 * time.Second
+// maxStaleness is the time within which a change must be in force, by the nodes' settings.
+const maxStaleness = 3 * time.Second
 
-// restoreStore lets the store be away while it goes back to a revision, and lets meanwhile happen.
+// restoreStore restores the store to a revision during an outage, and calls meanwhile before the
+// outage ends.
 func (s *system) restoreStore(revision int64, meanwhile func()) {
 	s.t.Helper()
 	s.must(s.Store.SetFaults(kv.Faults{Outage: true}))
@@ -38,120 +34,120 @@
 	}
 }
 
-// configured lets the nodes take some configurations in, and tells the store's revision.
-func (s *system) configured(times int) int64 {
+// configureTimes writes a number of configurations, waits until the nodes apply them, and returns
+// the store's revision.
+func (s *system) configureTimes(times int) int64 {
 	s.t.Helper()
 	for range times {
 		s.must(s.Configure(shards))
 	}
-	time.Sleep(newsTime)
+	time.Sleep(maxStaleness)
 	return s.Store.Memory.Revision()
 }
 
-// inForceInTime checks that a configuration with one shard less than before is in force once
-// the time for news is over.
-func (s *system) inForceInTime() {
+// expectReducedShards checks that a configuration with one shard less is in force after maxStaleness.
+func (s *system) expectReducedShards() {
 	s.t.Helper()
-	time.Sleep(newsTime)
+	time.Sleep(maxStaleness)
 	for range 20 {
 		id, response, err := s.send(standin.ScatteredPath)
 		if err != nil || len(response.Parts) != shards-1 {
-			s.t.Fatalf("request %s has %d parts %v after the configuration, error %v", id, len(response.Parts), newsTime, err)
+			s.t.Fatalf("request %s: %d parts %v after the configuration, error %v", id, len(response.Parts), maxStaleness, err)
 		}
 	}
 }
 
-// TestAConfigurationIsInForceAfterTheStoreCameBackFromACopy: whether the store's revisions are
-// lower, equal or higher than those that the nodes know when it is back.
-func TestAConfigurationIsInForceAfterTheStoreCameBackFromACopy(t *testing.T) {
-	t.Run("the revisions are lower", func(t *testing.T) {
-		s := startPatientSystem(t)
-		copied := s.Store.Memory.Revision()
-		s.configured(40)
-		s.restoreStore(copied, func() {})
+// After a restore the store's revisions may be lower than, equal to or higher than those that the
+// nodes know.
+func TestConfigurationInForceAfterStoreRestore(t *testing.T) {
+	t.Run("lower revisions", func(t *testing.T) {
+		s := startSystemWithLongObjective(t)
+		backup := s.Store.Memory.Revision()
+		s.configureTimes(40)
+		s.restoreStore(backup, func() {})
 		time.Sleep(200 * time.Millisecond)
 		s.must(s.Rewrite())
 		s.must(s.Configure(shards - 1))
-		s.inForceInTime()
+		s.expectReducedShards()
 	})
 	for _, test := range []struct {
 		name string
 		past int64
 	}{
-		{"the revisions are equal", 0},
-		{"the revisions have passed what is known", 10},
+		{"equal revisions", 0},
+		{"higher revisions", 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := startPatientSystem(t)
-			copied := s.Store.Memory.Revision()
-			known := s.configured(10)
-			s.restoreStore(copied, func() {
+			s := startSystemWithLongObjective(t)
+			backup := s.Store.Memory.Revision()
+			known := s.configureTimes(10)
+			s.restoreStore(backup, func() {
 				s.must(s.Configure(shards - 1))
 				for s.Store.Memory.Revision() < known+test.past {
-					s.write()
+					s.touchStore()
 				}
 			})
-			time.Sleep(newsTime / 10) // the watches wait again
-			s.write()
-			s.inForceInTime()
+			time.Sleep(maxStaleness / 10) // until the watches are re-established
+			s.touchStore()
+			s.expectReducedShards()
 		})
 	}
 }
 
-// write changes a key that says nothing to the nodes.
-func (s *system) write() {
+// touchStore raises the store's revision by writing a key that the nodes ignore.
+func (s *system) touchStore() {
 	s.t.Helper()
 	s.must(s.Store.Put("another/key", s.Store.Memory.Revision()))
 }
 
-// TestNoStormOfReadingsAfterTheStoreCameBackFromACopy: one reading for each node that watches
-// the store, and a replica that leaves is not sent to.
-func TestNoStormOfReadingsAfterTheStoreCameBackFromACopy(t *testing.T) {
-	s := startPatientSystem(t)
-	copied := s.Store.Memory.Revision()
-	s.configured(40)
+// After a restore each node that watches the store must read it only once, and must not miss that
+// a replica is draining.
+func TestReadsAfterStoreRestore(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	backup := s.Store.Memory.Revision()
+	s.configureTimes(40)
 	leaving := s.Of(standin.ShardService(1))[0]
 	before := s.Store.Readings()
-	s.restoreStore(copied, func() {})
+	s.restoreStore(backup, func() {})
 	time.Sleep(200 * time.Millisecond)
 	s.must(s.Rewrite())
 	s.must(leaving.Drain())
-	time.Sleep(newsTime)
+	time.Sleep(maxStaleness)
 	arrived := leaving.Arrivals()
 	for range 40 {
-		s.whole()
+		s.sendComplete()
 	}
 	if more := leaving.Arrivals() - arrived; more > 0 {
-		t.Errorf("%d requests to a replica that said %v ago that it leaves", more, newsTime)
+		t.Errorf("%d requests to a replica that has been draining for %v", more, maxStaleness)
 	}
 	const watching = 3 // at most: all nodes
 	if readings := s.Store.Readings() - before; readings > watching {
-		t.Errorf("%d readings by %d nodes", readings, len(s.nodes))
+		t.Errorf("%d reads by %d nodes", readings, len(s.nodes))
 	}
 }
 
-// TestTheStoreComesBackFromACopyTwice: within ten seconds, the second time beside a node that
-// starts and before the operator has written the newest configuration again. All nodes, the new
-// one among them, are recorded in the last era and have that configuration in time.
-func TestTheStoreComesBackFromACopyTwice(t *testing.T) {
-	s := startPatientSystem(t)
-	copied := s.Store.Memory.Revision()
-	s.configured(3)
-	s.restoreStore(copied, func() {})
+// The second restore coincides with the start of a node, before the operator has written the
+// newest configuration again. All nodes must be listed in the last era and apply that
+// configuration in time.
+func TestStoreRestoredTwice(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	backup := s.Store.Memory.Revision()
+	s.configureTimes(3)
+	s.restoreStore(backup, func() {})
 	time.Sleep(time.Second)
 	s.must(s.Rewrite())
-	time.Sleep(newsTime)
+	time.Sleep(maxStaleness)
 	s.must(s.Configure(shards - 1))
-	s.restoreStore(copied, func() {})
+	s.restoreStore(backup, func() {})
 	late, err := s.StartNode(s.NodeSettings("late", "b"), nil)
 	s.must(err)
 	s.nodes = append(s.nodes, late)
 	time.Sleep(time.Second)
 	s.must(s.Rewrite())
-	s.inForceInTime()
-	s.eventually("all nodes are recorded and know the era", func() bool {
+	s.expectReducedShards()
+	s.eventually("all nodes are listed with the last era", func() bool {
 		for _, one := range s.nodes {
-			known := s.knownBy(one)
+			known := s.systemSeenBy(one)
 			if known == nil || len(known.Nodes) != len(s.nodes) {
 				return false
 			}
@@ -165,13 +161,13 @@
 	})
 }
 
-// knownBy returns what a node tells operators of the system; nil when it does not answer.
-func (s *system) knownBy(node *standin.Node) *inspect.System {
+// systemSeenBy returns the system state reported by a node, or nil if it does not answer.
+func (s *system) systemSeenBy(node *standin.Node) *inspect.System {
 	response, err := s.caller.HTTP.Get("http://" + node.Addresses().State + "/v1/system")
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = response.Body.Close() }() // what matters was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	var known inspect.System
 	if err := json.NewDecoder(response.Body).Decode(&known); err != nil {
 		return nil
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -17,7 +17,7 @@
 	"github.com/doorpond/doorpond/internal/relay"
 )
 
-// listen opens all listeners or none; assemble gives them their servers.
+// listen opens all listeners, or none if it fails. assemble creates their servers.
 func (n *Node) listen() error {
 	callers, err := drain.Listen(n.settings.Callers)
 	if err != nil {
@@ -28,34 +28,34 @@
 	if n.settings.Metrics != "" {
 		addresses["metrics"] = n.settings.Metrics
 	}
-	n.auxiliary = make(map[string]*auxiliary)
+	n.auxiliary = make(map[string]*auxiliaryServer)
 	for name, address := range addresses {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			n.closeListeners()
-			return eris.Wrapf(err, "listen for %s", name)
+			return eris.Wrapf(err, "listen on the %s address", name)
 		}
-		n.auxiliary[name] = &auxiliary{listener: listener}
+		n.auxiliary[name] = &auxiliaryServer{listener: listener}
 	}
 	return nil
 }
 
 func (n *Node) closeListeners() {
 	_ = n.callers.Close()
-	for _, one := range n.auxiliary {
-		_ = one.listener.Close()
+	for _, aux := range n.auxiliary {
+		_ = aux.listener.Close()
 	}
 }
 
-// addServers gives each listener its server.
-func (n *Node) addServers() {
+// initServers creates the server of each listener.
+func (n *Node) initServers() {
 	n.server = n.newServer(ingress.New(ingress.Options{
 		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, Await: n.follower.Await, Logger: n.logger,
 	}))
-	n.open.Follow(n.server)
-	requests, answerNow := context.WithCancelCause(context.Background())
+	n.connections.Follow(n.server)
+	requests, cancelRequests := context.WithCancelCause(context.Background())
 	n.server.BaseContext = func(net.Listener) context.Context { return requests }
-	n.answerNow = answerNow
+	n.cancelRequests = cancelRequests
 	n.auxiliary["readiness"].server = n.newServer(n.platform.ReadinessHandler(n.ready))
 	n.auxiliary["state"].server = n.newServer(n.stateHandler())
 	n.auxiliary["directory"].server = n.newServer(n.platform.DirectoryHandler(n.resolve))
@@ -64,7 +64,7 @@
 	}
 }
 
-// stateHandler serves what other nodes and operators read of this one.
+// stateHandler serves this node's state to other nodes and operators.
 func (n *Node) stateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, n.follower.Feed())
@@ -76,14 +76,14 @@
 	return mux
 }
 
-// Addresses are where a node listens, with the ports it was given.
+// Addresses are the addresses that a node listens on, with the assigned ports.
 type Addresses struct {
 	Callers, Readiness, Directory, Metrics, Peers, State string
 }
 
-// Addresses returns where the node listens.
+// Addresses returns the addresses that the node listens on.
 func (n *Node) Addresses() Addresses {
-	found := Addresses{
+	addresses := Addresses{
 		Callers:   n.callers.Addr().String(),
 		Readiness: n.auxiliary["readiness"].listener.Addr().String(),
 		Directory: n.auxiliary["directory"].listener.Addr().String(),
@@ -91,9 +91,9 @@
 		State:     n.auxiliary["state"].listener.Addr().String(),
 	}
 	if metrics := n.auxiliary["metrics"]; metrics != nil {
-		found.Metrics = metrics.listener.Addr().String()
+		addresses.Metrics = metrics.listener.Addr().String()
 	}
-	return found
+	return addresses
 }
 
 func (n *Node) newServer(handler http.Handler) *http.Server {
@@ -104,10 +104,10 @@
 }
 
 func (n *Node) close() {
-	_ = n.server.Close() // nothing is left to lose
+	_ = n.server.Close() // best effort
 	_ = n.callers.Close()
-	for _, one := range n.auxiliary {
-		_ = one.server.Close()
+	for _, aux := range n.auxiliary {
+		_ = aux.server.Close()
 	}
 }
 
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -7,27 +7,27 @@
 	"github.com/doorpond/doorpond/internal/settings"
 )
 
-// Settings is everything that an edge node is told at its start.
+// Settings are the settings of an edge node.
 type Settings struct {
-	// Node names the machine; Region and Zone are where it stands.
+	// Node is the name of the machine; Region and Zone are its location.
 	Node   string `yaml:"node" validate:"required"`
 	Region string `yaml:"region" validate:"required"`
 	Zone   string `yaml:"zone" validate:"required"`
-	// Regions names the region of each zone.
+	// Regions maps each zone to its region.
 	Regions map[string]string `yaml:"regions"`
 
-	// Callers, Readiness and Directory are IP:port of the listeners.
+	// Callers, Readiness and Directory are the IP:port of the listeners.
 	Callers   string `yaml:"callers" validate:"hostname_port_ip"`
 	Readiness string `yaml:"readiness" validate:"hostname_port_ip"`
 	Directory string `yaml:"directory" validate:"hostname_port_ip"`
-	// Peers is IP:port of the datagrams between nodes.
+	// Peers is the IP:port for datagrams between nodes.
 	Peers string `yaml:"peers" validate:"hostname_port_ip"`
-	// State is IP:port on which other nodes read what this one knows.
+	// State is the IP:port on which other nodes and operators read this node's state.
 	State string `yaml:"state" validate:"hostname_port_ip"`
-	// Seeds are State addresses of some nodes, which may be gone. A node that the
-	// store refuses at its start reads from them.
+	// Seeds are the State addresses of some nodes, which may be gone. A node that cannot
+	// read the store when it starts reads from them.
 	Seeds []netip.AddrPort `yaml:"seeds"`
-	// Metrics is IP:port of the metrics listener; empty means none.
+	// Metrics is the IP:port of the metrics listener; empty disables it.
 	Metrics string `yaml:"metrics" validate:"omitempty,hostname_port_ip"`
 
 	Store  StoreSettings  `yaml:"store"`
@@ -37,71 +37,68 @@
 	Quarantine QuarantineSettings `yaml:"quarantine"`
 }
 
-// QuarantineSettings say how requests are treated under which replicas end.
+// QuarantineSettings configure the quarantine of requests that crash replicas.
 type QuarantineSettings struct {
-	// Disabled makes ends of replicas failures like others: no request is refused for them.
+	// Disabled treats crashes of replicas like other failures: no request is refused for them.
 	Disabled bool `yaml:"off"`
-	// Duration is for how long a request is refused; 0 means 10 minutes, the longest lease of
+	// Duration is how long a request is refused; 0 means 10 minutes, the longest lease of
 	// the store.
 	Duration time.Duration `yaml:"for" validate:"gte=0,lte=10m"`
-	// MaxEntries bounds the requests that are known; 0 means 1,024.
+	// MaxEntries bounds the number of known requests; 0 means 1,024.
 	MaxEntries int `yaml:"most" validate:"gte=0,lte=100000"`
 }
 
-// StoreSettings is the platform's store.
+// StoreSettings configure the access to the platform's store.
 type StoreSettings struct {
-	URL    string        `yaml:"url" validate:"required,http_url"`
+	URL string `yaml:"url" validate:"required,http_url"`
+	// MinTTL is the shortest lease that the store grants.
 	MinTTL time.Duration `yaml:"least_ttl" validate:"gte=0,lte=10m"`
 }
 
-// LimitSettings is what the node may use.
+// LimitSettings are the resources that the node may use.
 type LimitSettings struct {
 	MemoryMegabytes int `yaml:"memory_mb" validate:"gte=0"`
-	// ProcessorShare is the part of a core that each thread may use, and Cores
-	// the number of cores. Without them the processor time that the node may use
-	// is not known: it never makes the node loaded, and counts as 0 among others.
+	// ProcessorShare is the share of a core that each thread may use, and Cores the number
+	// of cores. Without them the processor limit is unknown: processor use never marks the
+	// node as loaded, and its capacity counts as 0.
 	ProcessorShare float64 `yaml:"processor_share" validate:"gte=0"`
 	Cores          float64 `yaml:"cores" validate:"gte=0"`
 }
 
-// BoundsSettings is what the system promises.
+// BoundsSettings are the service-level bounds of the system.
 type BoundsSettings struct {
-	// Drain is the time after which a leaving replica must receive no request.
+	// Drain is the time after which a leaving replica must not receive requests.
 	Drain time.Duration `yaml:"drain" validate:"gt=0,lte=10m"`
-	// Grace is the time from the signal to stop to the end of the process.
+	// Grace is the time from the stop signal to the end of the process.
 	Grace time.Duration `yaml:"grace" validate:"gt=0,lte=10m"`
-	// Apply is the time within which a configuration must be in force.
+	// Apply is the time within which a new configuration must be in force.
 	Apply time.Duration `yaml:"apply" validate:"gt=0,lte=10m"`
-	// Evacuate is the time within which nothing more is sent to an evacuated zone; 0
-	// when none is promised.
+	// Evacuate is the time after which an evacuated zone must not receive requests; 0 means
+	// that there is no such bound.
 	Evacuate time.Duration `yaml:"evacuate" validate:"gte=0,lte=10m"`
-	// ColdOverage and ColdSlack state how many requests a cold replica may receive in a
-	// second from all nodes: the rate that its service bears, times the overage, and the
-	// slack besides.
+	// ColdOverage and ColdSlack bound the requests per second that a cold replica receives
+	// from all nodes: the rate that its service can handle, times ColdOverage, plus ColdSlack.
 	ColdOverage float64 `yaml:"cold_overage" validate:"gte=0,lte=100"`
 	ColdSlack   float64 `yaml:"cold_slack" validate:"gte=0"`
-	// RetryRatio and RetrySlack bound hedges and retries of all nodes to one
-	// service: the ratio of its requests and the slack in each window.
+	// RetryRatio and RetrySlack bound the hedges and retries of all nodes to one service in
+	// each window: its requests times RetryRatio, plus RetrySlack.
 	RetryRatio float64 `yaml:"retry_ratio" validate:"gte=0,lte=10"`
 	RetrySlack float64 `yaml:"retry_slack" validate:"gte=0"`
-	// RetryWindow is the length of these windows; 0 when it is not stated.
+	// RetryWindow is the length of these windows; 0 means unspecified.
 	RetryWindow time.Duration `yaml:"retry_window" validate:"gte=0,lte=10m"`
-	// DirectoryTTL is the longest time for which callers keep addresses.
+	// DirectoryTTL is the longest time for which callers cache addresses.
 	DirectoryTTL time.Duration `yaml:"directory_ttl" validate:"gt=0,lte=10m"`
-	// LostNodes is the number of nodes whose loss at once callers must hardly
-	// notice.
+	// LostNodes is the number of nodes whose simultaneous loss must hardly affect callers.
 	LostNodes int `yaml:"lost_nodes" validate:"gte=0"`
 }
 
-// leastEntryNodes is how many nodes of a zone callers are led to at the least:
-// one of them may stop as planned.
-const leastEntryNodes = 2
+// minEntryNodes is the minimum number of entry nodes per zone, so that one can shut down.
+const minEntryNodes = 2
 
-// EntryNodes is how many nodes of a zone callers are led to.
-func (b BoundsSettings) EntryNodes() int { return max(leastEntryNodes, b.LostNodes+1) }
+// EntryNodes returns the number of nodes per zone that callers are directed to.
+func (b BoundsSettings) EntryNodes() int { return max(minEntryNodes, b.LostNodes+1) }
 
-// Processors is the processor time that the node may use, in cores; 0 when it is
-// not known.
+// Processors returns the processor time that the node may use, in cores; 0 means unknown.
 func (l LimitSettings) Processors() float64 {
 	if l.Cores > 0 {
 		return l.ProcessorShare * l.Cores
@@ -109,7 +106,7 @@
 	return l.ProcessorShare
 }
 
-// MaxStaleness is the time within which news from the store must have been acted on.
+// MaxStaleness returns the time within which changes in the store must be in force.
 func (b BoundsSettings) MaxStaleness() time.Duration {
 	if b.Evacuate > 0 {
 		return min(b.Drain, b.Apply, b.Evacuate)
@@ -117,7 +114,7 @@
 	return min(b.Drain, b.Apply)
 }
 
-// LoadSettings reads and checks a settings file.
+// LoadSettings reads and validates a settings file.
 func LoadSettings(path string) (Settings, error) {
 	var loaded Settings
 	err := settings.LoadInto(path, &loaded)
--- a/internal/edge/settings_test.go
+++ b/internal/edge/settings_test.go
@@ -15,8 +15,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// platformFields are fields of the platform as its template language knows
-// them, by the text of a gap.
+// platformFields are the platform's fields by their template placeholder.
 var platformFields = map[string]string{
 	"node|json": `"n1"`, "region|json": `"r1"`, "zone|json": `"z1"`, "zones|json": `{"z1":"r1","z2":"r2"}`,
 	"listen.front|json": `"10.0.0.1:1"`, "listen.ready|json": `"10.0.0.1:2"`, "listen.directory|json": `"10.0.0.1:3"`,
@@ -27,19 +26,18 @@
 	"limits.cpuShare": "0.4", "limits.cores": "1", "faultTolerance.machines": "1",
 }
 
-// optionalFields are fields that the platform gives on some deployments only.
+// optionalFields are fields that the platform provides on some deployments only.
 var optionalFields = map[string]string{
 	"bounds.evacuateMs": "1500", "bounds.budgetWindowS": "10", "bounds.warmupOverage": "1.5", "bounds.warmupSlack": "5",
 }
 
-// optionalLine is a part of the template that stands only where its field is given.
+// optionalLine matches a part of the template that is rendered only if its field is present.
 var optionalLine = regexp.MustCompile(`\{\{#(.*?)\}\}(.*?)\{\{/.*?\}\}`)
 
-// filled returns the deploy file's template with each gap filled, for a deployment
-// without the optional fields.
-func filled(t *testing.T) string { return filledWith(t, nil) }
+// render renders the settings template for a deployment without optional fields.
+func render(t *testing.T) string { return renderWith(t, nil) }
 
-func filledWith(t *testing.T, given map[string]string) string {
+func renderWith(t *testing.T, given map[string]string) string {
 	t.Helper()
 	template, err := os.ReadFile("../../deploy/settings.yaml.tmpl")
 	if err != nil {
@@ -48,23 +46,23 @@
 	text := optionalLine.ReplaceAllStringFunc(string(template), func(part string) string {
 		found := optionalLine.FindStringSubmatch(part)
 		if _, known := optionalFields[found[1]]; !known {
-			t.Errorf("the template names %s, which the platform does not have", found[1])
+			t.Errorf("template uses unknown field %s", found[1])
 		}
 		if value := given[found[1]]; value != "" {
 			return strings.ReplaceAll(found[2], "{{.}}", value)
 		}
 		return ""
 	})
-	return regexp.MustCompile(`\{\{(.*?)\}\}`).ReplaceAllStringFunc(text, func(gap string) string {
-		value, known := platformFields[strings.Trim(gap, "{}")]
+	return regexp.MustCompile(`\{\{(.*?)\}\}`).ReplaceAllStringFunc(text, func(placeholder string) string {
+		value, known := platformFields[strings.Trim(placeholder, "{}")]
 		if !known {
-			t.Errorf("the template names %s, which the platform does not have", gap)
+			t.Errorf("template uses unknown field %s", placeholder)
 		}
 		return value
 	})
 }
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -73,8 +71,8 @@
 	return path
 }
 
-func TestTheTemplateGivesSettings(t *testing.T) {
-	loaded, err := LoadSettings(write(t, filled(t)))
+func TestLoadSettingsFromTemplate(t *testing.T) {
+	loaded, err := LoadSettings(writeSettings(t, render(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,44 +88,44 @@
 }
 
 func TestOptionalBounds(t *testing.T) {
-	with, err := LoadSettings(write(t, filledWith(t, optionalFields)))
+	with, err := LoadSettings(writeSettings(t, renderWith(t, optionalFields)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	without, err := LoadSettings(write(t, filled(t)))
+	without, err := LoadSettings(writeSettings(t, render(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if with.Bounds.Evacuate != 1500*time.Millisecond || with.Bounds.MaxStaleness() != with.Bounds.Evacuate {
-		t.Errorf("bounds %+v, time for news %v", with.Bounds, with.Bounds.MaxStaleness())
+		t.Errorf("bounds %+v, staleness %v", with.Bounds, with.Bounds.MaxStaleness())
 	}
 	if with.Bounds.ColdOverage != 1.5 || with.Bounds.ColdSlack != 5 || without.Bounds.ColdOverage != 0 {
 		t.Errorf("bounds %+v and %+v", with.Bounds, without.Bounds)
 	}
 	if with.Bounds.RetryWindow != 10*time.Second || without.Bounds.RetryWindow != 0 {
-		t.Errorf("windows of the retry budget %v and %v", with.Bounds.RetryWindow, without.Bounds.RetryWindow)
+		t.Errorf("retry windows %v and %v", with.Bounds.RetryWindow, without.Bounds.RetryWindow)
 	}
 	if without.Bounds.Evacuate != 0 || without.Bounds.MaxStaleness() != 2*time.Second {
-		t.Errorf("bounds %+v, time for news %v", without.Bounds, without.Bounds.MaxStaleness())
+		t.Errorf("bounds %+v, staleness %v", without.Bounds, without.Bounds.MaxStaleness())
 	}
 }
 
-func TestSettingsThatAreRefused(t *testing.T) {
+func TestLoadSettingsErrors(t *testing.T) {
 	cases := []struct{ name, from, to, key string }{
 		{"unknown key", "region:", "regoin:", "regoin"},
-		{"not an address", `"10.0.0.1:1"`, `"10.0.0.1"`, "callers"},
-		{"no bound", "drain: 3000ms", "drain: 0s", "bounds.drain"},
-		{"not a duration", "grace: 6s", "grace: soon", "bounds.grace"},
-		{"no store", `url: "http://10.0.0.9:1"`, `url: ""`, "store.url"},
+		{"invalid address", `"10.0.0.1:1"`, `"10.0.0.1"`, "callers"},
+		{"zero bound", "drain: 3000ms", "drain: 0s", "bounds.drain"},
+		{"invalid duration", "grace: 6s", "grace: soon", "bounds.grace"},
+		{"missing store URL", `url: "http://10.0.0.9:1"`, `url: ""`, "store.url"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			text := filled(t)
+			text := render(t)
 			changed := strings.Replace(text, test.from, test.to, 1)
 			if changed == text {
-				t.Fatalf("%q is not in the settings", test.from)
+				t.Fatalf("settings do not contain %q", test.from)
 			}
-			_, err := LoadSettings(write(t, changed))
+			_, err := LoadSettings(writeSettings(t, changed))
 			var refused *settings.Error
 			if !errors.As(err, &refused) || refused.Key != test.key || refused.Line == 0 {
 				t.Errorf("error %#v", err)
@@ -137,78 +135,77 @@
 }
 
 func TestReload(t *testing.T) {
-	settingsNow := Settings{Node: "n", Bounds: BoundsSettings{RetryRatio: 0.1, Grace: time.Second}}
+	latest := Settings{Node: "n", Bounds: BoundsSettings{RetryRatio: 0.1, Grace: time.Second}}
 	var failure error
-	node := &Node{settings: settingsNow, reload: func() (Settings, error) { return settingsNow, failure }}
+	node := &Node{settings: latest, reload: func() (Settings, error) { return latest, failure }}
 	node.current.Store(&Settings{Node: "n", Bounds: BoundsSettings{RetryRatio: 0.5}})
-	var lines strings.Builder
-	node.logger = textLogger(&lines)
+	var log strings.Builder
+	node.logger = textLogger(&log)
 	node.Reload()
 	if got := node.current.Load().Bounds; got.RetryRatio != 0.1 || got.Grace != time.Second {
 		t.Errorf("bounds %+v", got)
 	}
-	settingsNow.Node = "another"
+	latest.Node = "another"
 	node.Reload()
-	if got := node.current.Load().Node; got != "n" || !strings.Contains(lines.String(), "waits_for_restart=true") {
-		t.Errorf("node %s, lines %s", got, lines.String())
+	if got := node.current.Load().Node; got != "n" || !strings.Contains(log.String(), "waits_for_restart=true") {
+		t.Errorf("node %s, log %s", got, log.String())
 	}
 	failure = &settings.Error{Source: "file", Reason: "bad"}
-	settingsNow.Bounds.RetryRatio = 0.9
+	latest.Bounds.RetryRatio = 0.9
 	node.Reload()
-	if got := node.current.Load().Bounds.RetryRatio; got != 0.1 || !strings.Contains(lines.String(), "settings refused") {
-		t.Errorf("ratio %g after settings that were refused, lines %s", got, lines.String())
+	if got := node.current.Load().Bounds.RetryRatio; got != 0.1 || !strings.Contains(log.String(), "settings refused") {
+		t.Errorf("ratio %g after refused settings, log %s", got, log.String())
 	}
 }
 
-func TestBudgetsAreDividedAmongTheNodes(t *testing.T) {
+func TestBudgetDividedAmongNodes(t *testing.T) {
 	board := &testBoard{}
 	bounds := BoundsSettings{RetryRatio: 0.2, RetrySlack: 60}
-	divided := newBudgets(board.of(6), func() BoundsSettings { return bounds }, time.Now)
+	budgets := newBudgets(board.withNodes(6), func() BoundsSettings { return bounds }, time.Now)
 	first := 0
-	for divided.of("g").Withdraw() {
+	for budgets.forGroup("g").Withdraw() {
 		first++
 	}
-	if most := 2; first == 0 || first > most {
-		t.Errorf("a node that has just started has %d retries", first)
+	if limit := 2; first == 0 || first > limit {
+		t.Errorf("%d initial retries of a new node", first)
 	}
-	saveUp(divided.of("g"))
+	fill(budgets.forGroup("g"))
 	taken := 0
-	for divided.of("g").Withdraw() {
+	for budgets.forGroup("g").Withdraw() {
 		taken++
 	}
-	if most := 10; taken == 0 || taken > most {
-		t.Errorf("%d retries at once, of a slack of 60 for 6 nodes", taken)
+	if limit := 10; taken == 0 || taken > limit {
+		t.Errorf("burst of %d retries, with a slack of 60 for 6 nodes", taken)
 	}
 	for range 100 {
-		divided.of("g").Deposit()
+		budgets.forGroup("g").Deposit()
 	}
 	earned := 0
-	for divided.of("g").Withdraw() {
+	for budgets.forGroup("g").Withdraw() {
 		earned++
 	}
 	if earned == 0 || earned > 20 {
-		t.Errorf("%d retries earned by 100 requests at a ratio of 0.2", earned)
+		t.Errorf("100 requests earned %d retries at a ratio of 0.2", earned)
 	}
-	saveUp(divided.of("another"))
-	saved := 0
-	for divided.of("another").Withdraw() {
-		saved++
+	fill(budgets.forGroup("another"))
+	burst := 0
+	for budgets.forGroup("another").Withdraw() {
+		burst++
 	}
-	if saved != taken || divided.of("g").Withdraw() {
-		t.Error("services share a budget")
+	if burst != taken || budgets.forGroup("g").Withdraw() {
+		t.Error("groups share a budget")
 	}
 }
 
-// saveUp fills a budget by first attempts.
-func saveUp(budget decision.Budget) {
+// fill fills a budget by deposits.
+func fill(budget decision.Budget) {
 	for range 1000 {
 		budget.Deposit()
 	}
 }
 
-// TestStandbyNodesHaveASmallPartOfTheSlack: callers come to them now and then,
-// and all parts together are within the slack.
-func TestStandbyNodesHaveASmallPartOfTheSlack(t *testing.T) {
+// Standby nodes get a small share of the slack, and all shares together must not exceed it.
+func TestStandbyBudget(t *testing.T) {
 	nodes := &topology.Nodes{Nodes: make([]topology.Node, 10), Shared: 4}
 	for i := range nodes.Nodes {
 		nodes.Nodes[i].ID = fmt.Sprint("n", i)
@@ -219,19 +216,19 @@
 		own.Self = nodes.Nodes[self]
 		board := &testBoard{}
 		board.board.Nodes.Publish(&own)
-		divided := newBudgets(&board.board, func() BoundsSettings { return BoundsSettings{RetryRatio: 0.2, RetrySlack: 60} }, time.Now)
-		saveUp(divided.of("g"))
+		budgets := newBudgets(&board.board, func() BoundsSettings { return BoundsSettings{RetryRatio: 0.2, RetrySlack: 60} }, time.Now)
+		fill(budgets.forGroup("g"))
 		taken := 0
-		for divided.of("g").Withdraw() {
+		for budgets.forGroup("g").Withdraw() {
 			taken++
 		}
 		return taken
 	}
 	entry, standby := granted(0), granted(9)
 	if entry <= 2*standby || standby == 0 {
-		t.Errorf("an entry node has %d retries at once, a standby node %d", entry, standby)
+		t.Errorf("burst of %d retries on an entry node, %d on a standby node", entry, standby)
 	}
 	if all := 4*entry + 6*standby; all > 60 {
-		t.Errorf("all nodes together have %d retries at once, of a slack of 60", all)
+		t.Errorf("total burst of %d retries, with a slack of 60", all)
 	}
 }
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -9,87 +9,86 @@
 	"github.com/doorpond/doorpond/internal/query"
 )
 
-// The parts of the grace time of a planned stop.
+// The phases of a graceful shutdown, as shares of the grace period.
 const (
-	// acceptShare is for how long new connections are still taken, for callers
-	// that keep this node's address.
+	// acceptShare is how long new connections are still accepted, for callers that have cached
+	// this node's address.
 	acceptShare = 0.55
-	// answerShare is when what is still in flight is answered as it stands: what replicas
-	// hold for longer would end with its connection, and its caller could not tell a stop
-	// from a lost request. It is counted by the clock, as is the grace time itself.
+	// answerShare is when requests still in flight are answered with what is available.
+	// Otherwise their connections would end with the process, and callers could not tell
+	// whether the request was lost. Like the grace period itself, it includes time for which
+	// the process is suspended.
 	answerShare = 0.87
-	// writeShare is for how long the node runs after that at most, so that all answers are
-	// written: 0.42 s of 6 s. The rest is for the process to end.
+	// writeShare bounds the time after that for writing the answers. The rest of the grace
+	// period is left for the process to exit.
 	writeShare = 0.07
-	// quietShare is how long the connections that are left must have been idle
-	// before they are closed.
-	quietShare = 0.15
-	// leaveTimeout bounds the removal of the node's entry.
-	leaveTimeout = 500 * time.Millisecond
+	// idleShare is how long the remaining connections must have been idle before they are
+	// closed.
+	idleShare = 0.15
+	// deregisterTimeout bounds the removal of the node's entry.
+	deregisterTimeout = 500 * time.Millisecond
 )
 
-// stop is the planned stop: the node is not ready any more and leaves the
-// directory at once; it serves what still comes, ending each connection with
-// its answer; then the port is closed, and what is in flight is waited for, and
-// answered as it stands when it takes too long.
-func (n *Node) stop(stopRecording func()) {
+// shutdown stops the node gracefully. The node becomes unready and leaves the directory at once,
+// and serves further requests with one answer per connection. Then it closes the port, waits for
+// the requests in flight, and answers those that take too long with what is available.
+func (n *Node) shutdown(stopRegistration func()) {
 	grace := n.current.Load().Bounds.Grace
-	started := elapsed.Now()
-	until := func(share float64) time.Duration { return started + shareOf(share, grace) - elapsed.Now() }
-	n.enter(blackboard.PhaseDraining)
-	n.logger.Info("stopping", "node", n.settings.Node, "grace", grace.String(), "connections", n.open.Count())
-	stopRecording()
+	startedAt := elapsed.Now()
+	until := func(share float64) time.Duration { return startedAt + scaleDuration(share, grace) - elapsed.Now() }
+	n.setPhase(blackboard.PhaseDraining)
+	n.logger.Info("stopping", "node", n.settings.Node, "grace", grace.String(), "connections", n.connections.Count())
+	stopRegistration()
 	answering, cancel := context.WithTimeout(context.Background(), until(answerShare))
 	defer cancel()
-	n.leave()
-	n.keepAccepting(until(acceptShare))
-	n.enter(blackboard.PhaseClosing)
-	timely := n.open.AwaitQuiet(answering, shareOf(quietShare, grace)) == nil
-	ending, cancelEnding := n.meter.WithTimeout(context.Background(), shareOf(writeShare, grace))
+	n.deregister()
+	n.acceptFor(until(acceptShare))
+	n.setPhase(blackboard.PhaseClosing)
+	drained := n.connections.AwaitQuiet(answering, scaleDuration(idleShare, grace)) == nil
+	ending, cancelEnding := n.meter.WithTimeout(context.Background(), scaleDuration(writeShare, grace))
 	defer cancelEnding()
-	if !timely {
-		n.answerRest(ending)
+	if !drained {
+		n.answerPending(ending)
 	}
-	n.endConnections(ending)
-	n.enter(blackboard.PhaseStopped)
+	n.closeConnections(ending)
+	n.setPhase(blackboard.PhaseStopped)
 }
 
-// leave removes this node's entry.
-func (n *Node) leave() {
-	leaving, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+// deregister removes this node's entry from the store.
+func (n *Node) deregister() {
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	if err := n.registry.Leave(leaving); err != nil {
-		n.logger.Warn("this node's entry stays until its lease ends", "error", err.Error())
+	if err := n.registry.Leave(ctx); err != nil {
+		n.logger.Warn("failed to remove this node's entry; it stays until its lease ends", "error", err.Error())
 	}
 }
 
-// keepAccepting takes new connections for some time yet, then closes the callers' port.
-func (n *Node) keepAccepting(lasting time.Duration) {
-	time.Sleep(lasting)
+// acceptFor keeps accepting connections for a time, then closes the callers' port.
+func (n *Node) acceptFor(duration time.Duration) {
+	time.Sleep(duration)
 	if err := n.callers.TurnOff(); err != nil {
-		n.logger.Warn("the callers' port was not closed cleanly", "error", err.Error())
+		n.logger.Warn("failed to close the callers' port cleanly", "error", err.Error())
 	}
 }
 
-// answerRest answers what is still in flight, and waits until that is written or ctx ends.
-// Connections end after it by this order, not at a second mark of the clock: a process that
-// stands still over two marks comes to both at once, and ended connections whose answers were
-// on their way.
-func (n *Node) answerRest(ctx context.Context) {
-	n.answerNow(query.ErrStopping)
-	_ = n.open.AwaitAnswers(ctx) // endConnections tells of those that are left
+// answerPending makes the requests in flight answer now, and waits until the answers are written
+// or ctx is done. Connections are closed after it returns and not at a fixed time, as a process
+// that was suspended past both times would close them before the answers are written.
+func (n *Node) answerPending(ctx context.Context) {
+	n.cancelRequests(query.ErrStopping)
+	_ = n.connections.AwaitAnswers(ctx) // closeConnections reports those that are left
 }
 
-// endConnections closes all connections. It cuts off those with a request in flight when ctx
-// ends: the request has not come whole, or its caller does not take the answer.
-func (n *Node) endConnections(ctx context.Context) {
+// closeConnections closes all connections. When ctx is done it aborts those with a request in
+// flight: either the request is incomplete, or its caller does not read the answer.
+func (n *Node) closeConnections(ctx context.Context) {
 	if err := n.server.Shutdown(ctx); err != nil {
-		busy := n.open.Busy()
-		n.cutOff.Add(float64(busy))
-		n.logger.Warn("requests were cut off", "requests", busy, "connections", n.open.Count(), "error", err.Error())
+		busy := n.connections.Busy()
+		n.abortedRequests.Add(float64(busy))
+		n.logger.Warn("requests aborted by the shutdown", "requests", busy, "connections", n.connections.Count(), "error", err.Error())
 	}
 }
 
-func shareOf(share float64, whole time.Duration) time.Duration {
+func scaleDuration(share float64, whole time.Duration) time.Duration {
 	return time.Duration(share * float64(whole))
 }
--- a/internal/edge/shutdown_internal_test.go
+++ b/internal/edge/shutdown_internal_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// TestAnswersOfAStopHaveTimeToBeWritten: what is answered at the last moment is on its way before
-// the connections end, and the process ends before it is killed.
-func TestAnswersOfAStopHaveTimeToBeWritten(t *testing.T) {
+// The shares of the grace period must leave enough time to write the last answers, and for the
+// process to exit before it is killed.
+func TestShutdownShares(t *testing.T) {
 	const (
-		grace      = 6 * time.Second
-		forAnswers = 400 * time.Millisecond
-		forTheEnd  = 300 * time.Millisecond
+		grace        = 6 * time.Second
+		minWriteTime = 400 * time.Millisecond
+		minExitTime  = 300 * time.Millisecond
 	)
-	answered := shareOf(answerShare, grace)
-	over := answered + shareOf(writeShare, grace)
-	if over-answered < forAnswers || grace-over < forTheEnd {
-		t.Errorf("%v for the answers, %v for the end", over-answered, grace-over)
+	answered := scaleDuration(answerShare, grace)
+	closed := answered + scaleDuration(writeShare, grace)
+	if closed-answered < minWriteTime || grace-closed < minExitTime {
+		t.Errorf("%v to write answers, %v to exit", closed-answered, grace-closed)
 	}
 	if answered < grace*5/6 {
-		t.Errorf("answered after %v, though replicas may still be at work on it then", answered)
+		t.Errorf("pending requests answered after %v, too early for slow replicas", answered)
 	}
 }
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -15,24 +15,23 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// TestAPlannedStopAnswersWhatItCannotWaitFor: a request whose replicas hold it for longer
-// than the grace time has an answer before the node ends.
-func TestAPlannedStopAnswersWhatItCannotWaitFor(t *testing.T) {
+// A request that its replicas hold for longer than the grace period must be answered before the
+// node exits.
+func TestShutdownAnswersPendingRequests(t *testing.T) {
 	for _, path := range []string{standin.ScatteredPath, standin.PlainPath, standin.OncePath} {
 		t.Run(strings.Trim(path, "/"), func(t *testing.T) {
-			t.Parallel() // they wait for most of the grace time
-			testStopAnswers(t, path)
+			t.Parallel() // each waits for most of the grace period
+			testShutdownAnswers(t, path)
 		})
 	}
 }
 
-// stopGrace leaves over a second between the answers of a stop and its end, so that a
-// machine that runs the node late cuts none of them off.
-const stopGrace = 10 * time.Second
+// gracePeriod leaves over a second between the last answers and the exit, enough for a busy machine.
+const gracePeriod = 10 * time.Second
 
-func testStopAnswers(t *testing.T, path string) {
-	shape := standin.Shape{Zones: zones, Shards: shards, Work: work, Timeout: 4 * stopGrace}
-	s := startShape(t, shape, func(*standin.Deployment) {}, func(settings *edge.Settings) { settings.Bounds.Grace = stopGrace })
+func testShutdownAnswers(t *testing.T, path string) {
+	shape := standin.Shape{Zones: zones, Shards: shards, Work: work, Timeout: 4 * gracePeriod}
+	s := startShape(t, shape, func(*standin.Deployment) {}, func(settings *edge.Settings) { settings.Bounds.Grace = gracePeriod })
 	for _, replica := range s.Replicas {
 		replica.Pause()
 	}
@@ -41,14 +40,14 @@
 	caller.StayWith(node.Addresses().Callers)
 	ended, answeredAt := make(chan error, 1), time.Time{}
 	go func() {
-		response, err := caller.Send(context.Background(), "r"+path, path, 4*stopGrace)
+		response, err := caller.Send(context.Background(), "r"+path, path, 4*gracePeriod)
 		answeredAt = time.Now()
 		if err == nil && response.Status != http.StatusGatewayTimeout {
 			err = fmt.Errorf("status %d", response.Status)
 		}
 		ended <- err
 	}()
-	s.eventually("the request has arrived", func() bool {
+	s.eventually("the request has arrived at a replica", func() bool {
 		return slices.ContainsFunc(s.Replicas, func(r *standin.Replica) bool { return r.Working() > 0 })
 	})
 	began := time.Now()
@@ -58,17 +57,17 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if took := answeredAt.Sub(began); took < stopGrace/2 {
-		t.Errorf("answered %v after the stop began, not at its end", took)
+	if took := answeredAt.Sub(began); took < gracePeriod/2 {
+		t.Errorf("answered %v after the shutdown began, not at its end", took)
 	}
 }
 
-// TestAPlannedStopCutsNothingOff: callers go on while a node of their zone is
-// stopped; it is not ready and not named at once.
-func TestAPlannedStopCutsNothingOff(t *testing.T) {
+// Callers must notice no errors while a node of their zone shuts down, and the node must leave
+// the directory at once.
+func TestShutdownWithoutErrors(t *testing.T) {
 	s := startSystem(t, nil)
 	var sending sync.WaitGroup
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var answered, failed atomic.Int64
 	for range 4 {
 		caller := &standin.Client{
@@ -77,7 +76,7 @@
 		sending.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 				}
@@ -95,10 +94,10 @@
 	time.Sleep(200 * time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.nodes[0].Stop() }()
-	s.eventually("the stopping node is not ready", func() bool {
+	s.eventually("the stopping node is unready", func() bool {
 		return s.get(s.nodes[0].Addresses().Readiness, standin.ReadyPath) != http.StatusOK
 	})
-	s.eventually("the stopping node is not named", func() bool {
+	s.eventually("the stopping node is not in the directory", func() bool {
 		fresh := &standin.Client{Region: "region-a", Zone: "a", Directories: s.caller.Directories[1:], HTTP: s.caller.HTTP}
 		addresses, err := fresh.Resolve(t.Context())
 		return err == nil && len(addresses) == 1
@@ -107,7 +106,7 @@
 		t.Error(err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	close(over)
+	close(done)
 	sending.Wait()
 	if answered.Load() < 50 {
 		t.Errorf("%d answered, %d failed", answered.Load(), failed.Load())
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -15,8 +15,8 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// TestAConfigurationIsInForceThoughTheWatchIsDeaf: within the time for news.
-func TestAConfigurationIsInForceThoughTheWatchIsDeaf(t *testing.T) {
+// A configuration must be in force in time although the watches deliver nothing.
+func TestConfigurationInForceWithFrozenWatches(t *testing.T) {
 	s := startSystem(t, nil)
 	if err := s.Store.SetFaults(kv.Faults{FreezeWatches: true}); err != nil {
 		t.Fatal(err)
@@ -24,18 +24,17 @@
 	if err := s.Configure(shards - 1); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(3 * time.Second) // the time to apply of the settings
+	time.Sleep(3 * time.Second) // the Apply bound
 	for range 20 {
 		id, response, err := s.send(standin.ScatteredPath)
 		if err != nil || len(response.Parts) != shards-1 {
-			t.Fatalf("request %s has %d parts, error %v", id, len(response.Parts), err)
+			t.Fatalf("request %s: %d parts, error %v", id, len(response.Parts), err)
 		}
 	}
 }
 
-// TestANodeThatTheStoreRefusesKeepsUp: the store serves the operator and the
-// other nodes, and refuses one; it learns of a configuration from the others.
-func TestANodeThatTheStoreRefusesKeepsUp(t *testing.T) {
+// A node that the store rejects must learn of a configuration from the other nodes.
+func TestThrottledNodeFollowsPeers(t *testing.T) {
 	var refuse atomic.Bool
 	var deployment atomic.Pointer[standin.Deployment]
 	throttled := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,31 +45,31 @@
 		deployment.Load().Store.ServeHTTP(w, r)
 	}))
 	t.Cleanup(throttled.Close)
-	s := startSystemOn(t, deployment.Store, func(settings *edge.Settings) {
+	s := startSystemWithHook(t, deployment.Store, func(settings *edge.Settings) {
 		if settings.Node == "n2" {
 			settings.Store.URL = throttled.URL
 		}
 	})
 	refuse.Store(true)
-	throttled.CloseClientConnections() // its watch ends as well
+	throttled.CloseClientConnections() // ends its watch as well
 	if err := s.Configure(shards - 1); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(3 * time.Second) // the time to apply of the settings
+	time.Sleep(3 * time.Second) // the Apply bound
 	own := &standin.Client{Region: "region-b", Zone: "b", Directories: []string{s.nodes[2].Addresses().Directory}, HTTP: s.caller.HTTP}
 	for i := range 10 {
 		response, err := own.Send(t.Context(), fmt.Sprint("t", i), standin.ScatteredPath, 4*time.Second)
 		if err != nil || response.Node != s.nodes[2].Addresses().Callers || len(response.Parts) != shards-1 {
-			t.Fatalf("node %s answers with %d parts, error %v", response.Node, len(response.Parts), err)
+			t.Fatalf("node %s: %d parts, error %v", response.Node, len(response.Parts), err)
 		}
 	}
 }
 
-// TestANodeThatStartsWhileTheStoreRefusesItServes: it knows nobody but its seeds,
-// of which some are gone.
-func TestANodeThatStartsWhileTheStoreRefusesItServes(t *testing.T) {
-	s := startPatientSystem(t)
-	s.whole()
+// A node that the store rejects from the start must become ready through its seeds, some of which
+// are gone.
+func TestThrottledNodeStartsFromSeeds(t *testing.T) {
+	s := startSystemWithLongObjective(t)
+	s.sendComplete()
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
@@ -95,15 +94,14 @@
 	}
 }
 
-// TestTheStoreMayBeAway: what is known serves on, and what has changed
-// meanwhile is in force soon after.
-func TestTheStoreMayBeAway(t *testing.T) {
-	s := startPatientSystem(t)
+// Nodes must serve during an outage of the store, and apply changes once it is back.
+func TestStoreOutage(t *testing.T) {
+	s := startSystemWithLongObjective(t)
 	if err := s.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
-		s.whole()
+		s.sendComplete()
 		time.Sleep(20 * time.Millisecond)
 	}
 	if err := s.Configure(shards - 1); err != nil {
@@ -118,24 +116,24 @@
 	})
 }
 
-// TestCallersAreNotLedToANodeThatIsGone: while the store is away, a node's record
-// stays though the node is gone.
-func TestCallersAreNotLedToANodeThatIsGone(t *testing.T) {
+// During an outage of the store, the entry of a stopped node remains; the directory must omit the
+// node nevertheless.
+func TestDirectoryOmitsStoppedNode(t *testing.T) {
 	s := startSystem(t, nil)
 	own := &standin.Client{Region: "region-b", Zone: "b", Directories: []string{s.nodes[0].Addresses().Directory}, HTTP: s.caller.HTTP}
-	led := func(to string) func() bool {
+	directedTo := func(node string) func() bool {
 		return func() bool {
 			addresses, err := own.Resolve(t.Context())
-			return err == nil && slices.Contains(addresses, to)
+			return err == nil && slices.Contains(addresses, node)
 		}
 	}
-	gone := s.nodes[2].Addresses().Callers
-	s.eventually("callers of zone b are led to its node", led(gone))
+	stopped := s.nodes[2].Addresses().Callers
+	s.eventually("callers of zone b are directed to its node", directedTo(stopped))
 	if err := s.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.nodes[2].Stop(); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("callers of zone b are led to other nodes", func() bool { return !led(gone)() })
+	s.eventually("callers of zone b are directed to other nodes", func() bool { return !directedTo(stopped)() })
 }
--- a/internal/edge/storecalls.go
+++ b/internal/edge/storecalls.go
@@ -9,14 +9,13 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// countedStore counts the calls to a store by what they are for: each one is priced
-// by those who run it.
+// countedStore counts the calls to a store by cause, as its provider bills each call.
 type countedStore struct {
 	Store
 	calls *prometheus.CounterVec
 }
 
-// The causes of calls, as metrics name them.
+// The values of the cause label.
 const (
 	causeConfirm = "confirm"
 	causeRead    = "read"
@@ -28,7 +27,7 @@
 	causeRevoke  = "revoke"
 )
 
-// countCalls returns a store that counts its calls; nil counts nothing.
+// countCalls wraps a store to count its calls. Without a registerer it returns the store itself.
 func countCalls(counted Store, registerer prometheus.Registerer) Store {
 	if registerer == nil {
 		return counted
@@ -87,7 +86,7 @@
 	return s.Store.KeepAlive(ctx, lease)
 }
 
-// Revoke ends a lease and removes its keys.
+// Revoke revokes a lease and deletes its keys.
 func (s *countedStore) Revoke(ctx context.Context, lease store.Lease) error {
 	s.count(causeRevoke)
 	return s.Store.Revoke(ctx, lease)
--- a/internal/edge/storecalls_test.go
+++ b/internal/edge/storecalls_test.go
@@ -12,7 +12,7 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// scriptedStore answers each call, and a watch two times.
+// scriptedStore answers every call, and delivers two batches per watch.
 type scriptedStore struct{ Store }
 
 func (scriptedStore) Get(context.Context, string) (store.KeyValue, bool, int64, error) {
@@ -23,7 +23,7 @@
 	return nil, 1, nil
 }
 
-var errWatchOver = errors.New("the watch is over")
+var errWatchEnded = errors.New("watch ended")
 
 func (scriptedStore) Watch(_ context.Context, _ string, _ int64, deliver func(store.WatchBatch) error) error {
 	for range 2 {
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	return errWatchOver
+	return errWatchEnded
 }
 
 func (scriptedStore) Commit(context.Context, store.Transaction) (store.Outcome, error) {
@@ -41,15 +41,14 @@
 func (scriptedStore) KeepAlive(context.Context, store.Lease) error              { return nil }
 func (scriptedStore) Revoke(context.Context, store.Lease) error                 { return nil }
 
-// TestCallsAreCountedByCause: each call counts for what it is for.
-func TestCallsAreCountedByCause(t *testing.T) {
+func TestStoreCallsByCause(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	counted := countCalls(scriptedStore{}, registry)
 	ctx := t.Context()
 	_, _, _, _ = counted.Get(ctx, "k")
 	_, _, _ = counted.List(ctx, "", 0)
-	if err := counted.Watch(ctx, "", 1, func(store.WatchBatch) error { return nil }); !errors.Is(err, errWatchOver) {
-		t.Errorf("the watch ended with %v", err)
+	if err := counted.Watch(ctx, "", 1, func(store.WatchBatch) error { return nil }); !errors.Is(err, errWatchEnded) {
+		t.Errorf("watch: %v", err)
 	}
 	_, _ = counted.Commit(ctx, store.Transaction{})
 	_, _ = counted.Grant(ctx, time.Second)
--- a/internal/edge/zoneprobe.go
+++ b/internal/edge/zoneprobe.go
@@ -11,21 +11,20 @@
 )
 
 const (
-	// guardInterval is the time between two looks at the nodes of the own zone. With
-	// two failures in a row (liveness) and the next answer to the nodes that watch this
-	// one, a zone knows within about two seconds that a node is gone.
-	guardInterval = 500 * time.Millisecond
-	// guardedSpare is the number of nodes beyond the entry nodes that are looked at:
-	// those that take over are known to be there beforehand.
-	guardedSpare = 2
+	// probeInterval is the interval between probes of the nodes of this node's zone. With two
+	// consecutive failures (liveness) and the next answer to the nodes that watch this one, a
+	// zone learns within about two seconds that a node is gone.
+	probeInterval = 500 * time.Millisecond
+	// probedSpares is the number of nodes probed beyond the entry nodes: those that would
+	// replace a lost entry node.
+	probedSpares = 2
 )
 
-// guard looks, in the node that watches the store for its zone, whether the zone's
-// entry nodes and those next in line answer, until ctx ends. A node whose power is
-// gone stays recorded until its lease ends; the others of the zone hear of it by the
-// answers to their watches (relay).
-func (n *Node) guard(ctx context.Context) error {
-	ticker := time.NewTicker(guardInterval)
+// probeZone probes the zone's entry nodes and their replacements until ctx is done, if this node
+// is the zone's prober. The entry of a node that lost power stays in the store until its lease
+// ends; the other nodes of the zone learn of the loss by the answers to their watches (relay).
+func (n *Node) probeZone(ctx context.Context) error {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -33,48 +32,49 @@
 			return nil
 		case <-ticker.C:
 		}
-		if nodes := n.board.Nodes.Load(); nodes != nil && n.guards(nodes) {
-			if silent := n.silent(ctx, n.guarded(nodes)); len(silent) > 0 {
-				n.follower.SuspectSilent(silent)
+		if nodes := n.board.Nodes.Load(); nodes != nil && n.isProber(nodes) {
+			if unreachable := n.unreachable(ctx, n.probeTargets(nodes)); len(unreachable) > 0 {
+				n.follower.SuspectSilent(unreachable)
 			}
 		}
 	}
 }
 
-// guards tells whether this node is the one that looks after its zone.
-func (n *Node) guards(nodes *topology.Nodes) bool {
+// isProber reports whether this node probes its zone, which is the task of the zone's first
+// watcher of the store.
+func (n *Node) isProber(nodes *topology.Nodes) bool {
 	first := directory.Watchers(nodes.Nodes, n.self.Place, 1)
 	return len(first) == 1 && first[0].ID == n.self.ID
 }
 
-// guarded returns the nodes of the own zone to look at: the first ones by capacity,
-// and those that were silent before.
-func (n *Node) guarded(nodes *topology.Nodes) []topology.Node {
-	wanted := n.settings.Bounds.EntryNodes() + guardedSpare
-	guarded := directory.Watchers(nodes.Nodes, n.self.Place, wanted)
+// probeTargets returns the nodes of the zone to probe: the first ones by capacity, and those
+// that are already suspected.
+func (n *Node) probeTargets(nodes *topology.Nodes) []topology.Node {
+	wanted := n.settings.Bounds.EntryNodes() + probedSpares
+	targets := directory.Watchers(nodes.Nodes, n.self.Place, wanted)
 	for _, node := range nodes.Nodes {
 		if node.Place == n.self.Place && slices.Contains(nodes.Suspected, node.ID) {
-			guarded = append(guarded, node)
+			targets = append(targets, node)
 		}
 	}
-	return slices.DeleteFunc(guarded, func(node topology.Node) bool { return node.ID == n.self.ID })
+	return slices.DeleteFunc(targets, func(node topology.Node) bool { return node.ID == n.self.ID })
 }
 
-// silent returns the IDs of those of some nodes that do not answer.
-func (n *Node) silent(ctx context.Context, nodes []topology.Node) []string {
+// unreachable returns the IDs of those of the nodes that cannot be reached.
+func (n *Node) unreachable(ctx context.Context, nodes []topology.Node) []string {
 	ids := make(map[netip.AddrPort]string, len(nodes))
 	addresses := make([]netip.AddrPort, 0, len(nodes))
 	for _, node := range nodes {
 		address, err := netip.ParseAddrPort(node.StateAddress)
 		if err != nil {
-			continue // it serves no other node, so nothing can be told of it
+			continue // without a state address it cannot be probed
 		}
 		ids[address] = node.ID
 		addresses = append(addresses, address)
 	}
-	var silent []string
+	var unreachable []string
 	for _, address := range n.liveness.Unreachable(ctx, addresses) {
-		silent = append(silent, ids[address])
+		unreachable = append(unreachable, ids[address])
 	}
-	return silent
+	return unreachable
 }
