--- a/internal/edge/pause_test.go
+++ b/internal/edge/pause_test.go
@@ -19,10 +19,10 @@
 
 // pauseProcess suspends this process with SIGSTOP: nodes, store, replicas and callers pause
 // together, as on a machine that is suspended or overloaded.
-func pauseProcess(t *testing.T, lasting time.Duration) {
+func pauseProcess(t *testing.T, duration time.Duration) {
 	t.Helper()
 	script := `kill -STOP "$0" && sleep "$1"; kill -CONT "$0"`
-	seconds := strconv.FormatFloat(lasting.Seconds(), 'f', 3, 64)
+	seconds := strconv.FormatFloat(duration.Seconds(), 'f', 3, 64)
 	if err := exec.Command("sh", "-c", script, strconv.Itoa(os.Getpid()), seconds).Run(); err != nil {
 		t.Error(err)
 	}
@@ -42,7 +42,7 @@
 			for _, replica := range s.Replicas {
 				replica.Pause()
 			}
-			ended := s.sendAll(callers, 4*grace)
+			errs := s.sendAll(callers, 4*grace)
 			s.eventually("requests have arrived", func() bool {
 				return slices.ContainsFunc(s.Replicas, func(r *standin.Replica) bool { return r.Working() > 0 })
 			})
@@ -50,7 +50,7 @@
 			if err := s.nodes[0].Stop(); err != nil {
 				t.Error(err)
 			}
-			for err := range ended {
+			for err := range errs {
 				t.Error(err)
 			}
 		})
@@ -60,7 +60,7 @@
 // sendAll sends requests to the first node in parallel, each on its own connection. It delivers
 // the errors of requests without a response, and closes the channel when all have finished.
 func (s *system) sendAll(callers int, wait time.Duration) <-chan error {
-	ended := make(chan error, callers)
+	errs := make(chan error, callers)
 	var sending sync.WaitGroup
 	for number := range callers {
 		caller := &standin.Client{HTTP: &http.Client{Transport: &http.Transport{}}, Method: http.MethodPost}
@@ -68,15 +68,15 @@
 		path := []string{standin.ScatteredPath, standin.PlainPath, standin.OncePath}[number%3]
 		sending.Go(func() {
 			if _, err := caller.Send(context.Background(), fmt.Sprint("p", number), path, wait); err != nil {
-				ended <- err
+				errs <- err
 			}
 		})
 	}
 	go func() {
 		sending.Wait()
-		close(ended)
+		close(errs)
 	}()
-	return ended
+	return errs
 }
 
 // With frozen watches, a node learns of a configuration by polling, which takes most of the Apply
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -89,6 +89,6 @@
 	}
 }
 
-func scaleDuration(share float64, whole time.Duration) time.Duration {
-	return time.Duration(share * float64(whole))
+func scaleDuration(share float64, total time.Duration) time.Duration {
+	return time.Duration(share * float64(total))
 }
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -38,14 +38,14 @@
 	node := s.nodes[0]
 	caller := &standin.Client{HTTP: &http.Client{}, Method: http.MethodPost}
 	caller.StayWith(node.Addresses().Callers)
-	ended, answeredAt := make(chan error, 1), time.Time{}
+	errs, answeredAt := make(chan error, 1), time.Time{}
 	go func() {
 		response, err := caller.Send(context.Background(), "r"+path, path, 4*gracePeriod)
 		answeredAt = time.Now()
 		if err == nil && response.Status != http.StatusGatewayTimeout {
 			err = fmt.Errorf("status %d", response.Status)
 		}
-		ended <- err
+		errs <- err
 	}()
 	s.eventually("the request has arrived at a replica", func() bool {
 		return slices.ContainsFunc(s.Replicas, func(r *standin.Replica) bool { return r.Working() > 0 })
@@ -54,7 +54,7 @@
 	if err := node.Stop(); err != nil {
 		t.Error(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-errs; err != nil {
 		t.Error(err)
 	}
 	if took := answeredAt.Sub(began); took < gracePeriod/2 {
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// listMetrics count what a List does.
+// listMetrics are the metrics of a List.
 type listMetrics struct {
 	found, refused, dropped prometheus.Counter
 }
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -73,11 +73,11 @@
 		backing := &fakeStore{written: map[string][]byte{}}
 		list := New(Config{})
 		persister := NewPersister(PersisterConfig{Store: backing, Prefix: "q/", List: list, Rank: func() int { return rank }})
-		ended := make(chan error)
-		go func() { ended <- persister.Run(ctx) }()
+		done := make(chan error)
+		go func() { done <- persister.Run(ctx) }()
 		do(backing, list, persister)
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
