--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -14,17 +14,17 @@
 // callWeights let a call go anywhere, nearest first.
 var callWeights = policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}
 
-// callAttempts is the greatest number of replicas that a call is offered to.
-const callAttempts = 4
+// maxCallAttempts is the greatest number of replicas that a call is offered to.
+const maxCallAttempts = 4
 
 // Call runs an operation that may not be repeated on one replica of a
 // service. It goes to another replica only after a proof that it did not run.
 // Errors are *failure.Error: NotRun is true for NoReplica, BackendRefused and
 // DeadlineExceeded only; OutcomeUnknown means that it may have run.
 func (p *Pool) Call(ctx context.Context, service string, request backendapi.CallRequest) (backendapi.CallReply, error) {
-	tried := make([]*Handle, 0, callAttempts)
+	tried := make([]*Handle, 0, maxCallAttempts)
 	last := failure.New(failure.NoReplica, "no usable replica of service "+service)
-	for len(tried) < callAttempts {
+	for len(tried) < maxCallAttempts {
 		if deadlinePassed(p, ctx, request) {
 			return backendapi.CallReply{}, failure.New(failure.DeadlineExceeded, "deadline passed before the call was sent").WithNotRun(true)
 		}
@@ -58,12 +58,12 @@
 func (p *Pool) callOnce(ctx context.Context, handle *Handle, request backendapi.CallRequest) (backendapi.CallReply, *failure.Error) {
 	defer handle.release()
 	reply, err := p.exchangeCall(ctx, handle, request)
-	p.learnCall(ctx, handle, err)
+	p.recordCall(ctx, handle, err)
 	return reply, err
 }
 
 func (p *Pool) exchangeCall(ctx context.Context, handle *Handle, request backendapi.CallRequest) (backendapi.CallReply, *failure.Error) {
-	if handle.peer {
+	if handle.viaPeer {
 		return p.forwardCall(ctx, handle, request)
 	}
 	exchanged := p.post(ctx, handle, handle.urls.call, request)
@@ -85,7 +85,7 @@
 	if reply.Key != request.Key {
 		return backendapi.CallReply{}, failure.New(failure.OutcomeUnknown, "reply is for key "+reply.Key)
 	}
-	p.noteReply(handle, reply.Load, reply.Draining, reply.Incarnation)
+	p.applyReplyState(handle, reply.Load, reply.Draining, reply.Incarnation)
 	return reply, nil
 }
 
@@ -111,7 +111,7 @@
 	return err
 }
 
-func (p *Pool) learnCall(ctx context.Context, handle *Handle, err *failure.Error) {
+func (p *Pool) recordCall(ctx context.Context, handle *Handle, err *failure.Error) {
 	switch {
 	case err == nil:
 		handle.failures.Store(0)
--- a/internal/replica/check.go
+++ b/internal/replica/check.go
@@ -6,8 +6,8 @@
 	"github.com/doorpond/doorpond/internal/backendapi"
 )
 
-// checkReply tells whether a decoded reply is the whole answer to a request.
-func checkReply(request *backendapi.SearchRequest, reply *backendapi.SearchReply) error {
+// validateReply tells whether a decoded reply is the whole answer to a request.
+func validateReply(request *backendapi.SearchRequest, reply *backendapi.SearchReply) error {
 	switch {
 	case reply.QueryID != request.QueryID:
 		return eris.Errorf("reply is for query %q", reply.QueryID)
@@ -18,10 +18,10 @@
 	case reply.Index != request.Index || reply.Shard != request.Shard || reply.Shards != request.Shards:
 		return eris.Errorf("reply is from shard %s %d of %d", reply.Index, reply.Shard, reply.Shards)
 	}
-	return checkHits(request, reply)
+	return validateHits(request, reply)
 }
 
-func checkHits(request *backendapi.SearchRequest, reply *backendapi.SearchReply) error {
+func validateHits(request *backendapi.SearchRequest, reply *backendapi.SearchReply) error {
 	switch {
 	case reply.Count != len(reply.Hits):
 		return eris.Errorf("reply counts %d hits and holds %d", reply.Count, len(reply.Hits))
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -90,14 +90,14 @@
 // TestTheColdGateIsExactUnderRaces: requests that choose at the same moment.
 func TestTheColdGateIsExactUnderRaces(t *testing.T) {
 	const share = 5
-	var gate coldGate
-	gate.set(share)
+	var gate coldLimiter
+	gate.setLimit(share)
 	var passed atomic.Int64
 	var running sync.WaitGroup
 	now := time.Unix(1000, 0)
 	for range 50 {
 		running.Go(func() {
-			if gate.open(now) && gate.pass(now) {
+			if gate.hasCapacity(now) && gate.admit(now) {
 				passed.Add(1)
 			}
 		})
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -46,7 +46,7 @@
 	}
 	handle := &Handle{
 		Health: NewHealth(replica, p.options.Self, p.options.Now()), group: group, replica: replica,
-		peer: true, multiplex: true, metrics: p.metrics,
+		viaPeer: true, multiplex: true, metrics: p.metrics,
 	}
 	handle.budget.Store(1) // a peer's connection carries many requests
 	return handle
@@ -124,7 +124,7 @@
 	case reply.Refusal != nil:
 		return p.forwardedRefusal(reply)
 	}
-	if err := checkReply(request, &reply.Search); err != nil {
+	if err := validateReply(request, &reply.Search); err != nil {
 		return SubrequestResult{Outcome: decision.Invalid, Err: err}
 	}
 	p.noteForwarded(reply.Address, reply.Search.Incarnation, reply.Search.Draining)
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -21,18 +21,18 @@
 // those of the healthy groups lie idle. Its zero value is ready, and it is
 // safe for concurrent use.
 type RetryBudgets struct {
-	byTerms sync.Map // budgetTerms -> *decision.TokenBudget
+	byKey sync.Map // budgetTerms -> *decision.TokenBudget
 }
 
-type budgetTerms struct{ ratio, burst float64 }
+type retryBudgetKey struct{ ratio, burst float64 }
 
 // Of returns the budget of some terms.
 func (b *RetryBudgets) Of(retry policy.Retry) decision.Budget {
-	terms := budgetTerms{retry.BudgetRatio, retry.BudgetBurst}
-	if budget, known := b.byTerms.Load(terms); known {
+	terms := retryBudgetKey{retry.BudgetRatio, retry.BudgetBurst}
+	if budget, known := b.byKey.Load(terms); known {
 		return budget.(*decision.TokenBudget)
 	}
-	budget, _ := b.byTerms.LoadOrStore(terms, decision.NewTokenBudget(retry.BudgetRatio, retry.BudgetBurst))
+	budget, _ := b.byKey.LoadOrStore(terms, decision.NewTokenBudget(retry.BudgetRatio, retry.BudgetBurst))
 	return budget.(*decision.TokenBudget)
 }
 
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -30,18 +30,18 @@
 	// upstream carries messages; nil when there is no codec.
 	upstream  *upstream.Pool
 	multiplex bool
-	// peer is true for a way through a peer, which holds no connection here.
-	peer        bool
+	// viaPeer is true for a way through a viaPeer, which holds no connection here.
+	viaPeer     bool
 	metrics     *poolMetrics
 	connections atomic.Int64
 	budget      atomic.Int64
 	retired     atomic.Bool
 	// vanished is true while the replica is not listed any more.
 	vanished atomic.Bool
-	// displaced is true once another process has answered at the address.
-	displaced atomic.Bool
-	// cold bounds what this node sends while the replica is cold.
-	cold coldGate
+	// addressReused is true once another process has answered at the address.
+	addressReused atomic.Bool
+	// coldLimiter bounds what this node sends while the replica is coldLimiter.
+	coldLimiter coldLimiter
 }
 
 type handleURLs struct {
@@ -54,8 +54,8 @@
 // ProcessName names the process among all that have ever run there.
 func (h *Handle) ProcessName() string { return h.replica.Address + "/" + h.replica.Incarnation }
 
-// process names the process that the handle is for.
-func (h *Handle) process() process { return process{h.replica.Address, h.replica.Incarnation} }
+// processID names the processID that the handle is for.
+func (h *Handle) processID() processID { return processID{h.replica.Address, h.replica.Incarnation} }
 
 // Connections returns the number of open connections.
 func (h *Handle) Connections() int { return int(h.connections.Load()) }
@@ -113,17 +113,17 @@
 	}
 }
 
-// standbyRest is for how long a connection rests on a node to which callers are
+// standbyIdleTimeout is for how long a connection rests on a node to which callers are
 // not led: a request comes to it now and then only, and all nodes share the
 // replica's limit of connections.
-const standbyRest = time.Second
+const standbyIdleTimeout = time.Second
 
-func (h *Handle) setRest(standby bool) {
+func (h *Handle) setStandby(standby bool) {
 	if h.upstream == nil {
 		return
 	}
 	if standby {
-		h.upstream.SetRest(standbyRest)
+		h.upstream.SetRest(standbyIdleTimeout)
 		return
 	}
 	h.upstream.SetRest(0)
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -29,8 +29,8 @@
 	Canary bool
 }
 
-// allows tells whether a replica may take the message.
-func (t *SelectionCriteria) allows(handle *Handle) bool {
+// allowsRegion tells whether a replica may take the message.
+func (t *SelectionCriteria) allowsRegion(handle *Handle) bool {
 	return len(t.Regions) == 0 || slices.Contains(t.Regions, handle.replica.Place.Region)
 }
 
@@ -89,7 +89,7 @@
 	if chosen == nil {
 		return AcquireResult{Busy: busy, Exhausted: exhausted}
 	}
-	chosen.sentAt(now)
+	chosen.recordSent(now)
 	p.metrics.observeChoice(chosen.distance, len(tried) > 0)
 	return AcquireResult{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
 }
@@ -127,10 +127,10 @@
 // for good, though it is the last of its group that is listed: each message for it would
 // be an arrival at another group, which the retry budget of that one does not account for.
 func (h *Handle) mayTake(terms *SelectionCriteria, now time.Time) bool {
-	return terms.allows(h) && h.cold.open(now) && !h.displaced.Load()
+	return terms.allowsRegion(h) && h.coldLimiter.hasCapacity(now) && !h.addressReused.Load()
 }
 
-func (h *Handle) sentAt(now time.Time) { h.silence.began(now.Sub(h.created), h.inFlight.Load()) }
+func (h *Handle) recordSent(now time.Time) { h.silence.began(now.Sub(h.created), h.inFlight.Load()) }
 
 // Forward sends a message to an acquired replica, once, and releases it. A part
 // of a scattered query must be a success.
@@ -139,29 +139,29 @@
 	started := p.options.Now()
 	reply, err := handle.upstream.Exchange(ctx, p.options.Codec, message, handle.replica.Incarnation, timeout)
 	running := handle.inFlight.Load() // before the others that break with it have ended
-	result := classifyReply(reply, err, scattered)
+	result := classifyForward(reply, err, scattered)
 	if handle.upstream.HasEnded(ctx, err) {
 		result.Outcome = decision.Ended
 		result.Blame = 1 / float64(max(1, running))
 	}
 	if result.Outcome == decision.Elsewhere {
-		p.displace(handle)
+		p.markAddressReused(handle)
 	}
-	p.learnReply(ctx, handle, result, started, terms)
+	p.recordForward(ctx, handle, result, started, terms)
 	p.metrics.outcomes[result.Outcome].Inc()
 	return result
 }
 
-// displace notes that another process answers at a replica's address. As each process
+// markAddressReused notes that another process answers at a replica's address. As each process
 // has an incarnation of its own, the one of the handle has ended.
-func (p *Pool) displace(handle *Handle) {
-	if !handle.displaced.Swap(true) && p.options.OnAddressReused != nil {
+func (p *Pool) markAddressReused(handle *Handle) {
+	if !handle.addressReused.Swap(true) && p.options.OnAddressReused != nil {
 		p.options.OnAddressReused(handle.replica)
 	}
 }
 
-// classifyReply tells what an exchange means for the query.
-func classifyReply(reply *upstream.Reply, err error, scattered bool) SubrequestResult {
+// classifyForward tells what an exchange means for the query.
+func classifyForward(reply *upstream.Reply, err error, scattered bool) SubrequestResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
 		return SubrequestResult{Outcome: decision.Unaccepted, NotRun: true, Err: err}
@@ -178,26 +178,26 @@
 	case reply.Signature == "":
 		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
 	case scattered:
-		return classifyPart(reply)
-	case reply.Status >= serverErrors:
+		return classifyScattered(reply)
+	case reply.Status >= minServerErrorStatus:
 		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	default:
 		return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 	}
 }
 
-// serverErrors is the least status that tells of a failure of the replica.
-const serverErrors = 500
+// minServerErrorStatus is the least status that tells of a failure of the replica.
+const minServerErrorStatus = 500
 
-func classifyPart(reply *upstream.Reply) SubrequestResult {
+func classifyScattered(reply *upstream.Reply) SubrequestResult {
 	if !reply.Succeeded() {
 		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
 	}
 	return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 }
 
-// learnReply updates what is known of the replica.
-func (p *Pool) learnReply(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time, terms *SelectionCriteria) {
+// recordForward updates what is known of the replica.
+func (p *Pool) recordForward(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time, terms *SelectionCriteria) {
 	now := p.options.Now()
 	elapsed := now.Sub(started)
 	age := now.Sub(handle.created)
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -192,7 +192,7 @@
 	}
 	started := v.now
 	v.now = v.now.Add(took)
-	v.pool.learnReply(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.terms)
+	v.pool.recordForward(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.terms)
 	handle.release()
 }
 
@@ -226,7 +226,7 @@
 	v := newVirtual(t)
 	var near *Handle
 	for range speedSamples {
-		near = v.pool.current().handles[process{"near:1", "1"}]
+		near = v.pool.current().handles[processID{"near:1", "1"}]
 		near.Begin()
 		v.end(near, decision.Success, 140*time.Millisecond, false)
 	}
@@ -241,7 +241,7 @@
 
 func TestAReplicaThatGoesSilentIsEjected(t *testing.T) {
 	v := newVirtual(t)
-	near := v.pool.current().handles[process{"near:1", "1"}]
+	near := v.pool.current().handles[processID{"near:1", "1"}]
 	for range ejectAfter {
 		near.Begin()
 		v.end(near, decision.Failed, 300*time.Millisecond, true)
@@ -255,11 +255,11 @@
 // less until it answers.
 func TestResetsCutTheLimit(t *testing.T) {
 	v := newVirtual(t)
-	near := v.pool.current().handles[process{"near:1", "1"}]
+	near := v.pool.current().handles[processID{"near:1", "1"}]
 	before := near.limit.Load()
 	near.Begin()
 	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
-	v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
+	v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
 	}
@@ -269,7 +269,7 @@
 // answers, so that a restart of all nodes does not overrun it.
 func TestANewReplicaStartsWithOneRequest(t *testing.T) {
 	v := newVirtual(t)
-	near := v.pool.current().handles[process{"near:1", "1"}]
+	near := v.pool.current().handles[processID{"near:1", "1"}]
 	near.startSlowly()
 	for _, want := range []int{1, 2, 3} {
 		for held := range want {
@@ -334,11 +334,11 @@
 
 func TestConnectionLimitIsNoFailureOfTheReplica(t *testing.T) {
 	v := newVirtual(t)
-	near := v.pool.current().handles[process{"near:1", "1"}]
+	near := v.pool.current().handles[processID{"near:1", "1"}]
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.learnReply(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
+		v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
 	}
 	if near.Candidate(v.now).Ejected {
 		t.Error("ejected for this node's own limit")
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -79,7 +79,7 @@
 	replicas *topology.Replicas
 	members  *topology.Members
 	groups   map[string]*group
-	handles  map[process]*Handle
+	handles  map[processID]*Handle
 	routes   map[route]*Handle
 	plan     *ConnectionPlan
 	// probed are the replicas that this daemon probes, by address.
@@ -120,7 +120,7 @@
 		options.Random = rand.Uint64
 	}
 	pool := &Pool{options: options, metrics: newPoolMetrics(options.Registerer)}
-	pool.view.Store(&view{groups: map[string]*group{}, handles: map[process]*Handle{}})
+	pool.view.Store(&view{groups: map[string]*group{}, handles: map[processID]*Handle{}})
 	return pool
 }
 
@@ -166,12 +166,12 @@
 	}
 	next := &view{
 		replicas: replicas, members: members, groups: map[string]*group{},
-		handles: map[process]*Handle{}, routes: map[route]*Handle{}, plan: seen.plan,
+		handles: map[processID]*Handle{}, routes: map[route]*Handle{}, plan: seen.plan,
 	}
 	if seen.members != members || seen.plan == nil {
 		next.plan = planOf(members)
 	}
-	if seen.replicas == replicas && seen.plan != nil && next.plan.sameHolders(seen.plan) && next.sameSharing(seen) {
+	if seen.replicas == replicas && seen.plan != nil && next.plan.sameHolders(seen.plan) && next.sameSharingNodes(seen) {
 		next.groups, next.handles, next.routes, next.probed = seen.groups, seen.handles, seen.routes, seen.probed
 		p.view.Store(next)
 		return next
@@ -210,7 +210,7 @@
 		if budget == 0 {
 			continue
 		}
-		key := process{replica.Address, replica.Incarnation}
+		key := processID{replica.Address, replica.Incarnation}
 		handle := seen.handles[key]
 		if handle == nil {
 			handle = newHandle(p, built.state, replica)
@@ -219,9 +219,9 @@
 			}
 		}
 		handle.setBudget(budget)
-		handle.setRest(next.standby())
+		handle.setStandby(next.standby())
 		handle.vanished.Store(replica.State == topology.ReplicaVanished)
-		handle.cold.set(next.coldShare(replica))
+		handle.coldLimiter.setLimit(next.coldLimit(replica))
 		next.handles[key] = handle
 		built.handles = append(built.handles, handle)
 		if shares.Probes(i) {
@@ -385,7 +385,7 @@
 			return nil
 		}
 		handle := handles[chosen]
-		if handle.cold.pass(now) {
+		if handle.coldLimiter.admit(now) {
 			handle.Begin()
 			return handle
 		}
--- a/internal/replica/probe_schedule.go
+++ b/internal/replica/probe_schedule.go
@@ -26,22 +26,22 @@
 // its own and is for one goroutine.
 type probeSchedule struct {
 	random *rand.Rand
-	next   map[process]time.Time
+	next   map[processID]time.Time
 }
 
 func newProbeSchedule(seed uint64) *probeSchedule {
 	const stream = 0x9e3779b97f4a7c15
-	return &probeSchedule{random: rand.New(rand.NewPCG(seed, stream)), next: make(map[process]time.Time)}
+	return &probeSchedule{random: rand.New(rand.NewPCG(seed, stream)), next: make(map[processID]time.Time)}
 }
 
 // due returns which of the replicas assigned to this daemon it probes now, and
 // sets the times of their next probes.
 func (s *probeSchedule) due(now time.Time, assigned []*Handle) []*Handle {
 	period := max(probePeriod, time.Duration(len(assigned))*time.Second/mostProbesPerSecond)
-	next := make(map[process]time.Time, len(assigned))
+	next := make(map[processID]time.Time, len(assigned))
 	var due []*Handle
 	for _, handle := range assigned {
-		at, known := s.next[handle.process()]
+		at, known := s.next[handle.processID()]
 		switch {
 		case !known:
 			at = now.Add(time.Duration(s.random.Float64() * float64(period)))
@@ -49,7 +49,7 @@
 			due = append(due, handle)
 			at = now.Add(s.wait(period))
 		}
-		next[handle.process()] = at
+		next[handle.processID()] = at
 	}
 	s.next = next
 	return due
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -36,13 +36,13 @@
 	defer handle.release()
 	started := p.options.Now()
 	result := p.searchOnce(ctx, handle, request)
-	p.learn(ctx, handle, result, started)
+	p.recordSearch(ctx, handle, result, started)
 	p.metrics.outcomes[result.Outcome].Inc()
 	return result
 }
 
 func (p *Pool) searchOnce(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SubrequestResult {
-	if handle.peer {
+	if handle.viaPeer {
 		return p.forwardSearch(ctx, handle, request)
 	}
 	exchanged := p.post(ctx, handle, handle.urls.search, request)
@@ -68,10 +68,10 @@
 	if err != nil {
 		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Wrap(err, "decode the reply")}
 	}
-	if err := checkReply(request, reply); err != nil {
+	if err := validateReply(request, reply); err != nil {
 		return SubrequestResult{Outcome: decision.Invalid, Err: err}
 	}
-	p.noteReply(handle, reply.Load, reply.Draining, reply.Incarnation)
+	p.applyReplyState(handle, reply.Load, reply.Draining, reply.Incarnation)
 	return SubrequestResult{Outcome: decision.Success, Reply: reply}
 }
 
@@ -84,8 +84,8 @@
 	return reply, err
 }
 
-// noteReply takes in what a reply says of its replica.
-func (p *Pool) noteReply(handle *Handle, load backendapi.Load, draining bool, incarnation string) {
+// applyReplyState takes in what a reply says of its replica.
+func (p *Pool) applyReplyState(handle *Handle, load backendapi.Load, draining bool, incarnation string) {
 	handle.ObserveLoad(load)
 	if !draining || p.options.Tracker == nil {
 		return
@@ -96,9 +96,9 @@
 	p.options.Tracker.MarkLeaving(handle.replica.Address, incarnation)
 }
 
-// refusal returns the refusal in an exchange, or nil if it is not one: only a
+// parseRefusal returns the parseRefusal in an exchange, or nil if it is not one: only a
 // decoded body that says so proves that the request did not run.
-func refusal(exchanged *exchange) *backendapi.Refusal {
+func parseRefusal(exchanged *exchange) *backendapi.Refusal {
 	switch exchanged.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGone:
 	default:
@@ -112,12 +112,12 @@
 }
 
 func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchange) SubrequestResult {
-	refused := refusal(exchanged)
+	refused := parseRefusal(exchanged)
 	if refused == nil {
 		return SubrequestResult{Outcome: decision.Failed, Err: eris.Errorf("status %d", exchanged.status)}
 	}
 	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
-	p.noteReply(handle, refused.Load, draining, refused.Incarnation)
+	p.applyReplyState(handle, refused.Load, draining, refused.Incarnation)
 	return SubrequestResult{
 		Outcome:    refusalOutcome(refused.Reason),
 		NotRun:     true,
@@ -141,8 +141,8 @@
 	}
 }
 
-// learn updates the health of the replica and of its group by an outcome.
-func (p *Pool) learn(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time) {
+// recordSearch updates the health of the replica and of its group by an outcome.
+func (p *Pool) recordSearch(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time) {
 	now := p.options.Now()
 	ended := Observation{Outcome: result.Outcome, Canceled: ctx.Err() != nil, Elapsed: now.Sub(started), RetryAfter: result.RetryAfter}
 	handle.observe(now, ended)
--- a/internal/replica/tracker.go
+++ b/internal/replica/tracker.go
@@ -42,8 +42,8 @@
 
 	mutex     sync.Mutex
 	listed    []topology.Replica
-	firstSeen map[process]time.Time
-	marks     leavingMarks
+	firstSeen map[processID]time.Time
+	marks     leavingSet
 	notify    []func(address, incarnation string)
 	reachable bool
 	readings  int
@@ -66,8 +66,8 @@
 	return &Tracker{
 		options:   options,
 		metrics:   newTrackerMetrics(options.Registerer),
-		firstSeen: make(map[process]time.Time),
-		marks:     newLeavingMarks(),
+		firstSeen: make(map[processID]time.Time),
+		marks:     newLeavingSet(),
 		reachable: true,
 	}
 }
@@ -139,19 +139,19 @@
 }
 
 // absorb notes first sights and takes the list's own leaving marks.
-func (t *Tracker) absorb(now time.Time) []process {
-	var fresh []process
+func (t *Tracker) absorb(now time.Time) []processID {
+	var fresh []processID
 	for _, replica := range t.listed {
-		listed := process{replica.Address, replica.Incarnation}
+		listed := processID{replica.Address, replica.Incarnation}
 		if _, known := t.firstSeen[listed]; !known {
 			t.firstSeen[listed] = t.birth(now)
 		}
-		t.marks.see(listed, now)
+		t.marks.refresh(listed, now)
 		if replica.State == topology.ReplicaLeaving && t.marks.add(listed, now) {
 			fresh = append(fresh, listed)
 		}
 	}
-	t.marks.forgetOld(now)
+	t.marks.evictExpired(now)
 	t.forgetUnlisted()
 	return fresh
 }
@@ -169,9 +169,9 @@
 	if len(t.firstSeen) <= 2*len(t.listed) {
 		return
 	}
-	present := make(map[process]bool, len(t.listed))
+	present := make(map[processID]bool, len(t.listed))
 	for _, replica := range t.listed {
-		present[process{replica.Address, replica.Incarnation}] = true
+		present[processID{replica.Address, replica.Incarnation}] = true
 	}
 	for known := range t.firstSeen {
 		if !present[known] {
@@ -189,7 +189,7 @@
 	if incarnation == "" {
 		incarnation = t.listedIncarnation(address)
 	}
-	marked := process{address, incarnation}
+	marked := processID{address, incarnation}
 	fresh := t.marks.add(marked, now)
 	if fresh {
 		t.publish(now)
@@ -197,7 +197,7 @@
 	t.mutex.Unlock()
 	if fresh {
 		t.options.Logger.Info("replica leaving", "address", address, "incarnation", incarnation)
-		t.tell([]process{marked})
+		t.tell([]processID{marked})
 	}
 }
 
@@ -224,7 +224,7 @@
 	return leaving
 }
 
-func (t *Tracker) tell(fresh []process) {
+func (t *Tracker) tell(fresh []processID) {
 	t.mutex.Lock()
 	notify := slices.Clone(t.notify)
 	t.mutex.Unlock()
@@ -269,7 +269,7 @@
 }
 
 func (t *Tracker) state(replica topology.Replica, now time.Time) topology.ReplicaState {
-	listed := process{replica.Address, replica.Incarnation}
+	listed := processID{replica.Address, replica.Incarnation}
 	switch {
 	case t.marks.has(listed):
 		return topology.ReplicaLeaving
