--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -14,9 +14,9 @@
 	// connectionReserve is the part of a replica's limit that is left free for
 	// daemons that are not known yet.
 	connectionReserve = 0.1
-	// mostCopies is how many replicas of a group a daemon may connect to when
+	// maxReplicasPerDaemon is how many replicas of a group a daemon may connect to when
 	// not all daemons can connect to all.
-	mostCopies = 4
+	maxReplicasPerDaemon = 4
 )
 
 // ConnectionPlan divides the connections of replicas among the daemons. It is
@@ -50,7 +50,7 @@
 	plan := &ConnectionPlan{
 		self: members.Self, daemons: len(holders), distances: make(map[topology.Place][]topology.Distance),
 	}
-	plan.zones = zonesOf(holders)
+	plan.zones = groupByZone(holders)
 	plan.selfZone = slices.IndexFunc(plan.zones, func(zone planZone) bool { return zone.place == members.Self.Place })
 	own := plan.zones[plan.selfZone].daemons
 	plan.selfRank = slices.IndexFunc(own, func(m topology.Member) bool { return m.ID == members.Self.ID })
@@ -62,21 +62,21 @@
 	return member.State < topology.MemberDead
 }
 
-func zonesOf(holders []topology.Member) []planZone {
+func groupByZone(holders []topology.Member) []planZone {
 	byPlace := make(map[topology.Place][]topology.Member)
 	for _, member := range holders {
 		byPlace[member.Place] = append(byPlace[member.Place], member)
 	}
 	zones := make([]planZone, 0, len(byPlace))
 	for place, daemons := range byPlace {
-		sorted, hashes := sortedByHash(daemons)
+		sorted, hashes := sortByHash(daemons)
 		zones = append(zones, planZone{place: place, daemons: sorted, hashes: hashes})
 	}
 	slices.SortFunc(zones, func(a, b planZone) int { return comparePlaces(a.place, b.place) })
 	return zones
 }
 
-func sortedByHash(daemons []topology.Member) (sorted []topology.Member, hashOf []uint64) {
+func sortByHash(daemons []topology.Member) (sorted []topology.Member, hashOf []uint64) {
 	hashes := make(map[string]uint64, len(daemons))
 	for i := range daemons {
 		hashes[daemons[i].ID] = xxhash.Sum64String(daemons[i].ID)
@@ -101,22 +101,22 @@
 
 // GroupConnections says who connects to each replica of one group.
 type GroupConnections struct {
-	plan     *ConnectionPlan
-	replicas []topology.Replica
-	shares   []replicaShare
+	plan        *ConnectionPlan
+	replicas    []topology.Replica
+	allocations []replicaAllocation
 }
 
-// replicaShare divides one replica's connections. Where all daemons can
+// replicaAllocation divides one replica's connections. Where all daemons can
 // connect, everyone is the number each has. Otherwise the daemons in the
 // windows get one each.
-type replicaShare struct {
-	everyone int
-	left     int // connections not given yet
-	windows  []window
+type replicaAllocation struct {
+	perDaemon int
+	remaining int // connections not given yet
+	ranges    []daemonRange
 }
 
-// window is a run of daemons of one zone, from start on and around the end.
-type window struct {
+// daemonRange is a run of daemons of one zone, from start on and around the end.
+type daemonRange struct {
 	zone, start, count int
 }
 
@@ -125,70 +125,70 @@
 // connections, each daemon gets one replica before any gets a second, from the
 // nearest zone that has connections left.
 func (p *ConnectionPlan) AllocateGroup(name string, replicas []topology.Replica) *GroupConnections {
-	division := &division{
-		plan: p, replicas: replicas, shares: make([]replicaShare, len(replicas)),
+	division := &allocator{
+		plan: p, replicas: replicas, allocations: make([]replicaAllocation, len(replicas)),
 		cursors: make([]int, len(p.zones)),
 	}
-	if division.start() {
+	if division.allocateEqually() {
 		division.prepare()
 		first := int(xxhash.Sum64String(name) % uint64(p.daemons))
 		for at := range division.cursors {
 			division.cursors[at] = first
 		}
-		for turn := 0; turn < mostCopies && division.left > 0; turn++ {
-			division.giveOneEach(turn)
+		for turn := 0; turn < maxReplicasPerDaemon && division.remaining > 0; turn++ {
+			division.allocateOneEach(turn)
 		}
 	}
-	return &GroupConnections{plan: p, replicas: replicas, shares: division.shares}
+	return &GroupConnections{plan: p, replicas: replicas, allocations: division.allocations}
 }
 
-// division is the work of dividing the connections of one group.
-type division struct {
-	plan     *ConnectionPlan
-	replicas []topology.Replica
-	shares   []replicaShare
+// allocator is the work of dividing the connections of one group.
+type allocator struct {
+	plan        *ConnectionPlan
+	replicas    []topology.Replica
+	allocations []replicaAllocation
 	// cursors say by zone which daemon is served next.
 	cursors []int
 	// distances has those from each zone, by replica.
 	distances [][]topology.Distance
-	left      int   // connections not given yet
-	found     []int // memory for willing
+	remaining int   // connections not given yet
+	scratch   []int // memory for willing
 }
 
-// start gives the connections of replicas that all daemons can reach; scarce
+// allocateEqually gives the connections of replicas that all daemons can reach; scarce
 // is true when there are others.
-func (d *division) start() (scarce bool) {
+func (d *allocator) allocateEqually() (scarce bool) {
 	for i, replica := range d.replicas {
-		share := &d.shares[i]
+		share := &d.allocations[i]
 		usable := usableConnections(replica)
 		switch {
 		case replica.ConnectionLimit <= 0:
-			share.everyone = unlimitedConnections
+			share.perDaemon = unlimitedConnections
 		case d.plan.daemons <= usable:
-			share.everyone = usable / d.plan.daemons
+			share.perDaemon = usable / d.plan.daemons
 		default:
-			share.left = usable
-			d.left += usable
+			share.remaining = usable
+			d.remaining += usable
 			scarce = true
 		}
 	}
 	return scarce
 }
 
-// usualWindows of a replica need no more memory.
-const usualWindows = 2
+// preallocatedRanges of a replica need no more memory.
+const preallocatedRanges = 2
 
 // prepare finds the distances and makes room for the windows.
-func (d *division) prepare() {
+func (d *allocator) prepare() {
 	d.distances = make([][]topology.Distance, len(d.replicas))
-	windows := make([]window, len(d.replicas)*usualWindows)
+	windows := make([]daemonRange, len(d.replicas)*preallocatedRanges)
 	for i := range d.replicas {
-		d.distances[i] = d.plan.distancesTo(d.replicas[i].Place)
-		d.shares[i].windows = windows[i*usualWindows : i*usualWindows : (i+1)*usualWindows]
+		d.distances[i] = d.plan.zoneDistances(d.replicas[i].Place)
+		d.allocations[i].ranges = windows[i*preallocatedRanges : i*preallocatedRanges : (i+1)*preallocatedRanges]
 	}
 }
 
-func (p *ConnectionPlan) distancesTo(place topology.Place) []topology.Distance {
+func (p *ConnectionPlan) zoneDistances(place topology.Place) []topology.Distance {
 	known, found := p.distances[place]
 	if !found {
 		for at := range p.zones {
@@ -199,62 +199,62 @@
 	return known
 }
 
-// giveOneEach gives each daemon one more replica, nearest first, as far as
+// allocateOneEach gives each daemon one more replica, nearest first, as far as
 // there are connections left.
-func (d *division) giveOneEach(turn int) {
+func (d *allocator) allocateOneEach(turn int) {
 	needs := make([]int, len(d.plan.zones))
 	for at := range needs {
 		needs[at] = len(d.plan.zones[at].daemons)
 	}
 	for distance := topology.SameZone; distance <= topology.OtherRegion; distance++ {
 		for at := range needs {
-			needs[at] -= d.serve(at, needs[at], distance, turn)
+			needs[at] -= d.allocateInZone(at, needs[at], distance, turn)
 		}
 	}
 }
 
-// serve gives so many daemons of a zone one connection each to the replicas at
+// allocateInZone gives so many daemons of a zone one connection each to the replicas at
 // a distance, in equal parts, and returns how many were served.
-func (d *division) serve(zone, needed int, distance topology.Distance, turn int) (served int) {
+func (d *allocator) allocateInZone(zone, needed int, distance topology.Distance, turn int) (served int) {
 	if needed == 0 {
 		return 0
 	}
-	willing := d.willing(zone, distance)
+	willing := d.withRemaining(zone, distance)
 	for i := range willing {
 		at := willing[(i+turn)%len(willing)]
 		parts := len(willing) - i
-		count := min((needed-served+parts-1)/parts, d.shares[at].left)
-		d.give(at, zone, count)
+		count := min((needed-served+parts-1)/parts, d.allocations[at].remaining)
+		d.assign(at, zone, count)
 		served += count
 	}
 	for _, at := range willing { // what others could not take
-		count := min(needed-served, d.shares[at].left)
-		d.give(at, zone, count)
+		count := min(needed-served, d.allocations[at].remaining)
+		d.assign(at, zone, count)
 		served += count
 	}
 	return served
 }
 
-// willing returns the replicas at a distance that have connections left.
-func (d *division) willing(zone int, distance topology.Distance) []int {
-	d.found = d.found[:0]
-	for i := range d.shares {
-		if d.distances[i][zone] == distance && d.shares[i].left > 0 {
-			d.found = append(d.found, i)
+// withRemaining returns the replicas at a distance that have connections left.
+func (d *allocator) withRemaining(zone int, distance topology.Distance) []int {
+	d.scratch = d.scratch[:0]
+	for i := range d.allocations {
+		if d.distances[i][zone] == distance && d.allocations[i].remaining > 0 {
+			d.scratch = append(d.scratch, i)
 		}
 	}
-	return d.found
+	return d.scratch
 }
 
-func (d *division) give(replica, zone, count int) {
+func (d *allocator) assign(replica, zone, count int) {
 	if count == 0 {
 		return
 	}
 	size := len(d.plan.zones[zone].daemons)
-	share := &d.shares[replica]
-	share.left -= count
-	d.left -= count
-	share.windows = append(share.windows, window{zone: zone, start: d.cursors[zone] % size, count: count})
+	share := &d.allocations[replica]
+	share.remaining -= count
+	d.remaining -= count
+	share.ranges = append(share.ranges, daemonRange{zone: zone, start: d.cursors[zone] % size, count: count})
 	d.cursors[zone] += count
 }
 
@@ -265,12 +265,12 @@
 }
 
 func (g *GroupConnections) budgetOf(replica, zone, rank int) int {
-	share := &g.shares[replica]
-	if share.everyone > 0 {
-		return share.everyone
+	share := &g.allocations[replica]
+	if share.perDaemon > 0 {
+		return share.perDaemon
 	}
 	size := len(g.plan.zones[zone].daemons)
-	for _, w := range share.windows {
+	for _, w := range share.ranges {
 		if w.zone == zone && (rank-w.start+size)%size < w.count {
 			return 1
 		}
@@ -281,19 +281,19 @@
 // Holder returns one of the daemons that may connect to a replica, chosen by
 // a random number; found is false when there is none.
 func (g *GroupConnections) Holder(replica int, random uint64) (holder topology.Member, found bool) {
-	share := &g.shares[replica]
-	if share.everyone > 0 {
-		return g.plan.daemon(int(random % uint64(g.plan.daemons))), true
+	share := &g.allocations[replica]
+	if share.perDaemon > 0 {
+		return g.plan.daemonAt(int(random % uint64(g.plan.daemons))), true
 	}
 	holders := 0
-	for _, w := range share.windows {
+	for _, w := range share.ranges {
 		holders += w.count
 	}
 	if holders == 0 {
 		return topology.Member{}, false
 	}
 	position := int(random % uint64(holders))
-	for _, w := range share.windows {
+	for _, w := range share.ranges {
 		if position < w.count {
 			daemons := g.plan.zones[w.zone].daemons
 			return daemons[(w.start+position)%len(daemons)], true
@@ -303,8 +303,8 @@
 	return topology.Member{}, false
 }
 
-// daemon returns one of all daemons.
-func (p *ConnectionPlan) daemon(position int) topology.Member {
+// daemonAt returns one of all daemons.
+func (p *ConnectionPlan) daemonAt(position int) topology.Member {
 	for at := range p.zones {
 		if position < len(p.zones[at].daemons) {
 			return p.zones[at].daemons[position]
@@ -314,14 +314,14 @@
 	return p.self
 }
 
-// sameHolders tells whether another plan divides connections alike.
-func (p *ConnectionPlan) sameHolders(other *ConnectionPlan) bool {
+// sameDaemons tells whether another plan divides connections alike.
+func (p *ConnectionPlan) sameDaemons(other *ConnectionPlan) bool {
 	return slices.EqualFunc(p.zones, other.zones, func(a, b planZone) bool {
-		return a.place == b.place && slices.EqualFunc(a.daemons, b.daemons, sameHolder)
+		return a.place == b.place && slices.EqualFunc(a.daemons, b.daemons, sameDaemon)
 	})
 }
 
-// sameHolder also compares whether requests may be sent through the daemon.
-func sameHolder(a, b topology.Member) bool {
+// sameDaemon also compares whether requests may be sent through the daemon.
+func sameDaemon(a, b topology.Member) bool {
 	return a.ID == b.ID && (a.State == topology.MemberLeaving) == (b.State == topology.MemberLeaving)
 }
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -23,18 +23,18 @@
 
 // The constants of forwarding.
 const (
-	// peerRoutes is how many peers are known for a group whose replicas are
+	// maxPeerRoutes is how many peers are known for a group whose replicas are
 	// out of this daemon's reach, in whole or in part.
-	peerRoutes = 3
-	// holderTries is how often a holder is drawn that is not this daemon, a
+	maxPeerRoutes = 3
+	// maxHolderDraws is how often a holder is drawn that is not this daemon, a
 	// repetition, or on its way out.
-	holderTries = 4
-	// enoughInReach replicas of a group need no peer beside them.
-	enoughInReach = 4
+	maxHolderDraws = 4
+	// sufficientReplicas replicas of a group need no peer beside them.
+	sufficientReplicas = 4
 )
 
-// route names a handle that leads through a peer to the replicas of a group.
-type route struct {
+// routeKey names a handle that leads through a peer to the replicas of a group.
+type routeKey struct {
 	member, group string
 }
 
@@ -55,38 +55,38 @@
 // peerSlots bounds the requests of one group in flight through one peer.
 const peerSlots = 16
 
-// addRoutes gives a group handles through peers, where this daemon reaches few
+// addPeerRoutes gives a group handles through peers, where this daemon reaches few
 // of the group's replicas itself. The peers are holders of other replicas,
 // nearest first; daemons draw different ones.
-func (p *Pool) addRoutes(seen, next *view, built *group, shares *GroupConnections, listed []topology.Replica) {
-	if p.options.Peers == nil || len(built.handles) >= enoughInReach {
+func (p *Pool) addPeerRoutes(seen, next *view, built *group, shares *GroupConnections, listed []topology.Replica) {
+	if p.options.Peers == nil || len(built.handles) >= sufficientReplicas {
 		return
 	}
 	name := listed[0].Group
 	random := xxhash.Sum64String(shares.plan.self.ID + name)
 	var chosen []string
-	for _, at := range p.outOfReach(shares, listed, random) {
-		member, found := drawHolder(shares, at, random, chosen)
+	for _, at := range p.unreachableReplicas(shares, listed, random) {
+		member, found := pickHolder(shares, at, random, chosen)
 		if !found {
 			continue
 		}
 		chosen = append(chosen, member.ID)
-		key := route{member.ID, name}
+		key := routeKey{member.ID, name}
 		handle := seen.routes[key]
 		if handle == nil {
 			handle = newPeerHandle(p, built.state, member, name)
 		}
 		next.routes[key] = handle
 		built.routes = append(built.routes, handle)
-		if len(chosen) == peerRoutes {
+		if len(chosen) == maxPeerRoutes {
 			return
 		}
 	}
 }
 
-// outOfReach returns the replicas that this daemon must not connect to,
+// unreachableReplicas returns the replicas that this daemon must not connect to,
 // nearest first and within a distance from a random one on.
-func (p *Pool) outOfReach(shares *GroupConnections, listed []topology.Replica, random uint64) []int {
+func (p *Pool) unreachableReplicas(shares *GroupConnections, listed []topology.Replica, random uint64) []int {
 	found := make([]int, 0, len(listed))
 	first := int(random % uint64(len(listed)))
 	for i := range listed {
@@ -101,8 +101,8 @@
 	return found
 }
 
-func drawHolder(shares *GroupConnections, replica int, random uint64, chosen []string) (topology.Member, bool) {
-	for try := range uint64(holderTries) {
+func pickHolder(shares *GroupConnections, replica int, random uint64, chosen []string) (topology.Member, bool) {
+	for try := range uint64(maxHolderDraws) {
 		member, found := shares.Holder(replica, random>>(8*try))
 		usable := found && member.State <= topology.MemberSuspect && member.ID != shares.plan.self.ID
 		if usable && !slices.Contains(chosen, member.ID) {
@@ -127,7 +127,7 @@
 	if err := validateReply(request, &reply.Search); err != nil {
 		return SubrequestResult{Outcome: decision.Invalid, Err: err}
 	}
-	p.noteForwarded(reply.Address, reply.Search.Incarnation, reply.Search.Draining)
+	p.applyForwardedState(reply.Address, reply.Search.Incarnation, reply.Search.Draining)
 	return SubrequestResult{Outcome: decision.Success, Reply: &reply.Search}
 }
 
@@ -136,7 +136,7 @@
 func (p *Pool) forwardedRefusal(reply peer.ForwardReply) SubrequestResult {
 	refused := reply.Refusal
 	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
-	p.noteForwarded(reply.Address, refused.Incarnation, draining)
+	p.applyForwardedState(reply.Address, refused.Incarnation, draining)
 	return SubrequestResult{
 		Outcome:    refusalOutcome(refused.Reason),
 		NotRun:     true,
@@ -145,8 +145,8 @@
 	}
 }
 
-// noteForwarded takes in that a replica behind a peer is leaving.
-func (p *Pool) noteForwarded(address, incarnation string, draining bool) {
+// applyForwardedState takes in that a replica behind a peer is leaving.
+func (p *Pool) applyForwardedState(address, incarnation string, draining bool) {
 	if draining && incarnation != "" && p.options.Tracker != nil {
 		p.options.Tracker.MarkLeaving(address, incarnation)
 	}
--- a/internal/replica/forward_server.go
+++ b/internal/replica/forward_server.go
@@ -40,7 +40,7 @@
 func (s *ForwardServer) Forward(ctx context.Context, request peer.ForwardRequest) (peer.ForwardReply, error) {
 	s.begin()
 	defer s.end()
-	handle := s.pool.acquireInReach(request.Group, callWeights)
+	handle := s.pool.acquireDirect(request.Group, callWeights)
 	if handle == nil {
 		return peer.ForwardReply{}, failure.New(failure.NoReplica, "no replica of "+request.Group+" is in this peer's reach").WithNotRun(true)
 	}
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -179,9 +179,9 @@
 func (h *Health) observePlace(now time.Time, ended Observation) {
 	switch {
 	case ended.Outcome != decision.Failed:
-		h.place.answered()
+		h.place.recordAnswer()
 	case ended.Late, !ended.Canceled:
-		h.place.failed(now)
+		h.place.recordFailure(now)
 	}
 }
 
--- a/internal/replica/latency.go
+++ b/internal/replica/latency.go
@@ -15,8 +15,8 @@
 	// windowSamples is the number of samples after which the older half of
 	// the window is dropped.
 	windowSamples = 512
-	// leastSamples is the number below which a quantile is not known.
-	leastSamples = 20
+	// minSamples is the number below which a quantile is not known.
+	minSamples = 20
 	// cacheSamples is the number of samples between two computations.
 	cacheSamples = 32
 )
@@ -36,9 +36,9 @@
 }
 
 type cachedQuantile struct {
-	quantile float64
-	value    time.Duration
-	until    uint64
+	quantile   float64
+	value      time.Duration
+	validUntil uint64
 }
 
 func bucketOf(latency time.Duration) int {
@@ -51,8 +51,8 @@
 	return min(exponent*subBuckets+fraction, bucketCount-1)
 }
 
-// bucketEnd returns the upper edge of a bucket.
-func bucketEnd(bucket int) time.Duration {
+// bucketUpperBound returns the upper edge of a bucket.
+func bucketUpperBound(bucket int) time.Duration {
 	exponent, fraction := bucket/subBuckets, bucket%subBuckets
 	micros := float64(uint64(1)<<exponent) * (1 + float64(fraction+1)/subBuckets)
 	return time.Duration(micros * float64(time.Microsecond))
@@ -81,14 +81,14 @@
 // while there are too few samples.
 func (w *latencyWindow) Quantile(quantile float64) time.Duration {
 	total := w.total.Load()
-	if total < leastSamples {
+	if total < minSamples {
 		return 0
 	}
-	if cached := w.cached.Load(); cached != nil && cached.quantile == quantile && total < cached.until {
+	if cached := w.cached.Load(); cached != nil && cached.quantile == quantile && total < cached.validUntil {
 		return cached.value
 	}
 	value := w.compute(quantile)
-	w.cached.Store(&cachedQuantile{quantile: quantile, value: value, until: total + cacheSamples})
+	w.cached.Store(&cachedQuantile{quantile: quantile, value: value, validUntil: total + cacheSamples})
 	return value
 }
 
@@ -102,9 +102,9 @@
 	rank := uint32(quantile * float64(sum))
 	for i, count := range counts {
 		if count > rank {
-			return bucketEnd(i)
+			return bucketUpperBound(i)
 		}
 		rank -= count
 	}
-	return bucketEnd(bucketCount - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
--- a/internal/replica/loss_rate_test.go
+++ b/internal/replica/loss_rate_test.go
@@ -72,7 +72,7 @@
 				options.Now = func() time.Time { return now }
 			})
 			terms := allTerms()
-			for range 2 * leastSamples {
+			for range 2 * minSamples {
 				terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
 				terms.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
 			}
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -168,7 +168,7 @@
 	for _, handle := range made.pool.current().handles {
 		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // as after some answers
 	}
-	for range 2 * leastSamples {
+	for range 2 * minSamples {
 		made.terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
 		made.terms.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
 	}
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -27,13 +27,13 @@
 	suspectUntil atomic.Int64 // Unix nanoseconds
 }
 
-func (p *PlaceHealth) answered() {
+func (p *PlaceHealth) recordAnswer() {
 	if p != nil && p.failures.Load() != 0 {
 		p.failures.Store(0)
 	}
 }
 
-func (p *PlaceHealth) failed(now time.Time) {
+func (p *PlaceHealth) recordFailure(now time.Time) {
 	if p != nil && p.failures.Add(1) >= suspectAfter {
 		p.suspectUntil.Store(now.Add(suspectFor).UnixNano())
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -63,10 +63,10 @@
 
 // Pool holds a handle for each replica process that takes new work.
 type Pool struct {
-	options PoolOptions
-	metrics *poolMetrics
-	budgets RetryBudgets
-	places  PlaceHealthMap
+	options      PoolOptions
+	metrics      *poolMetrics
+	retryBudgets RetryBudgets
+	places       PlaceHealthMap
 
 	view       atomic.Pointer[view]
 	mutex      sync.Mutex // taken to rebuild the view
@@ -80,7 +80,7 @@
 	members  *topology.Members
 	groups   map[string]*group
 	handles  map[processID]*Handle
-	routes   map[route]*Handle
+	routes   map[routeKey]*Handle
 	plan     *ConnectionPlan
 	// probed are the replicas that this daemon probes, by address.
 	probed []*Handle
@@ -166,12 +166,12 @@
 	}
 	next := &view{
 		replicas: replicas, members: members, groups: map[string]*group{},
-		handles: map[processID]*Handle{}, routes: map[route]*Handle{}, plan: seen.plan,
+		handles: map[processID]*Handle{}, routes: map[routeKey]*Handle{}, plan: seen.plan,
 	}
 	if seen.members != members || seen.plan == nil {
-		next.plan = planOf(members)
+		next.plan = newPlan(members)
 	}
-	if seen.replicas == replicas && seen.plan != nil && next.plan.sameHolders(seen.plan) && next.sameSharingNodes(seen) {
+	if seen.replicas == replicas && seen.plan != nil && next.plan.sameDaemons(seen.plan) && next.sameSharingNodes(seen) {
 		next.groups, next.handles, next.routes, next.probed = seen.groups, seen.handles, seen.routes, seen.probed
 		p.view.Store(next)
 		return next
@@ -191,7 +191,7 @@
 	return next
 }
 
-func planOf(members *topology.Members) *ConnectionPlan {
+func newPlan(members *topology.Members) *ConnectionPlan {
 	if members == nil {
 		members = &topology.Members{}
 	}
@@ -203,7 +203,7 @@
 	if known := seen.groups[name]; known != nil {
 		built.state = known.state
 	}
-	usable := takingWork(listed)
+	usable := acceptingWork(listed)
 	shares := next.plan.AllocateGroup(name, usable)
 	for i, replica := range usable {
 		budget := shares.Budget(i)
@@ -229,7 +229,7 @@
 		}
 	}
 	if len(built.handles) < len(usable) {
-		p.addRoutes(seen, next, built, shares, usable)
+		p.addPeerRoutes(seen, next, built, shares, usable)
 	}
 	return built
 }
@@ -237,7 +237,7 @@
 // unlimitedConnections is used for a replica that states no limit.
 const unlimitedConnections = 1024
 
-func takingWork(listed []topology.Replica) []topology.Replica {
+func acceptingWork(listed []topology.Replica) []topology.Replica {
 	usable := make([]topology.Replica, 0, len(listed))
 	for _, replica := range listed {
 		if replica.State.TakesWork() {
@@ -269,7 +269,7 @@
 }
 
 // SharedRetryBudget returns the retry budget that all queries on the same terms share.
-func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.budgets.Of(retry) }
+func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.retryBudgets.Of(retry) }
 
 // PlanShard fills in what a shard is waited for, and its budget.
 func (p *Pool) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
@@ -284,7 +284,7 @@
 	if p.options.GroupRetryBudget != nil {
 		return p.options.GroupRetryBudget(group)
 	}
-	return p.budgets.Of(row.Retry)
+	return p.retryBudgets.Of(row.Retry)
 }
 
 // standby is true for a node to which callers are not led.
@@ -299,8 +299,8 @@
 	}
 }
 
-// usualGroup is the number of replicas for which Acquire needs no memory.
-const usualGroup = 8
+// inlineCandidates is the number of replicas for which Acquire needs no memory.
+const inlineCandidates = 8
 
 // Acquire chooses a replica of a group that was not tried yet and counts a
 // request in flight to it, until Search or Call ends it. Where no replica in
@@ -324,7 +324,7 @@
 	if len(found.routes) == 0 {
 		return p.acquireFrom(found.handles, weights, tried, anyHealth, choose)
 	}
-	for _, health := range []healthWanted{goodHealth, anyHealth} {
+	for _, health := range []healthFilter{healthyOnly, anyHealth} {
 		if handle := p.acquireFrom(found.handles, weights, tried, health, choose); handle != nil {
 			return handle
 		}
@@ -335,18 +335,18 @@
 	return nil
 }
 
-// healthWanted says which handles may be chosen.
-type healthWanted int
+// healthFilter says which handles may be chosen.
+type healthFilter int
 
 const (
-	anyHealth healthWanted = iota
-	// goodHealth leaves out the ejected, those that refuse for load, and those at
+	anyHealth healthFilter = iota
+	// healthyOnly leaves out the ejected, those that refuse for load, and those at
 	// their limit.
-	goodHealth
+	healthyOnly
 )
 
-// acquireInReach is Acquire without the ways through peers.
-func (p *Pool) acquireInReach(groupName string, weights policy.Replicas) *Handle {
+// acquireDirect is Acquire without the ways through peers.
+func (p *Pool) acquireDirect(groupName string, weights policy.Replicas) *Handle {
 	found := p.current().groups[groupName]
 	if found == nil {
 		return nil
@@ -354,12 +354,12 @@
 	return p.acquireFrom(found.handles, weights, nil, anyHealth, decision.ChooseReplica)
 }
 
-func (p *Pool) acquireFrom(handles []*Handle, weights policy.Replicas, tried []*Handle, health healthWanted, choose chooser) *Handle {
+func (p *Pool) acquireFrom(handles []*Handle, weights policy.Replicas, tried []*Handle, health healthFilter, choose chooser) *Handle {
 	now := p.options.Now()
 	return p.chooseFrom(handles, weights, tried, choose, now, func(handle *Handle) decision.Candidate {
 		candidate := handle.candidate(now)
 		unfit := candidate.Ejected || candidate.BackingOff || candidate.InFlight >= candidate.Limit
-		candidate.Tried = health == goodHealth && unfit
+		candidate.Tried = health == healthyOnly && unfit
 		return candidate
 	})
 }
@@ -367,7 +367,7 @@
 // chooseFrom describes some handles, chooses one that was not tried, and counts
 // a request in flight to it.
 func (p *Pool) chooseFrom(handles []*Handle, weights policy.Replicas, tried []*Handle, choose chooser, now time.Time, describe func(*Handle) decision.Candidate) *Handle {
-	var space [usualGroup]decision.Candidate
+	var space [inlineCandidates]decision.Candidate
 	candidates := space[:0]
 	for _, handle := range handles {
 		candidate := describe(handle)
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -133,13 +133,13 @@
 	case exchanged.err != nil, exchanged.status != http.StatusOK:
 		return ProbeFailed
 	default:
-		return p.read(handle, exchanged.body)
+		return p.classifyStatus(handle, exchanged.body)
 	}
 }
 
-// read believes a status only when it says that its process is draining: a
+// classifyStatus believes a status only when it says that its process is draining: a
 // process does not come back from that, whereas "serving" may be old or false.
-func (p *Prober) read(handle *Handle, body []byte) ProbeOutcome {
+func (p *Prober) classifyStatus(handle *Handle, body []byte) ProbeOutcome {
 	var status backendapi.Status
 	if json.Unmarshal(body, &status) != nil {
 		return ProbeInvalid
--- a/internal/replica/probe_schedule.go
+++ b/internal/replica/probe_schedule.go
@@ -15,11 +15,11 @@
 	// daemon. Two daemons probe it, and gossip needs about a second to the last
 	// of thousands of daemons.
 	probePeriod = time.Second
-	// probeSpread is the part of a period by which each varies, both ways.
-	probeSpread = 0.25
-	// mostProbesPerSecond bounds what a daemon spends on probes; with more
+	// probeJitter is the part of a period by which each varies, both ways.
+	probeJitter = 0.25
+	// maxProbesPerSecond bounds what a daemon spends on probes; with more
 	// replicas to probe than that, its period grows.
-	mostProbesPerSecond = 50
+	maxProbesPerSecond = 50
 )
 
 // probeSchedule says which replicas a daemon probes now. It has no clock of
@@ -37,7 +37,7 @@
 // due returns which of the replicas assigned to this daemon it probes now, and
 // sets the times of their next probes.
 func (s *probeSchedule) due(now time.Time, assigned []*Handle) []*Handle {
-	period := max(probePeriod, time.Duration(len(assigned))*time.Second/mostProbesPerSecond)
+	period := max(probePeriod, time.Duration(len(assigned))*time.Second/maxProbesPerSecond)
 	next := make(map[processID]time.Time, len(assigned))
 	var due []*Handle
 	for _, handle := range assigned {
@@ -47,7 +47,7 @@
 			at = now.Add(time.Duration(s.random.Float64() * float64(period)))
 		case !now.Before(at):
 			due = append(due, handle)
-			at = now.Add(s.wait(period))
+			at = now.Add(s.jitter(period))
 		}
 		next[handle.processID()] = at
 	}
@@ -55,8 +55,8 @@
 	return due
 }
 
-// wait is a period, varied so that daemons do not fall into step.
-func (s *probeSchedule) wait(period time.Duration) time.Duration {
-	varied := 1 + probeSpread*(2*s.random.Float64()-1)
+// jitter is a period, varied so that daemons do not fall into step.
+func (s *probeSchedule) jitter(period time.Duration) time.Duration {
+	varied := 1 + probeJitter*(2*s.random.Float64()-1)
 	return time.Duration(varied * float64(period))
 }
--- a/internal/replica/probers.go
+++ b/internal/replica/probers.go
@@ -20,18 +20,18 @@
 	zone, rank int // in the plan
 }
 
-// proberChoice keeps the best candidates that it was offered. Those of one
+// proberSelection keeps the best candidates that it was offered. Those of one
 // distance are offered before farther ones.
-type proberChoice struct {
+type proberSelection struct {
 	chosen []probeCandidate
-	nearer int // of the chosen, which candidates of this distance do not replace
+	fixed  int // of the chosen, which candidates of this distance do not replace
 }
 
-func (c *proberChoice) full() bool { return len(c.chosen) == probersPerReplica }
+func (c *proberSelection) full() bool { return len(c.chosen) == probersPerReplica }
 
-func (c *proberChoice) offer(candidate probeCandidate) {
+func (c *proberSelection) offer(candidate probeCandidate) {
 	at := len(c.chosen)
-	for at > c.nearer && candidate.weight > c.chosen[at-1].weight {
+	for at > c.fixed && candidate.weight > c.chosen[at-1].weight {
 		at--
 	}
 	if at == probersPerReplica || slices.Contains(c.chosen, candidate) {
@@ -53,28 +53,28 @@
 }
 
 func (g *GroupConnections) chooseProbers(replica int) []probeCandidate {
-	choice := proberChoice{chosen: make([]probeCandidate, 0, probersPerReplica)}
+	choice := proberSelection{chosen: make([]probeCandidate, 0, probersPerReplica)}
 	key := xxhash.Sum64String(g.replicas[replica].Address)
-	distances := g.plan.distancesTo(g.replicas[replica].Place)
-	holders := g.holders(replica)
+	distances := g.plan.zoneDistances(g.replicas[replica].Place)
+	holders := g.holderRanges(replica)
 	for distance := topology.SameZone; distance <= topology.OtherRegion && !choice.full(); distance++ {
-		choice.nearer = len(choice.chosen)
+		choice.fixed = len(choice.chosen)
 		for _, holder := range holders {
 			if distances[holder.zone] == distance {
-				g.plan.offerHolders(&choice, holder, key)
+				g.plan.offerRange(&choice, holder, key)
 			}
 		}
 	}
 	return choice.chosen
 }
 
-// offerHolders offers the daemons of a window that are not leaving.
-func (p *ConnectionPlan) offerHolders(choice *proberChoice, holder window, key uint64) {
+// offerRange offers the daemons of a window that are not leaving.
+func (p *ConnectionPlan) offerRange(choice *proberSelection, holder daemonRange, key uint64) {
 	zone := &p.zones[holder.zone]
 	for offset := range holder.count {
 		rank := (holder.start + offset) % len(zone.daemons)
 		if zone.daemons[rank].State < topology.MemberLeaving {
-			choice.offer(probeCandidate{weight: rendezvous(zone.hashes[rank], key), zone: holder.zone, rank: rank})
+			choice.offer(probeCandidate{weight: rendezvousWeight(zone.hashes[rank], key), zone: holder.zone, rank: rank})
 		}
 	}
 }
@@ -86,20 +86,20 @@
 	})
 }
 
-// holders returns the runs of daemons that may connect to a replica.
-func (g *GroupConnections) holders(replica int) []window {
-	if g.shares[replica].everyone == 0 {
-		return g.shares[replica].windows
+// holderRanges returns the runs of daemons that may connect to a replica.
+func (g *GroupConnections) holderRanges(replica int) []daemonRange {
+	if g.allocations[replica].perDaemon == 0 {
+		return g.allocations[replica].ranges
 	}
-	all := make([]window, len(g.plan.zones))
+	all := make([]daemonRange, len(g.plan.zones))
 	for zone := range g.plan.zones {
-		all[zone] = window{zone: zone, count: len(g.plan.zones[zone].daemons)}
+		all[zone] = daemonRange{zone: zone, count: len(g.plan.zones[zone].daemons)}
 	}
 	return all
 }
 
-// rendezvous hashes the hash of a daemon with that of a replica.
-func rendezvous(daemon, replica uint64) uint64 {
+// rendezvousWeight hashes the hash of a daemon with that of a replica.
+func rendezvousWeight(daemon, replica uint64) uint64 {
 	var joined [16]byte
 	binary.LittleEndian.PutUint64(joined[:8], daemon)
 	binary.LittleEndian.PutUint64(joined[8:], replica)
--- a/internal/replica/probers_test.go
+++ b/internal/replica/probers_test.go
@@ -118,7 +118,7 @@
 		most, total = max(most, share), total+share
 	}
 	t.Logf("%d daemons probe; %d replicas at most, %.1f on average", len(shares), most, float64(total)/2700)
-	if total != groups*54*probersPerReplica || most > mostProbesPerSecond {
+	if total != groups*54*probersPerReplica || most > maxProbesPerSecond {
 		t.Errorf("%d probes a period, %d of them by one daemon", total, most)
 	}
 }
@@ -138,8 +138,8 @@
 		longest  time.Duration // between two probes of a replica
 	}{
 		{"few replicas", 16, probePeriod * 5 / 4},
-		{"at the bound", mostProbesPerSecond, probePeriod * 5 / 4},
-		{"over the bound", 4 * mostProbesPerSecond, 5 * probePeriod},
+		{"at the bound", maxProbesPerSecond, probePeriod * 5 / 4},
+		{"over the bound", 4 * maxProbesPerSecond, 5 * probePeriod},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -156,7 +156,7 @@
 					probes++
 				}
 			}
-			if len(last) != test.replicas || probes > mostProbesPerSecond*int(length/time.Second) {
+			if len(last) != test.replicas || probes > maxProbesPerSecond*int(length/time.Second) {
 				t.Errorf("%d probes of %d replicas", probes, len(last))
 			}
 		})
