--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -67,11 +67,11 @@
 		return p.forwardCall(ctx, handle, request)
 	}
 	exchanged := p.post(ctx, handle, handle.urls.call, request)
-	defer exchanged.free()
+	defer exchanged.release()
 	return p.classifyCall(handle, request, &exchanged)
 }
 
-func (p *Pool) classifyCall(handle *Handle, request backendapi.CallRequest, exchanged *exchange) (backendapi.CallReply, *failure.Error) {
+func (p *Pool) classifyCall(handle *Handle, request backendapi.CallRequest, exchanged *exchangeResult) (backendapi.CallReply, *failure.Error) {
 	if exchanged.err != nil {
 		return backendapi.CallReply{}, callFailure(exchanged)
 	}
@@ -89,14 +89,14 @@
 	return reply, nil
 }
 
-func callFailure(exchanged *exchange) *failure.Error {
+func callFailure(exchanged *exchangeResult) *failure.Error {
 	if exchanged.notSent {
 		return failure.Wrap(exchanged.err, failure.BackendRefused, "no byte of the call was sent")
 	}
 	return failure.Wrap(exchanged.err, failure.OutcomeUnknown, "call the service")
 }
 
-func (p *Pool) callRefusal(handle *Handle, exchanged *exchange) *failure.Error {
+func (p *Pool) callRefusal(handle *Handle, exchanged *exchangeResult) *failure.Error {
 	refused := p.decodeRefusal(handle, exchanged)
 	if !refused.NotRun {
 		return failure.Wrap(refused.Err, failure.OutcomeUnknown, "call the service")
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -94,7 +94,7 @@
 	}
 	h.metrics.connections.Inc()
 	h.metrics.opened.Inc()
-	return &countedConnection{Conn: connection, closed: h.connectionClosed}, nil
+	return &trackedConnection{Conn: connection, closed: h.connectionClosed}, nil
 }
 
 func (h *Handle) connectionClosed() {
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -15,29 +15,29 @@
 	// ejectAfter failures in a row, a replica is ejected. One that has not
 	// answered since is ejected again after a single failure.
 	ejectAfter = 3
-	// ejectBase is the first ejection's length; each further one doubles it.
-	ejectBase = time.Second
-	// ejectDoublings bounds an ejection to 32 s.
-	ejectDoublings = 5
+	// baseEjection is the first ejection's length; each further one doubles it.
+	baseEjection = time.Second
+	// maxEjectionDoublings bounds an ejection to 32 s.
+	maxEjectionDoublings = 5
 	// latencyWeight is the weight of a new sample in the moving average.
 	latencyWeight = 0.2
-	// staleLatency is the age after which the average counts half, so that a
+	// latencyHalfLife is the age after which the average counts half, so that a
 	// replica that was slow is tried again.
-	staleLatency = 10 * time.Second
+	latencyHalfLife = 10 * time.Second
 	// warmRequests successes, or warmTime, make a cold replica warm.
 	warmRequests = 32
 	warmTime     = 10 * time.Second
 	// shedBackoff is how long a replica that refused for load is left alone
 	// when it names no time; each refusal in a row doubles the time, up to
 	// shedDoublings times.
-	shedBackoff   = 100 * time.Millisecond
-	shedDoublings = 5
+	shedBackoff      = 100 * time.Millisecond
+	maxShedDoublings = 5
 	// limitScale is the number of limit units in one request.
 	limitScale = 1000
-	// limitCut is the part of the limit that is kept after a shed reply.
-	limitCut = 0.8
-	// limitSlots bounds the limit as a multiple of the replica's slots.
-	limitSlots = 4
+	// limitDecrease is the part of the limit that is kept after a shed reply.
+	limitDecrease = 0.8
+	// maxLimitPerSlot bounds the limit as a multiple of the replica's slots.
+	maxLimitPerSlot = 4
 )
 
 // Health is what one daemon has seen of one back-end process: its own
@@ -51,22 +51,22 @@
 	created  time.Time
 	place    *PlaceHealth // nil means that the place is not watched
 
-	inFlight     atomic.Int64
-	reported     atomic.Int64
-	slots        atomic.Int64
-	latency      atomic.Int64 // moving average, nanoseconds
-	observed     atomic.Int64 // time of the last sample, nanoseconds after created
-	limit        atomic.Int64 // in units of 1/limitScale requests
-	successes    atomic.Int64
-	failures     atomic.Int64 // in a row
-	ejections    atomic.Int64 // in a row
-	ejectedUntil atomic.Int64 // nanoseconds after created
-	sheds        atomic.Int64 // in a row
-	shedUntil    atomic.Int64 // nanoseconds after created
+	inFlight       atomic.Int64
+	reportedLoad   atomic.Int64
+	slots          atomic.Int64
+	latency        atomic.Int64 // moving average, nanoseconds
+	latencyUpdated atomic.Int64 // time of the last sample, nanoseconds after created
+	limit          atomic.Int64 // in units of 1/limitScale requests
+	successes      atomic.Int64
+	failures       atomic.Int64 // in a row
+	ejections      atomic.Int64 // in a row
+	ejectedUntil   atomic.Int64 // nanoseconds after created
+	sheds          atomic.Int64 // in a row
+	shedUntil      atomic.Int64 // nanoseconds after created
 
-	speed   speed
-	silence silence
-	losses  losses
+	slowdown slowdown
+	silence  silenceTimer
+	lossRate lossRate
 }
 
 // NewHealth returns the health of a process that was first listed now, as a
@@ -105,7 +105,7 @@
 		Distance:            h.distance,
 		InFlight:            int(h.inFlight.Load()),
 		Limit:               max(1, int(h.limit.Load()/limitScale)),
-		ReportedLoad:        int(h.reported.Load()),
+		ReportedLoad:        int(h.reportedLoad.Load()),
 		Slots:               int(h.slots.Load()),
 		LatencyEWMA:         h.currentLatency(age),
 		Warmth:              h.warmth(age),
@@ -116,7 +116,7 @@
 }
 
 func (h *Health) currentLatency(age time.Duration) time.Duration {
-	halvings := (int64(age) - h.observed.Load()) / int64(staleLatency)
+	halvings := (int64(age) - h.latencyUpdated.Load()) / int64(latencyHalfLife)
 	return time.Duration(h.latency.Load() >> min(max(halvings, 0), 62))
 }
 
@@ -131,7 +131,7 @@
 
 // ObserveLoad takes in the load that a reply reports.
 func (h *Health) ObserveLoad(load backendapi.Load) {
-	h.reported.Store(int64(max(0, load.InFlight+load.Queued)))
+	h.reportedLoad.Store(int64(max(0, load.InFlight+load.Queued)))
 	if load.Slots > 0 {
 		h.slots.Store(int64(load.Slots))
 	}
@@ -158,20 +158,20 @@
 	h.observePlace(now, ended)
 	switch {
 	case ended.Outcome == decision.Success:
-		h.losses.answered(now.Sub(h.created))
-		h.succeeded(now, ended.Elapsed)
+		h.lossRate.recordAnswer(now.Sub(h.created))
+		h.recordSuccess(now, ended.Elapsed)
 	case ended.Outcome == decision.Shed:
-		h.losses.lost(now.Sub(h.created))
-		h.refused(now, ended.RetryAfter)
+		h.lossRate.recordLoss(now.Sub(h.created))
+		h.recordShed(now, ended.RetryAfter)
 	case ended.Outcome == decision.Invalid:
-		h.losses.lost(now.Sub(h.created))
-		return h.failed(now)
+		h.lossRate.recordLoss(now.Sub(h.created))
+		return h.recordFailure(now)
 	case ended.Outcome == decision.Failed && ended.Canceled:
-		h.givenUp(now, ended.Elapsed)
-		return ended.Late && h.failed(now)
+		h.recordCanceled(now, ended.Elapsed)
+		return ended.Late && h.recordFailure(now)
 	case ended.Outcome == decision.Failed:
-		h.losses.lost(now.Sub(h.created))
-		return h.failed(now)
+		h.lossRate.recordLoss(now.Sub(h.created))
+		return h.recordFailure(now)
 	}
 	return false
 }
@@ -193,80 +193,80 @@
 		average += int64(latencyWeight * float64(int64(latency)-average))
 	}
 	h.latency.Store(average)
-	h.observed.Store(int64(now.Sub(h.created)))
+	h.latencyUpdated.Store(int64(now.Sub(h.created)))
 }
 
-func (h *Health) succeeded(now time.Time, latency time.Duration) {
+func (h *Health) recordSuccess(now time.Time, latency time.Duration) {
 	h.observeLatency(now, latency)
 	h.successes.Add(1)
 	h.failures.Store(0)
 	h.ejections.Store(0)
 	h.sheds.Store(0)
-	h.raiseLimit()
+	h.increaseLimit()
 }
 
-// givenUp takes the time that was waited as a lower bound of the latency, at
+// recordCanceled takes the time that was waited as a lower bound of the latency, at
 // full weight; without it, a slow replica that always loses to a hedge would
 // look fast.
-func (h *Health) givenUp(now time.Time, waited time.Duration) {
+func (h *Health) recordCanceled(now time.Time, waited time.Duration) {
 	if int64(waited) > h.latency.Load() {
 		h.latency.Store(int64(waited))
-		h.observed.Store(int64(now.Sub(h.created)))
+		h.latencyUpdated.Store(int64(now.Sub(h.created)))
 	}
 }
 
-// raiseLimit adds a request to the limit for each limit of successes, while
+// increaseLimit adds a request to the limit for each limit of successes, while
 // the limit is in use.
-func (h *Health) raiseLimit() {
+func (h *Health) increaseLimit() {
 	limit := h.limit.Load()
 	if 2*h.inFlight.Load()*limitScale < limit {
 		return
 	}
-	most := limitSlots * h.slots.Load() * limitScale
+	most := maxLimitPerSlot * h.slots.Load() * limitScale
 	h.limit.Store(min(limit+limitScale*limitScale/limit, most))
 }
 
-// startSlowly begins with one request at a time: the limit grows by one with each
+// slowStart begins with one request at a time: the limit grows by one with each
 // round of answers, and a replica that has just started is cold. After a restart
 // of all nodes every waiting caller comes at once, each node knows only those
 // that have recorded themselves before it, and the replicas still count the
 // connections of before.
-func (h *Health) startSlowly() { h.limit.Store(limitScale) }
+func (h *Health) slowStart() { h.limit.Store(limitScale) }
 
-// refused leaves the replica alone for a while; it is no failure.
-func (h *Health) refused(now time.Time, retryAfter time.Duration) {
-	h.cutLimit()
+// recordShed leaves the replica alone for a while; it is no failure.
+func (h *Health) recordShed(now time.Time, retryAfter time.Duration) {
+	h.decreaseLimit()
 	age := now.Sub(h.created)
-	doublings := min(h.sheds.Add(1)-1, shedDoublings)
+	doublings := min(h.sheds.Add(1)-1, maxShedDoublings)
 	if retryAfter <= 0 {
-		h.shedUntil.Store(int64(age + max(shedBackoff<<doublings, h.losses.pause(age))))
+		h.shedUntil.Store(int64(age + max(shedBackoff<<doublings, h.lossRate.backoff(age))))
 		return
 	}
 	h.shedUntil.Store(int64(age + retryAfter<<doublings))
 }
 
-func (h *Health) cutLimit() {
-	h.limit.Store(max(limitScale, int64(limitCut*float64(h.limit.Load()))))
+func (h *Health) decreaseLimit() {
+	h.limit.Store(max(limitScale, int64(limitDecrease*float64(h.limit.Load()))))
 }
 
 // ShortenEjection shortens an ejection to the first length. It is called when all
 // replicas of a group are ejected: that says nothing against any of them, and
 // after an outage they should be used again soon.
 func (h *Health) ShortenEjection(now time.Time) {
-	soon := int64(now.Sub(h.created) + ejectBase)
+	soon := int64(now.Sub(h.created) + baseEjection)
 	if until := h.ejectedUntil.Load(); until > soon {
 		h.ejectedUntil.CompareAndSwap(until, soon)
 		h.ejections.Store(1)
 	}
 }
 
-func (h *Health) failed(now time.Time) (ejected bool) {
+func (h *Health) recordFailure(now time.Time) (ejected bool) {
 	if h.failures.Add(1) < ejectAfter && h.ejections.Load() == 0 {
 		return false
 	}
 	h.failures.Store(0)
-	doublings := min(h.ejections.Add(1)-1, ejectDoublings)
-	length := time.Duration(float64(ejectBase) * math.Exp2(float64(doublings)))
+	doublings := min(h.ejections.Add(1)-1, maxEjectionDoublings)
+	length := time.Duration(float64(baseEjection) * math.Exp2(float64(doublings)))
 	h.ejectedUntil.Store(int64(now.Add(length).Sub(h.created)))
 	return true
 }
--- a/internal/replica/health_test.go
+++ b/internal/replica/health_test.go
@@ -29,7 +29,7 @@
 		{"a silent replica is ejected", []Observation{endedLate, endedLate, endedLate}, 0, seen{ejected: true}},
 		{"requests given up early prove nothing", []Observation{endedSoon, endedSoon, endedSoon, endedSoon}, 0, seen{}},
 		{"refusals never eject", []Observation{endedShed, endedShed, endedShed, endedShed}, 0, seen{backingOff: true}},
-		{"ejection ends", []Observation{endedBadly, endedBadly, endedBadly}, ejectBase, seen{}},
+		{"ejection ends", []Observation{endedBadly, endedBadly, endedBadly}, baseEjection, seen{}},
 		{"refusal ends at the time named", []Observation{endedShed}, 100 * time.Millisecond, seen{}},
 		{"refusals in a row double the time", []Observation{endedShed, endedShed}, 190 * time.Millisecond, seen{backingOff: true}},
 		{"an answer ends the doubling", []Observation{endedShed, endedWell, endedShed}, 100 * time.Millisecond, seen{}},
@@ -56,11 +56,11 @@
 	for range ejectAfter {
 		health.Observe(now, endedBadly)
 	}
-	now = now.Add(ejectBase)
+	now = now.Add(baseEjection)
 	if !health.Observe(now, endedBadly) {
 		t.Error("a replica that has not answered since was not ejected again")
 	}
-	if !health.Candidate(now.Add(2*ejectBase - 1)).Ejected {
+	if !health.Candidate(now.Add(2*baseEjection - 1)).Ejected {
 		t.Error("the second ejection is not twice as long")
 	}
 }
@@ -71,16 +71,16 @@
 	for range ejectAfter {
 		health.Observe(now, endedBadly)
 	}
-	for length := ejectBase; length <= 4*ejectBase; length *= 2 {
+	for length := baseEjection; length <= 4*baseEjection; length *= 2 {
 		now = now.Add(length)
 		health.Observe(now, endedBadly)
 	}
-	if !health.Candidate(now.Add(8*ejectBase - 1)).Ejected {
+	if !health.Candidate(now.Add(8*baseEjection - 1)).Ejected {
 		t.Fatal("the fourth ejection is not eight times as long as the first")
 	}
 	health.Observe(now, endedBadly) // as the last resort of its group
 	health.ShortenEjection(now)
-	if !health.Candidate(now.Add(ejectBase-1)).Ejected || health.Candidate(now.Add(ejectBase)).Ejected {
+	if !health.Candidate(now.Add(baseEjection-1)).Ejected || health.Candidate(now.Add(baseEjection)).Ejected {
 		t.Error("want the ejection to end after its first length")
 	}
 }
@@ -93,7 +93,7 @@
 	if got := health.Candidate(now).LatencyEWMA; got != endedLate.Elapsed {
 		t.Errorf("latency %v after waiting %v in vain", got, endedLate.Elapsed)
 	}
-	if got := health.Candidate(now.Add(staleLatency)).LatencyEWMA; got != endedLate.Elapsed/2 {
+	if got := health.Candidate(now.Add(latencyHalfLife)).LatencyEWMA; got != endedLate.Elapsed/2 {
 		t.Errorf("latency %v after it went stale, want half", got)
 	}
 }
--- a/internal/replica/loss_rate_test.go
+++ b/internal/replica/loss_rate_test.go
@@ -20,8 +20,8 @@
 		want  bool
 	}{
 		{"one rejection is a short pause", []Observation{unnamed}, shedBackoff, false},
-		{"two of three are a long one", []Observation{unnamed, endedWell, unnamed}, lossPause - time.Millisecond, true},
-		{"which ends", []Observation{unnamed, endedWell, unnamed}, lossPause, false},
+		{"two of three are a long one", []Observation{unnamed, endedWell, unnamed}, lossBackoff - time.Millisecond, true},
+		{"which ends", []Observation{unnamed, endedWell, unnamed}, lossBackoff, false},
 		{"a named time counts as it is", []Observation{endedShed, endedWell, endedShed}, endedShed.RetryAfter, false},
 	}
 	for _, test := range cases {
@@ -40,11 +40,11 @@
 }
 
 func TestTheShareOfLossesFades(t *testing.T) {
-	var share losses
+	var share lossRate
 	for range 20 {
-		share.lost(time.Second)
+		share.recordLoss(time.Second)
 	}
-	if got := share.kept(time.Second); got != leastKept {
+	if got := share.successRate(time.Second); got != minSuccessRate {
 		t.Errorf("expected to answer %.2f though it loses everything", got)
 	}
 	half := 1 - share.current(time.Second+lossHalfLife)
@@ -52,9 +52,9 @@
 		t.Errorf("expected to answer %.2f after the half-life", half)
 	}
 	for range 100 {
-		share.answered(time.Second + lossHalfLife)
+		share.recordAnswer(time.Second + lossHalfLife)
 	}
-	if got := share.kept(time.Second + lossHalfLife); got < 0.99 {
+	if got := share.successRate(time.Second + lossHalfLife); got < 0.99 {
 		t.Errorf("expected to answer %.2f though it answers everything", got)
 	}
 }
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -114,12 +114,12 @@
 	candidate := h.candidate(now)
 	age := now.Sub(h.created)
 	usual := terms.Baseline.Median(h.distance)
-	candidate.LatencyEWMA = time.Duration(h.speed.slowness(age) / h.losses.kept(age) * float64(usual))
+	candidate.LatencyEWMA = time.Duration(h.slowdown.factor(age) / h.lossRate.successRate(age) * float64(usual))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
 	candidate.Barred = !h.mayTake(terms, now)
 	candidate.Warmth = 1 // the replica's own speed tells whether it is slow
 	candidate.Ejected = candidate.Ejected || h.vanished.Load()
-	candidate.Silent = h.silence.lasts(age, h.inFlight.Load()) > terms.lateAfter(h)
+	candidate.Silent = h.silence.duration(age, h.inFlight.Load()) > terms.lateAfter(h)
 	return candidate
 }
 
@@ -130,7 +130,9 @@
 	return terms.allowsRegion(h) && h.coldLimiter.hasCapacity(now) && !h.addressReused.Load()
 }
 
-func (h *Handle) recordSent(now time.Time) { h.silence.began(now.Sub(h.created), h.inFlight.Load()) }
+func (h *Handle) recordSent(now time.Time) {
+	h.silence.requestSent(now.Sub(h.created), h.inFlight.Load())
+}
 
 // Forward sends a message to an acquired replica, once, and releases it. A part
 // of a scattered query must be a success.
@@ -203,11 +205,11 @@
 	age := now.Sub(handle.created)
 	givenUp := ctx.Err() != nil
 	if !givenUp && !result.Outcome.NotSent() {
-		handle.silence.heard(age)
+		handle.silence.replyReceived(age)
 	}
 	late := elapsed > terms.lateAfter(handle)
 	if usual := terms.Baseline.Median(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
-		handle.speed.observe(age, usual, float64(elapsed)/float64(usual))
+		handle.slowdown.observe(age, usual, float64(elapsed)/float64(usual))
 	}
 	if result.Outcome == decision.Success {
 		terms.Baseline.record(handle.distance, elapsed)
@@ -220,7 +222,7 @@
 		ended.Outcome = decision.Failed // it may be a fault of the replica, and others may have none
 	}
 	if errors.Is(result.Err, syscall.ECONNRESET) {
-		handle.cutLimit() // a replica that is full resets connections
+		handle.decreaseLimit() // a replica that is full resets connections
 	}
 	if handle.Health.Observe(now, ended) {
 		p.metrics.ejections.Inc()
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -225,7 +225,7 @@
 func TestASlowReplicaIsLeftAndTriedAgain(t *testing.T) {
 	v := newVirtual(t)
 	var near *Handle
-	for range speedSamples {
+	for range slowdownSamples {
 		near = v.pool.current().handles[processID{"near:1", "1"}]
 		near.Begin()
 		v.end(near, decision.Success, 140*time.Millisecond, false)
@@ -233,7 +233,7 @@
 	if got := v.acquire(t); got == near {
 		t.Error("chose the slow replica")
 	}
-	v.now = v.now.Add(6 * speedHalfLife)
+	v.now = v.now.Add(6 * slowdownHalfLife)
 	if got := v.acquire(t); got != near {
 		t.Error("the replica that was slow is not tried again")
 	}
@@ -270,7 +270,7 @@
 func TestANewReplicaStartsWithOneRequest(t *testing.T) {
 	v := newVirtual(t)
 	near := v.pool.current().handles[processID{"near:1", "1"}]
-	near.startSlowly()
+	near.slowStart()
 	for _, want := range []int{1, 2, 3} {
 		for held := range want {
 			if got := v.acquire(t); got != near {
@@ -303,7 +303,7 @@
 		}
 		taken++
 	}
-	if taken == 0 || taken > 2*limitSlots*4 {
+	if taken == 0 || taken > 2*maxLimitPerSlot*4 {
 		t.Errorf("%d requests were let through", taken)
 	}
 	if unknown := v.pool.AcquireForMessage("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -111,7 +111,7 @@
 		options.MaxReplyBytes = defaultMaxReplyBytes
 	}
 	if options.Dial == nil {
-		options.Dial = plainDial
+		options.Dial = dialTCP
 	}
 	if options.Now == nil {
 		options.Now = time.Now
@@ -215,7 +215,7 @@
 		if handle == nil {
 			handle = newHandle(p, built.state, replica)
 			if p.options.Codec != nil {
-				handle.startSlowly()
+				handle.slowStart()
 			}
 		}
 		handle.setBudget(budget)
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -273,7 +273,7 @@
 	backend := newBackend(t, changed(func(r *backendapi.SearchReply) { r.Draining = true }))
 	board := &blackboard.Board{}
 	tracker := NewTracker(TrackerOptions{Lister: &fakeLister{}, Board: board})
-	tracker.accept([]topology.Replica{{Address: backend.address(), Incarnation: "1", Group: testGroup, Slots: 1, ConnectionLimit: 9}})
+	tracker.applyList([]topology.Replica{{Address: backend.address(), Incarnation: "1", Group: testGroup, Slots: 1, ConnectionLimit: 9}})
 	pool := newTestPool(t, board, func(options *PoolOptions) { options.Tracker = tracker })
 	result := pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	if result.Outcome != decision.Success {
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -126,9 +126,9 @@
 	handle.Begin()
 	defer handle.release()
 	exchanged := p.options.Pool.getStatus(ctx, handle)
-	defer exchanged.free()
+	defer exchanged.release()
 	switch {
-	case overConnectionBudget(exchanged.err):
+	case exceedsConnectionBudget(exchanged.err):
 		return ProbeBusy
 	case exchanged.err != nil, exchanged.status != http.StatusOK:
 		return ProbeFailed
@@ -165,11 +165,11 @@
 var statusHeader = http.Header{"User-Agent": {""}}
 
 // getStatus asks for a replica's status over the pool's connections to it.
-func (p *Pool) getStatus(ctx context.Context, handle *Handle) exchange {
+func (p *Pool) getStatus(ctx context.Context, handle *Handle) exchangeResult {
 	target := handle.urls.status
 	if p.options.Post != nil {
 		came := p.options.Post(ctx, target.Host, target.Path, nil)
-		return exchange{status: came.Status, body: came.Body, err: came.Err}
+		return exchangeResult{status: came.Status, body: came.Body, err: came.Err}
 	}
 	request := (&http.Request{
 		Method: http.MethodGet, URL: target, Host: target.Host, Header: statusHeader,
@@ -177,7 +177,7 @@
 	}).WithContext(ctx)
 	response, err := handle.transport.RoundTrip(request)
 	if err != nil {
-		return exchange{err: err}
+		return exchangeResult{err: err}
 	}
 	return readBody(response, maxStatusBytes)
 }
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -132,7 +132,7 @@
 	prober, handle, _ := newTestProber(t, backend.address(), prometheus.NewRegistry(), func(options *PoolOptions) {
 		options.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
-			return plainDial(ctx, network, address)
+			return dialTCP(ctx, network, address)
 		}
 	})
 	for range 3 {
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -46,13 +46,13 @@
 		return p.forwardSearch(ctx, handle, request)
 	}
 	exchanged := p.post(ctx, handle, handle.urls.search, request)
-	defer exchanged.free()
+	defer exchanged.release()
 	return p.classifySearch(handle, request, &exchanged)
 }
 
-func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, exchanged *exchange) SubrequestResult {
+func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, exchanged *exchangeResult) SubrequestResult {
 	switch {
-	case overConnectionBudget(exchanged.err):
+	case exceedsConnectionBudget(exchanged.err):
 		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: exchanged.err}
 	case exchanged.err != nil:
 		return SubrequestResult{Outcome: decision.Failed, NotRun: exchanged.notSent, Err: exchanged.err}
@@ -98,7 +98,7 @@
 
 // parseRefusal returns the parseRefusal in an exchange, or nil if it is not one: only a
 // decoded body that says so proves that the request did not run.
-func parseRefusal(exchanged *exchange) *backendapi.Refusal {
+func parseRefusal(exchanged *exchangeResult) *backendapi.Refusal {
 	switch exchanged.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGone:
 	default:
@@ -111,7 +111,7 @@
 	return refused
 }
 
-func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchange) SubrequestResult {
+func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchangeResult) SubrequestResult {
 	refused := parseRefusal(exchanged)
 	if refused == nil {
 		return SubrequestResult{Outcome: decision.Failed, Err: eris.Errorf("status %d", exchanged.status)}
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -10,26 +10,26 @@
 
 // The constants of a replica's speed.
 const (
-	// speedSamples is the number of latest samples of which the median counts:
+	// slowdownSamples is the number of latest samples of which the median counts:
 	// a single long request, or a pause, does not make a replica slow.
-	speedSamples = 3
-	// speedHalfLife is the time in which what is known of a replica that is
+	slowdownSamples = 3
+	// slowdownHalfLife is the time in which what is known of a replica that is
 	// not asked fades by half, so that it is tried again.
-	speedHalfLife = 2 * time.Second
+	slowdownHalfLife = 2 * time.Second
 	// lateRatio is how many times its usual time an answer takes when it is
 	// late.
 	lateRatio = 2
 )
 
-// speed is how many times longer than usual a replica takes: 1 is the usual
+// slowdown is how many times longer than usual a replica takes: 1 is the usual
 // time of its group's replicas at the same distance, for the same kind of
-// request. Its zero value is that of a replica of usual speed. It is safe for
+// request. Its zero value is that of a replica of usual slowdown. It is safe for
 // concurrent use.
-type speed struct {
+type slowdown struct {
 	mutex    sync.Mutex
-	samples  [speedSamples]float64 // excess over the usual time
+	samples  [slowdownSamples]float64 // excess over the usual time
 	next     int
-	observed time.Duration // time of the last sample, after the replica was listed
+	updated  time.Duration // time of the last sample, after the replica was listed
 	lateAt   time.Duration // time of the last late sample that counted
 	median   atomic.Uint64 // bits of the median excess
 	medianAt atomic.Int64  // observed, for readers without the mutex
@@ -37,7 +37,7 @@
 
 // observe takes in a request that took so many times its usual time. Requests
 // that were held up together end together, and count as one.
-func (s *speed) observe(age, usual time.Duration, slowness float64) {
+func (s *slowdown) observe(age, usual time.Duration, slowness float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slowness >= lateRatio {
@@ -46,65 +46,65 @@
 		}
 		s.lateAt = age
 	}
-	s.fade(age)
+	s.decay(age)
 	s.samples[s.next] = slowness - 1
-	s.next = (s.next + 1) % speedSamples
-	s.observed = age
+	s.next = (s.next + 1) % slowdownSamples
+	s.updated = age
 	sorted := s.samples
 	slices.Sort(sorted[:])
-	s.median.Store(math.Float64bits(sorted[speedSamples/2]))
+	s.median.Store(math.Float64bits(sorted[slowdownSamples/2]))
 	s.medianAt.Store(int64(age))
 }
 
-// fade lets the samples fade by the time since the last one.
-func (s *speed) fade(age time.Duration) {
-	left := fading(age - s.observed)
+// decay lets the samples decay by the time since the last one.
+func (s *slowdown) decay(age time.Duration) {
+	left := slowdownDecay(age - s.updated)
 	for i := range s.samples {
 		s.samples[i] *= left
 	}
 }
 
-func fading(since time.Duration) float64 { return fadingBy(since, speedHalfLife) }
+func slowdownDecay(since time.Duration) float64 { return decayFactor(since, slowdownHalfLife) }
 
-// fadingBy is what is left of a value that fades by half in a time.
-func fadingBy(since, halfLife time.Duration) float64 {
+// decayFactor is what is left of a value that fades by half in a time.
+func decayFactor(since, halfLife time.Duration) float64 {
 	return math.Exp2(-max(0, float64(since)/float64(halfLife)))
 }
 
-// leastExcess is the excess from which on a replica counts as slow. Requests
+// minExcess is the excess from which on a replica counts as slow. Requests
 // differ among themselves by less than that, and a farther replica must not be
 // preferred for it.
-const leastExcess = 0.5
+const minExcess = 0.5
 
-// slowness returns how many times longer than usual a request is expected to
+// factor returns how many times longer than usual a request is expected to
 // take: 1, or more for a slow replica.
-func (s *speed) slowness(age time.Duration) float64 {
-	excess := math.Float64frombits(s.median.Load()) * fading(age-time.Duration(s.medianAt.Load()))
-	if excess < leastExcess {
+func (s *slowdown) factor(age time.Duration) float64 {
+	excess := math.Float64frombits(s.median.Load()) * slowdownDecay(age-time.Duration(s.medianAt.Load()))
+	if excess < minExcess {
 		return 1
 	}
 	return 1 + excess
 }
 
-// silence notices a replica that holds requests and answers none. Its zero
+// silenceTimer notices a replica that holds requests and answers none. Its zero
 // value is ready, and it is safe for concurrent use.
-type silence struct {
+type silenceTimer struct {
 	// since is when the replica was heard last, or began to hold requests.
 	since atomic.Int64
 }
 
-// began notes that a request was sent; held is the number held with it.
-func (s *silence) began(age time.Duration, held int64) {
+// requestSent notes that a request was sent; held is the number held with it.
+func (s *silenceTimer) requestSent(age time.Duration, held int64) {
 	if held <= 1 {
 		s.since.Store(int64(age))
 	}
 }
 
-// heard notes an answer.
-func (s *silence) heard(age time.Duration) { s.since.Store(int64(age)) }
+// replyReceived notes an answer.
+func (s *silenceTimer) replyReceived(age time.Duration) { s.since.Store(int64(age)) }
 
-// lasts returns how long a replica that holds requests has been silent.
-func (s *silence) lasts(age time.Duration, held int64) time.Duration {
+// duration returns how long a replica that holds requests has been silent.
+func (s *silenceTimer) duration(age time.Duration, held int64) time.Duration {
 	if held == 0 {
 		return 0
 	}
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -30,11 +30,11 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			var observed speed
+			var observed slowdown
 			for _, one := range test.samples {
 				observed.observe(one.at, usualTime, one.slowness)
 			}
-			if got := observed.slowness(test.at); got < test.least || got > test.most {
+			if got := observed.factor(test.at); got < test.least || got > test.most {
 				t.Errorf("slowness %.2f, want from %.2f to %.2f", got, test.least, test.most)
 			}
 		})
@@ -42,22 +42,22 @@
 }
 
 func TestSilence(t *testing.T) {
-	var noticed silence
+	var noticed silenceTimer
 	ms := time.Millisecond
-	if got := noticed.lasts(50*ms, 0); got != 0 {
+	if got := noticed.duration(50*ms, 0); got != 0 {
 		t.Errorf("a replica that holds nothing is silent for %v", got)
 	}
-	noticed.began(100*ms, 1)
-	noticed.began(120*ms, 2) // does not hide how long the first has waited
-	if got := noticed.lasts(150*ms, 2); got != 50*ms {
+	noticed.requestSent(100*ms, 1)
+	noticed.requestSent(120*ms, 2) // does not hide how long the first has waited
+	if got := noticed.duration(150*ms, 2); got != 50*ms {
 		t.Errorf("silent for %v, want 50ms", got)
 	}
-	noticed.heard(150 * ms)
-	if got := noticed.lasts(160*ms, 1); got != 10*ms {
+	noticed.replyReceived(150 * ms)
+	if got := noticed.duration(160*ms, 1); got != 10*ms {
 		t.Errorf("silent for %v after an answer, want 10ms", got)
 	}
-	noticed.began(500*ms, 1) // idle before
-	if got := noticed.lasts(505*ms, 1); got != 5*ms {
+	noticed.requestSent(500*ms, 1) // idle before
+	if got := noticed.duration(505*ms, 1); got != 5*ms {
 		t.Errorf("silent for %v, want 5ms", got)
 	}
 }
--- a/internal/replica/tracker.go
+++ b/internal/replica/tracker.go
@@ -40,13 +40,13 @@
 	options TrackerOptions
 	metrics trackerMetrics
 
-	mutex     sync.Mutex
-	listed    []topology.Replica
-	firstSeen map[processID]time.Time
-	marks     leavingSet
-	notify    []func(address, incarnation string)
-	reachable bool
-	readings  int
+	mutex         sync.Mutex
+	listed        []topology.Replica
+	firstSeen     map[processID]time.Time
+	leaving       leavingSet
+	listeners     []func(address, incarnation string)
+	listReachable bool
+	listReads     int
 }
 
 // NewTracker makes a Tracker; Run starts it.
@@ -64,11 +64,11 @@
 		options.Now = time.Now
 	}
 	return &Tracker{
-		options:   options,
-		metrics:   newTrackerMetrics(options.Registerer),
-		firstSeen: make(map[processID]time.Time),
-		marks:     newLeavingSet(),
-		reachable: true,
+		options:       options,
+		metrics:       newTrackerMetrics(options.Registerer),
+		firstSeen:     make(map[processID]time.Time),
+		leaving:       newLeavingSet(),
+		listReachable: true,
 	}
 }
 
@@ -77,7 +77,7 @@
 func (t *Tracker) OnLeaving(notify func(address, incarnation string)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.notify = append(t.notify, notify)
+	t.listeners = append(t.listeners, notify)
 }
 
 // Run reads the list at once and then at each interval, until ctx ends.
@@ -102,18 +102,18 @@
 	list, err := t.options.Lister.List(ctx)
 	if err != nil {
 		t.metrics.listFailures.Inc()
-		t.noteReachable(false, err)
+		t.setListReachable(false, err)
 		t.republish()
 		return
 	}
-	t.noteReachable(true, nil)
-	t.accept(list.Replicas)
+	t.setListReachable(true, nil)
+	t.applyList(list.Replicas)
 }
 
-func (t *Tracker) noteReachable(reachable bool, cause error) {
+func (t *Tracker) setListReachable(reachable bool, cause error) {
 	t.mutex.Lock()
-	changed := t.reachable != reachable
-	t.reachable = reachable
+	changed := t.listReachable != reachable
+	t.listReachable = reachable
 	t.mutex.Unlock()
 	if !changed {
 		return
@@ -125,47 +125,47 @@
 	t.options.Logger.Warn("machine list unreachable; keeping the last reading", "error", cause.Error())
 }
 
-func (t *Tracker) accept(replicas []topology.Replica) {
+func (t *Tracker) applyList(replicas []topology.Replica) {
 	now := t.options.Now()
 	t.mutex.Lock()
 	if len(replicas) > 0 {
 		t.listed = slices.Clone(replicas)
 	}
-	t.readings++
-	fresh := t.absorb(now)
+	t.listReads++
+	fresh := t.updateSeen(now)
 	t.publish(now)
 	t.mutex.Unlock()
-	t.tell(fresh)
+	t.notifyLeaving(fresh)
 }
 
-// absorb notes first sights and takes the list's own leaving marks.
-func (t *Tracker) absorb(now time.Time) []processID {
+// updateSeen notes first sights and takes the list's own leaving marks.
+func (t *Tracker) updateSeen(now time.Time) []processID {
 	var fresh []processID
 	for _, replica := range t.listed {
 		listed := processID{replica.Address, replica.Incarnation}
 		if _, known := t.firstSeen[listed]; !known {
-			t.firstSeen[listed] = t.birth(now)
+			t.firstSeen[listed] = t.firstSeenTime(now)
 		}
-		t.marks.refresh(listed, now)
-		if replica.State == topology.ReplicaLeaving && t.marks.add(listed, now) {
+		t.leaving.refresh(listed, now)
+		if replica.State == topology.ReplicaLeaving && t.leaving.add(listed, now) {
 			fresh = append(fresh, listed)
 		}
 	}
-	t.marks.evictExpired(now)
-	t.forgetUnlisted()
+	t.leaving.evictExpired(now)
+	t.pruneFirstSeen()
 	return fresh
 }
 
-// birth dates the processes of the first reading back, as they may have run
+// firstSeenTime dates the processes of the first reading back, as they may have run
 // for long.
-func (t *Tracker) birth(now time.Time) time.Time {
-	if t.readings <= 1 {
+func (t *Tracker) firstSeenTime(now time.Time) time.Time {
+	if t.listReads <= 1 {
 		return now.Add(-t.options.ColdFor)
 	}
 	return now
 }
 
-func (t *Tracker) forgetUnlisted() {
+func (t *Tracker) pruneFirstSeen() {
 	if len(t.firstSeen) <= 2*len(t.listed) {
 		return
 	}
@@ -190,14 +190,14 @@
 		incarnation = t.listedIncarnation(address)
 	}
 	marked := processID{address, incarnation}
-	fresh := t.marks.add(marked, now)
+	fresh := t.leaving.add(marked, now)
 	if fresh {
 		t.publish(now)
 	}
 	t.mutex.Unlock()
 	if fresh {
 		t.options.Logger.Info("replica leaving", "address", address, "incarnation", incarnation)
-		t.tell([]processID{marked})
+		t.notifyLeaving([]processID{marked})
 	}
 }
 
@@ -214,8 +214,8 @@
 func (t *Tracker) Leaving() []topology.Replica {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	leaving := make([]topology.Replica, 0, len(t.marks.lastSeen))
-	for marked := range t.marks.lastSeen {
+	leaving := make([]topology.Replica, 0, len(t.leaving.lastSeen))
+	for marked := range t.leaving.lastSeen {
 		leaving = append(leaving, topology.Replica{
 			Address: marked.address, Incarnation: marked.incarnation, State: topology.ReplicaLeaving,
 		})
@@ -224,9 +224,9 @@
 	return leaving
 }
 
-func (t *Tracker) tell(fresh []processID) {
+func (t *Tracker) notifyLeaving(fresh []processID) {
 	t.mutex.Lock()
-	notify := slices.Clone(t.notify)
+	notify := slices.Clone(t.listeners)
 	t.mutex.Unlock()
 	for _, marked := range fresh {
 		for _, call := range notify {
@@ -238,20 +238,20 @@
 func (t *Tracker) republish() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.readings > 0 {
+	if t.listReads > 0 {
 		t.publish(t.options.Now())
 	}
 }
 
 // publish must be called with the mutex held. It writes only what differs.
 func (t *Tracker) publish(now time.Time) {
-	if t.readings == 0 {
+	if t.listReads == 0 {
 		return
 	}
 	groups := make(map[string][]topology.Replica)
 	leaving := 0
 	for _, replica := range t.listed {
-		replica.State = t.state(replica, now)
+		replica.State = t.stateOf(replica, now)
 		if replica.State == topology.ReplicaLeaving {
 			leaving++
 		}
@@ -268,10 +268,10 @@
 	t.options.Board.Replicas.Publish(&topology.Replicas{Groups: groups})
 }
 
-func (t *Tracker) state(replica topology.Replica, now time.Time) topology.ReplicaState {
+func (t *Tracker) stateOf(replica topology.Replica, now time.Time) topology.ReplicaState {
 	listed := processID{replica.Address, replica.Incarnation}
 	switch {
-	case t.marks.has(listed):
+	case t.leaving.has(listed):
 		return topology.ReplicaLeaving
 	case replica.State == topology.ReplicaCold, now.Sub(t.firstSeen[listed]) < t.options.ColdFor:
 		return topology.ReplicaCold
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -35,7 +35,7 @@
 	dialTimeout       = time.Second
 	maxIdlePerReplica = 128
 	maxHeaderBytes    = 16 << 10
-	bufferKept        = 256 << 10
+	maxPooledBuffer   = 256 << 10
 )
 
 // PostResult is what came of one POST to a replica.
@@ -74,8 +74,8 @@
 	}
 }
 
-// countedConnection counts its bytes written and reports its close once.
-type countedConnection struct {
+// trackedConnection counts its bytes written and reports its close once.
+type trackedConnection struct {
 	net.Conn
 	written atomic.Int64
 	once    sync.Once
@@ -84,19 +84,19 @@
 
 // Write counts before it writes, so that a write under way is never taken for
 // none.
-func (c *countedConnection) Write(data []byte) (int, error) {
+func (c *trackedConnection) Write(data []byte) (int, error) {
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
 }
 
-func (c *countedConnection) Close() error {
+func (c *trackedConnection) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(c.closed)
 	return err
 }
 
-// exchange is what came of one POST to a replica.
-type exchange struct {
+// exchangeResult is what came of one POST to a replica.
+type exchangeResult struct {
 	status int
 	body   []byte
 	err    error
@@ -107,9 +107,9 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// free gives the body's memory back.
-func (e *exchange) free() {
-	if e.buffer != nil && e.buffer.Cap() <= bufferKept {
+// release gives the body's memory back.
+func (e *exchangeResult) release() {
+	if e.buffer != nil && e.buffer.Cap() <= maxPooledBuffer {
 		buffers.Put(e.buffer)
 	}
 	e.buffer, e.body = nil, nil
@@ -117,27 +117,27 @@
 
 var requestHeader = http.Header{"Content-Type": {"application/json"}}
 
-// sendWatch finds out whether any byte of a request was written.
-type sendWatch struct {
-	connection atomic.Pointer[countedConnection]
+// writeTracker finds out whether any byte of a request was written.
+type writeTracker struct {
+	connection atomic.Pointer[trackedConnection]
 	before     atomic.Int64
-	unclear    atomic.Bool
+	unknown    atomic.Bool
 }
 
-func (w *sendWatch) gotConnection(info httptrace.GotConnInfo) {
-	connection, plain := info.Conn.(*countedConnection)
+func (w *writeTracker) gotConnection(info httptrace.GotConnInfo) {
+	connection, plain := info.Conn.(*trackedConnection)
 	if !plain {
-		w.unclear.Store(true)
+		w.unknown.Store(true)
 		return
 	}
 	w.before.Store(connection.written.Load())
 	w.connection.Store(connection)
 }
 
-// nothingWritten is only sure when the exchange has failed by itself; after a
+// provesNothingWritten is only sure when the exchange has failed by itself; after a
 // cancellation the transport may still be writing.
-func (w *sendWatch) nothingWritten(multiplex bool) bool {
-	if w.unclear.Load() {
+func (w *writeTracker) provesNothingWritten(multiplex bool) bool {
+	if w.unknown.Load() {
 		return false
 	}
 	connection := w.connection.Load()
@@ -149,16 +149,16 @@
 
 // post sends one request once: there is no GetBody and no idempotency header,
 // so net/http does not replay it after a byte was written.
-func (p *Pool) post(ctx context.Context, handle *Handle, target *url.URL, message any) exchange {
+func (p *Pool) post(ctx context.Context, handle *Handle, target *url.URL, message any) exchangeResult {
 	encoded, err := json.Marshal(message)
 	if err != nil {
-		return exchange{err: eris.Wrap(err, "encode the request"), notSent: true}
+		return exchangeResult{err: eris.Wrap(err, "encode the request"), notSent: true}
 	}
 	if p.options.Post != nil {
 		came := p.options.Post(ctx, target.Host, target.Path, encoded)
-		return exchange{status: came.Status, body: came.Body, err: came.Err, notSent: came.NotSent}
+		return exchangeResult{status: came.Status, body: came.Body, err: came.Err, notSent: came.NotSent}
 	}
-	watch := &sendWatch{}
+	watch := &writeTracker{}
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: watch.gotConnection})
 	// net/http knows this type to be in memory and writes header and body at
 	// once; it does not know how to read it again, as GetBody is not set.
@@ -170,9 +170,9 @@
 	response, err := handle.transport.RoundTrip(request)
 	if err != nil {
 		gaveUp := ctx.Err() != nil && watch.connection.Load() != nil
-		return exchange{
+		return exchangeResult{
 			err:     eris.Wrapf(err, "post to %s", target.Host),
-			notSent: !gaveUp && watch.nothingWritten(handle.multiplex),
+			notSent: !gaveUp && watch.provesNothingWritten(handle.multiplex),
 		}
 	}
 	return readBody(response, p.options.MaxReplyBytes)
@@ -182,11 +182,11 @@
 
 // readBody reads the whole body, of so many bytes at most. A body that is over the limit or broken is
 // closed unread, and its connection with it.
-func readBody(response *http.Response, limit int64) exchange {
+func readBody(response *http.Response, limit int64) exchangeResult {
 	defer func() { _ = response.Body.Close() }() // the reading has failed already if this does
 	buffer := buffers.Get().(*bytes.Buffer)
 	buffer.Reset()
-	result := exchange{status: response.StatusCode, buffer: buffer}
+	result := exchangeResult{status: response.StatusCode, buffer: buffer}
 	size, err := buffer.ReadFrom(io.LimitReader(response.Body, limit+1))
 	switch {
 	case err != nil:
@@ -198,10 +198,10 @@
 	return result
 }
 
-func overConnectionBudget(err error) bool { return errors.Is(err, errConnectionBudget) }
+func exceedsConnectionBudget(err error) bool { return errors.Is(err, errConnectionBudget) }
 
-// plainDial is the dial function used unless options give another.
-func plainDial(ctx context.Context, network, address string) (net.Conn, error) {
+// dialTCP is the dial function used unless options give another.
+func dialTCP(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: idleTimeout}
 	return dialer.DialContext(ctx, network, address)
 }
