--- a/internal/replica/backend_test.go
+++ b/internal/replica/backend_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func goodReply() backendapi.SearchReply {
+func validReply() backendapi.SearchReply {
 	hits := []client.Hit{{ID: "a", Index: "cards"}, {ID: "b", Index: "cards"}}
 	return backendapi.SearchReply{
 		QueryID: "q1", Attempt: 2, Snapshot: 7, Index: "cards", Shard: 1, Shards: 3,
@@ -72,7 +72,7 @@
 	}
 }
 
-func answer(status int, message any) http.HandlerFunc {
+func respondJSON(status int, message any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -80,16 +80,16 @@
 	}
 }
 
-func write(text string) http.HandlerFunc {
+func respondText(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, text)
 	}
 }
 
-// cut reads the request and breaks the exchange without an answer: HTTP/1.1
+// abort reads the request and breaks the exchange without an answer: HTTP/1.1
 // closes the connection, HTTP/2 resets the stream.
-func cut(_ http.ResponseWriter, r *http.Request) {
+func abort(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
@@ -97,19 +97,19 @@
 // truncate announces more bytes than it sends.
 func truncate(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	encoded, _ := json.Marshal(goodReply())
+	encoded, _ := json.Marshal(validReply())
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	_, _ = w.Write(encoded[:len(encoded)/2])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func changed(change func(*backendapi.SearchReply)) http.HandlerFunc {
-	reply := goodReply()
+func respondModified(change func(*backendapi.SearchReply)) http.HandlerFunc {
+	reply := validReply()
 	change(&reply)
-	return answer(http.StatusOK, reply)
+	return respondJSON(http.StatusOK, reply)
 }
 
-func refused(status int, reason backendapi.RefusalReason, notRun bool) http.HandlerFunc {
-	return answer(status, backendapi.Refusal{Reason: reason, NotRun: notRun, RetryAfterMilliseconds: 30})
+func respondRefusal(status int, reason backendapi.RefusalReason, notRun bool) http.HandlerFunc {
+	return respondJSON(status, backendapi.Refusal{Reason: reason, NotRun: notRun, RetryAfterMilliseconds: 30})
 }
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -10,16 +10,16 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// coldPool is a pool of one cold and one warm replica, on a clock of its own, in a node
+// newColdPool is a pool of one cold and one warm replica, on a clock of its own, in a node
 // that alone shares what the cold one takes.
-func coldPool(t *testing.T, rate int, now *time.Time) (*Pool, *blackboard.Board) {
+func newColdPool(t *testing.T, rate int, now *time.Time) (*Pool, *blackboard.Board) {
 	t.Helper()
 	board := &blackboard.Board{}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"self"}})
 	listReplicas(board,
 		topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaCold, ColdRate: rate},
 		topology.Replica{Address: "warm:1", Place: farPlace})
-	return messagePool(t, board, func(options *PoolOptions) {
+	return newMessagePool(t, board, func(options *PoolOptions) {
 		options.Self = nearPlace
 		options.Now = func() time.Time { return *now }
 	}), board
@@ -30,8 +30,8 @@
 func TestAColdReplicaTakesNoMoreThanItsRate(t *testing.T) {
 	const rate = 3
 	now := time.Unix(1000, 0)
-	pool, board := coldPool(t, rate, &now)
-	terms := allTerms()
+	pool, board := newColdPool(t, rate, &now)
+	terms := testCriteria()
 	terms.Regions = []string{nearPlace.Region}
 	var sent []time.Time
 	for range 100 {
@@ -73,11 +73,11 @@
 // TestAVanishedReplicaIsBoundedWhileItIsCold: as the last resort too.
 func TestAVanishedReplicaIsBoundedWhileItIsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pool, board := coldPool(t, 2, &now)
+	pool, board := newColdPool(t, 2, &now)
 	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaVanished, ColdRate: 2})
 	sent := 0
 	for range 10 {
-		if acquired := pool.AcquireForMessage(testGroup, allTerms(), nil); acquired.Handle != nil {
+		if acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil); acquired.Handle != nil {
 			sent++
 			acquired.Handle.End()
 		}
@@ -112,8 +112,8 @@
 // replicas nor those who hold connections have changed.
 func TestANodeThatBecomesAnEntryNodeHasAShare(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pool, board := coldPool(t, 3, &now)
-	terms := allTerms()
+	pool, board := newColdPool(t, 3, &now)
+	terms := testCriteria()
 	terms.Regions = []string{nearPlace.Region}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other"}})
 	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 0 {
--- a/internal/replica/connections_test.go
+++ b/internal/replica/connections_test.go
@@ -30,15 +30,15 @@
 	return replicas
 }
 
-// testShares counts the connections that the plans of all daemons give.
-type testShares struct {
-	total   []int // by replica
-	near    []int // of them from the replica's zone
-	without int   // daemons that reach no replica
+// connectionCounts counts the connections that the plans of all daemons give.
+type connectionCounts struct {
+	total       []int // by replica
+	sameZone    []int // of them from the replica's zone
+	unconnected int   // daemons that reach no replica
 }
 
-func sharesOf(members topology.Members, replicas []topology.Replica) testShares {
-	shares := testShares{total: make([]int, len(replicas)), near: make([]int, len(replicas))}
+func countConnections(members topology.Members, replicas []topology.Replica) connectionCounts {
+	shares := connectionCounts{total: make([]int, len(replicas)), sameZone: make([]int, len(replicas))}
 	members.Self = members.Members[0]
 	plan := NewConnectionPlan(members)
 	group := plan.AllocateGroup(testGroup, replicas)
@@ -49,12 +49,12 @@
 				budget := group.budgetOf(i, zone, rank)
 				shares.total[i] += budget
 				if plan.zones[zone].place == replicas[i].Place {
-					shares.near[i] += budget
+					shares.sameZone[i] += budget
 				}
 				reached = reached || budget > 0
 			}
 			if !reached {
-				shares.without++
+				shares.unconnected++
 			}
 		}
 	}
@@ -79,15 +79,15 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			replicas := testReplicas(test.replicas, test.zones, test.limit)
-			shares := sharesOf(testMembers(test.daemons), replicas)
-			if shares.without > test.mostWithout {
-				t.Errorf("%d daemons reach no replica, want at most %d", shares.without, test.mostWithout)
+			shares := countConnections(testMembers(test.daemons), replicas)
+			if shares.unconnected > test.mostWithout {
+				t.Errorf("%d daemons reach no replica, want at most %d", shares.unconnected, test.mostWithout)
 			}
 			usable := usableConnections(replicas[0])
 			for i, total := range shares.total {
-				if total > usable || total < test.leastOfEach || shares.near[i] < test.nearest {
+				if total > usable || total < test.leastOfEach || shares.sameZone[i] < test.nearest {
 					t.Errorf("replica %d has %d connections, %d of its zone; want %d to %d, %d of its zone",
-						i, total, shares.near[i], test.leastOfEach, usable, test.nearest)
+						i, total, shares.sameZone[i], test.leastOfEach, usable, test.nearest)
 				}
 			}
 		})
--- a/internal/replica/contract_test.go
+++ b/internal/replica/contract_test.go
@@ -21,14 +21,14 @@
 
 const contractGroup = "cues-0"
 
-// contract is one stand-in replica and a pool that knows it.
-type contract struct {
+// backendFixture is one stand-in replica and a pool that knows it.
+type backendFixture struct {
 	standin *backend.Replica
 	server  *backend.Server
 	pool    *replica.Pool
 }
 
-func newContract(t *testing.T, protocol replica.Protocol) *contract {
+func newBackendFixture(t *testing.T, protocol replica.Protocol) *backendFixture {
 	t.Helper()
 	records := []corpus.Record{
 		{Corpus: corpus.Cues, ID: "1", Index: "cues", Document: "a.srt", Text: "the rain"},
@@ -47,10 +47,10 @@
 	}}}})
 	pool := replica.NewPool(replica.PoolOptions{Board: board, Protocol: protocol})
 	t.Cleanup(pool.Close)
-	return &contract{standin: standin, server: server, pool: pool}
+	return &backendFixture{standin: standin, server: server, pool: pool}
 }
 
-func (c *contract) search(t *testing.T, snapshot uint64) replica.SubrequestResult {
+func (c *backendFixture) search(t *testing.T, snapshot uint64) replica.SubrequestResult {
 	t.Helper()
 	handle := c.pool.Acquire(contractGroup, policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}, nil)
 	if handle == nil {
@@ -92,7 +92,7 @@
 	for _, protocol := range protocols {
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
-				under := newContract(t, protocol)
+				under := newBackendFixture(t, protocol)
 				under.standin.SetFaults(test.faults)
 				if test.drain {
 					under.standin.Drain()
@@ -127,7 +127,7 @@
 	for _, protocol := range protocols {
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
-				under := newContract(t, protocol)
+				under := newBackendFixture(t, protocol)
 				under.standin.SetFaults(test.faults)
 				err := under.call(t.Context())
 				if test.kind == "" && err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (c *contract) call(ctx context.Context) error {
+func (c *backendFixture) call(ctx context.Context) error {
 	_, err := c.pool.Call(ctx, contractGroup, backendapi.CallRequest{
 		Key: "key-1", Operation: "credit", TimeoutMilliseconds: 60_000, NotAfterUnixMilliseconds: 1 << 60,
 	})
@@ -154,7 +154,7 @@
 func TestContractOfAReplicaThatIsGone(t *testing.T) {
 	for _, protocol := range protocols {
 		t.Run(string(protocol), func(t *testing.T) {
-			under := newContract(t, protocol)
+			under := newBackendFixture(t, protocol)
 			for range 2 { // the second close is that of the cleanup's kind
 				if err := under.server.Close(); err != nil {
 					t.Fatal(err)
--- a/internal/replica/decode_test.go
+++ b/internal/replica/decode_test.go
@@ -12,8 +12,8 @@
 
 // replySeeds are replies in the usual form, then odd and broken ones.
 func replySeeds() []string {
-	good, _ := json.Marshal(goodReply())
-	full := goodReply()
+	good, _ := json.Marshal(validReply())
+	full := validReply()
 	full.Draining, full.Load = true, backendapi.Load{Slots: 4, InFlight: 3, Queued: 9}
 	full.Hits = []client.Hit{{ID: "ሀ", Index: "cards", Document: "d", Text: "ሰላም, ok", TimeMilliseconds: -5, Rank: -0.25}}
 	whole, _ := json.Marshal(full)
@@ -49,7 +49,7 @@
 
 // BenchmarkDecodeSearchReply compares with encoding/json.
 func BenchmarkDecodeSearchReply(b *testing.B) {
-	body, _ := json.Marshal(goodReply())
+	body, _ := json.Marshal(validReply())
 	b.Run("ours", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/replica/forward_test.go
+++ b/internal/replica/forward_test.go
@@ -36,10 +36,10 @@
 	return startPeer(t, peer.NewServer(peer.ServerOptions{Forwarder: forwarder})), forwarder
 }
 
-// newAsker makes the pool of one of two daemons: the one that must not connect
+// newForwardingPool makes the pool of one of two daemons: the one that must not connect
 // to the first replica. Each replica takes one connection, and the daemons'
 // peers listen at the address.
-func newAsker(t *testing.T, peerAddress string, replicas ...string) *Pool {
+func newForwardingPool(t *testing.T, peerAddress string, replicas ...string) *Pool {
 	t.Helper()
 	var listed []topology.Replica
 	for _, replica := range replicas {
@@ -60,7 +60,7 @@
 	return newTestPool(t, board, func(options *PoolOptions) { options.Peers = client })
 }
 
-func peerThat(handler http.HandlerFunc) func(*testing.T, string) string {
+func peerWithHandler(handler http.HandlerFunc) func(*testing.T, string) string {
 	return func(t *testing.T, _ string) string { return startPeer(t, handler) }
 }
 
@@ -69,32 +69,32 @@
 	return address
 }
 
-// lyingForwarder answers with the reply to another query.
-type lyingForwarder struct{}
+// mismatchedForwarder answers with the reply to another query.
+type mismatchedForwarder struct{}
 
-func (lyingForwarder) Forward(context.Context, peer.ForwardRequest) (peer.ForwardReply, error) {
-	reply := goodReply()
+func (mismatchedForwarder) Forward(context.Context, peer.ForwardRequest) (peer.ForwardReply, error) {
+	reply := validReply()
 	reply.QueryID = "q2"
 	return peer.ForwardReply{Search: reply, Call: &backendapi.CallReply{Key: "refund-2"}}, nil
 }
 
-func lyingPeer(t *testing.T, _ string) string {
-	return startPeer(t, peer.NewServer(peer.ServerOptions{Forwarder: lyingForwarder{}}))
+func mismatchedPeer(t *testing.T, _ string) string {
+	return startPeer(t, peer.NewServer(peer.ServerOptions{Forwarder: mismatchedForwarder{}}))
 }
 
-func emptyPeer(t *testing.T, _ string) string {
+func peerWithoutReplicas(t *testing.T, _ string) string {
 	address, _ := startHolder(t)
 	return address
 }
 
-func olderPeer(t *testing.T, _ string) string {
+func peerWithoutForwarder(t *testing.T, _ string) string {
 	return startPeer(t, peer.NewServer(peer.ServerOptions{}))
 }
 
-func closedPeer(t *testing.T, _ string) string { return closedAddress(t) }
+func closedPeer(t *testing.T, _ string) string { return unusedAddress(t) }
 
 func TestForwardedSearchOutcomes(t *testing.T) {
-	good := answer(http.StatusOK, goodReply())
+	good := respondJSON(http.StatusOK, validReply())
 	cases := []struct {
 		name    string
 		replica http.HandlerFunc
@@ -104,23 +104,23 @@
 		asked   int64 // requests that reach the replica
 	}{
 		{"whole reply", good, holderPeer, decision.Success, false, 1},
-		{"replica sheds", refused(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, decision.Shed, true, 1},
-		{"replica drains", refused(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), holderPeer, decision.Draining, true, 1},
-		{"snapshot not held", refused(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), holderPeer, decision.SnapshotNotHeld, true, 1},
-		{"replica cuts after the write", cut, holderPeer, decision.Failed, false, 1},
+		{"replica sheds", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, decision.Shed, true, 1},
+		{"replica drains", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), holderPeer, decision.Draining, true, 1},
+		{"snapshot not held", respondRefusal(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), holderPeer, decision.SnapshotNotHeld, true, 1},
+		{"replica cuts after the write", abort, holderPeer, decision.Failed, false, 1},
 		{"replica's reply is cut", truncate, holderPeer, decision.Failed, false, 1},
-		{"replica's reply is crossed", changed(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), holderPeer, decision.Failed, false, 1},
-		{"peer's reply is crossed", good, lyingPeer, decision.Invalid, false, 0},
-		{"peer reaches no replica", good, emptyPeer, decision.Failed, true, 0},
-		{"peer does not forward", good, olderPeer, decision.Failed, true, 0},
+		{"replica's reply is crossed", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), holderPeer, decision.Failed, false, 1},
+		{"peer's reply is crossed", good, mismatchedPeer, decision.Invalid, false, 0},
+		{"peer reaches no replica", good, peerWithoutReplicas, decision.Failed, true, 0},
+		{"peer does not forward", good, peerWithoutForwarder, decision.Failed, true, 0},
 		{"peer is gone", good, closedPeer, decision.Failed, true, 0},
-		{"peer resets after the write", good, peerThat(cut), decision.Failed, false, 0},
-		{"peer answers nonsense", good, peerThat(write("x")), decision.Failed, false, 0},
+		{"peer resets after the write", good, peerWithHandler(abort), decision.Failed, false, 0},
+		{"peer answers nonsense", good, peerWithHandler(respondText("x")), decision.Failed, false, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			backend := newBackend(t, test.replica)
-			pool := newAsker(t, test.peer(t, backend.address()), backend.address())
+			pool := newForwardingPool(t, test.peer(t, backend.address()), backend.address())
 			result := pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 			if result.Outcome != test.want || result.NotRun != test.notRun {
 				t.Errorf("outcome %d not run %v, want %d %v (%v)", result.Outcome, result.NotRun, test.want, test.notRun, result.Err)
@@ -133,7 +133,7 @@
 }
 
 func TestForwardedCallRunsAtMostOnce(t *testing.T) {
-	good := answer(http.StatusOK, backendapi.CallReply{Key: "refund-1", Result: json.RawMessage(`{}`)})
+	good := respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-1", Result: json.RawMessage(`{}`)})
 	cases := []struct {
 		name    string
 		replica http.HandlerFunc
@@ -143,18 +143,18 @@
 		asked   int64
 	}{
 		{"ran", good, holderPeer, "", false, 1},
-		{"replica sheds", refused(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, failure.BackendRefused, true, 1},
-		{"replica cuts after the write", cut, holderPeer, failure.OutcomeUnknown, false, 1},
-		{"replica answers another key", answer(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), holderPeer, failure.OutcomeUnknown, false, 1},
-		{"peer answers another key", good, lyingPeer, failure.OutcomeUnknown, false, 0},
-		{"peer reaches no replica", good, emptyPeer, failure.BackendRefused, true, 0},
+		{"replica sheds", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, failure.BackendRefused, true, 1},
+		{"replica cuts after the write", abort, holderPeer, failure.OutcomeUnknown, false, 1},
+		{"replica answers another key", respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), holderPeer, failure.OutcomeUnknown, false, 1},
+		{"peer answers another key", good, mismatchedPeer, failure.OutcomeUnknown, false, 0},
+		{"peer reaches no replica", good, peerWithoutReplicas, failure.BackendRefused, true, 0},
 		{"peer is gone", good, closedPeer, failure.BackendRefused, true, 0},
-		{"peer resets after the write", good, peerThat(cut), failure.OutcomeUnknown, false, 0},
+		{"peer resets after the write", good, peerWithHandler(abort), failure.OutcomeUnknown, false, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			backend := newBackend(t, test.replica)
-			pool := newAsker(t, test.peer(t, backend.address()), backend.address())
+			pool := newForwardingPool(t, test.peer(t, backend.address()), backend.address())
 			_, err := pool.Call(t.Context(), testGroup, callRequest())
 			checkCallError(t, err, test.kind, test.notRun)
 			if asked := backend.requests.Load(); asked != test.asked {
@@ -170,13 +170,13 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(arrived)
 		<-release
-		answer(http.StatusOK, goodReply())(w, r)
+		respondJSON(http.StatusOK, validReply())(w, r)
 	})
 	address, forwarder := startHolder(t, backend.address())
 	if err := forwarder.AwaitIdle(t.Context()); err != nil {
 		t.Fatal("waits for nothing:", err)
 	}
-	pool := newAsker(t, address, backend.address())
+	pool := newForwardingPool(t, address, backend.address())
 	results := make(chan SubrequestResult, 1)
 	go func() {
 		results <- pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
@@ -197,10 +197,10 @@
 }
 
 func TestBrokenReplicaInReachGivesWayToPeers(t *testing.T) {
-	backend := newBackend(t, answer(http.StatusOK, goodReply()))
+	backend := newBackend(t, respondJSON(http.StatusOK, validReply()))
 	address, _ := startHolder(t, backend.address())
-	broken := closedAddress(t)
-	pool := newAsker(t, address, backend.address(), broken)
+	broken := unusedAddress(t)
+	pool := newForwardingPool(t, address, backend.address(), broken)
 	for range ejectAfter {
 		handle := pool.Acquire(testGroup, callWeights, nil)
 		if handle.Address() != broken {
--- a/internal/replica/loss_rate_test.go
+++ b/internal/replica/loss_rate_test.go
@@ -20,9 +20,9 @@
 		want  bool
 	}{
 		{"one rejection is a short pause", []Observation{unnamed}, shedBackoff, false},
-		{"two of three are a long one", []Observation{unnamed, endedWell, unnamed}, lossBackoff - time.Millisecond, true},
-		{"which ends", []Observation{unnamed, endedWell, unnamed}, lossBackoff, false},
-		{"a named time counts as it is", []Observation{endedShed, endedWell, endedShed}, endedShed.RetryAfter, false},
+		{"two of three are a long one", []Observation{unnamed, observedSuccess, unnamed}, lossBackoff - time.Millisecond, true},
+		{"which ends", []Observation{unnamed, observedSuccess, unnamed}, lossBackoff, false},
+		{"a named time counts as it is", []Observation{observedShed, observedSuccess, observedShed}, observedShed.RetryAfter, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,11 +67,11 @@
 			board := &blackboard.Board{}
 			listReplicas(board, topology.Replica{Address: "far:1", Place: farPlace}, topology.Replica{Address: "near:1", Place: nearPlace})
 			now := time.Unix(1000, 0)
-			pool := messagePool(t, board, func(options *PoolOptions) {
+			pool := newMessagePool(t, board, func(options *PoolOptions) {
 				options.Self = nearPlace
 				options.Now = func() time.Time { return now }
 			})
-			terms := allTerms()
+			terms := testCriteria()
 			for range 2 * minSamples {
 				terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
 				terms.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -15,30 +15,30 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// plainCodec names what the tests' replicas say.
-type plainCodec struct{}
+// testCodec names what the tests' replicas say.
+type testCodec struct{}
 
-func (plainCodec) RequestHeader(message *upstream.Message, incarnation string, _ time.Duration) http.Header {
+func (testCodec) RequestHeader(message *upstream.Message, incarnation string, _ time.Duration) http.Header {
 	return http.Header{"Id": {message.ID}, "Process": {incarnation}}
 }
 
-func (plainCodec) ReadReply(reply *upstream.Reply) {
+func (testCodec) ReadReply(reply *upstream.Reply) {
 	reply.Signature = reply.Header.Get("Signature")
 	reply.Elsewhere = reply.Status == http.StatusMisdirectedRequest
 	reply.NotRun = reply.Elsewhere || reply.Header.Get("Refused") != ""
 }
 
-func allTerms() *SelectionCriteria {
+func testCriteria() *SelectionCriteria {
 	return &SelectionCriteria{
 		Weights:  policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1},
 		Baseline: &LatencyBaseline{}, LateAfter: 50 * time.Millisecond,
 	}
 }
 
-func messagePool(t *testing.T, board *blackboard.Board, change func(*PoolOptions)) *Pool {
+func newMessagePool(t *testing.T, board *blackboard.Board, change func(*PoolOptions)) *Pool {
 	t.Helper()
 	return newTestPool(t, board, func(options *PoolOptions) {
-		options.Codec = plainCodec{}
+		options.Codec = testCodec{}
 		if change != nil {
 			change(options)
 		}
@@ -91,9 +91,9 @@
 			t.Run(fmt.Sprintf("%s, scattered %v", test.name, scattered), func(t *testing.T) {
 				board := &blackboard.Board{}
 				publish(board, newBackend(t, test.handler).address())
-				pool := messagePool(t, board, nil)
-				acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
-				got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), scattered)
+				pool := newMessagePool(t, board, nil)
+				acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil)
+				got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, testCriteria(), scattered)
 				want := test.plain
 				if scattered {
 					want = test.scattered
@@ -112,9 +112,9 @@
 func TestAReplicaNotReachedHasNotRun(t *testing.T) {
 	board := &blackboard.Board{}
 	publish(board, "127.0.0.1:1")
-	pool := messagePool(t, board, nil)
-	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
-	got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
+	pool := newMessagePool(t, board, nil)
+	acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil)
+	got := pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, testCriteria(), false)
 	if got.Outcome != decision.Unreached || !got.NotRun {
 		t.Errorf("outcome %v, not run %v", got.Outcome, got.NotRun)
 	}
@@ -125,11 +125,11 @@
 	backend := newBackend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	publish(board, backend.address())
 	var told []string
-	pool := messagePool(t, board, func(options *PoolOptions) {
+	pool := newMessagePool(t, board, func(options *PoolOptions) {
 		options.OnAddressReused = func(replica topology.Replica) { told = append(told, replica.Address) }
 	})
-	acquired := pool.AcquireForMessage(testGroup, allTerms(), nil)
-	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, allTerms(), false)
+	acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil)
+	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, testCriteria(), false)
 	if len(told) != 1 || told[0] != backend.address() {
 		t.Errorf("told of %v", told)
 	}
@@ -149,19 +149,19 @@
 	farPlace  = topology.Place{Region: "r2", Zone: "z2"}
 )
 
-// virtual is a pool over a near and a far replica on a clock of its own.
-type virtual struct {
-	pool  *Pool
-	terms *SelectionCriteria
-	now   time.Time
+// poolFixture is a pool over a near and a far replica on a clock of its own.
+type poolFixture struct {
+	pool     *Pool
+	criteria *SelectionCriteria
+	now      time.Time
 }
 
-func newVirtual(t *testing.T) *virtual {
+func newPoolFixture(t *testing.T) *poolFixture {
 	t.Helper()
 	board := &blackboard.Board{}
 	listReplicas(board, topology.Replica{Address: "far:1", Place: farPlace}, topology.Replica{Address: "near:1", Place: nearPlace})
-	made := &virtual{terms: allTerms(), now: time.Unix(1000, 0)}
-	made.pool = messagePool(t, board, func(options *PoolOptions) {
+	made := &poolFixture{criteria: testCriteria(), now: time.Unix(1000, 0)}
+	made.pool = newMessagePool(t, board, func(options *PoolOptions) {
 		options.Self = nearPlace
 		options.Now = func() time.Time { return made.now }
 	})
@@ -169,22 +169,22 @@
 		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // as after some answers
 	}
 	for range 2 * minSamples {
-		made.terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
-		made.terms.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
+		made.criteria.Baseline.record(topology.SameZone, 20*time.Millisecond)
+		made.criteria.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
 	}
 	return made
 }
 
-func (v *virtual) acquire(t *testing.T) *Handle {
+func (v *poolFixture) acquire(t *testing.T) *Handle {
 	t.Helper()
-	acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
+	acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil)
 	if acquired.Handle == nil {
 		t.Fatal("no replica")
 	}
 	return acquired.Handle
 }
 
-func (v *virtual) end(handle *Handle, outcome decision.Outcome, took time.Duration, givenUp bool) {
+func (v *poolFixture) end(handle *Handle, outcome decision.Outcome, took time.Duration, givenUp bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if givenUp {
@@ -192,12 +192,12 @@
 	}
 	started := v.now
 	v.now = v.now.Add(took)
-	v.pool.recordForward(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.terms)
+	v.pool.recordForward(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.criteria)
 	handle.release()
 }
 
 func TestTheNearReplicaIsPreferred(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	if got := v.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
@@ -206,7 +206,7 @@
 // TestAPausedReplicaIsLeftAlone: a first attempt goes elsewhere while a replica
 // holds a request for longer than is usual, and comes back with its answer.
 func TestAPausedReplicaIsLeftAlone(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	held := v.acquire(t)
 	v.now = v.now.Add(30 * time.Millisecond)
 	if got := v.acquire(t); got != held {
@@ -223,7 +223,7 @@
 }
 
 func TestASlowReplicaIsLeftAndTriedAgain(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	var near *Handle
 	for range slowdownSamples {
 		near = v.pool.current().handles[processID{"near:1", "1"}]
@@ -240,7 +240,7 @@
 }
 
 func TestAReplicaThatGoesSilentIsEjected(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	near := v.pool.current().handles[processID{"near:1", "1"}]
 	for range ejectAfter {
 		near.Begin()
@@ -254,12 +254,12 @@
 // TestResetsCutTheLimit: a replica that is full resets connections, and is sent
 // less until it answers.
 func TestResetsCutTheLimit(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	near := v.pool.current().handles[processID{"near:1", "1"}]
 	before := near.limit.Load()
 	near.Begin()
 	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
-	v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.terms)
+	v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.criteria)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
 	}
@@ -268,7 +268,7 @@
 // TestANewReplicaStartsWithOneRequest: its limit grows by one with each round of
 // answers, so that a restart of all nodes does not overrun it.
 func TestANewReplicaStartsWithOneRequest(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	near := v.pool.current().handles[processID{"near:1", "1"}]
 	near.slowStart()
 	for _, want := range []int{1, 2, 3} {
@@ -291,10 +291,10 @@
 }
 
 func TestAFullGroupIsBusy(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	taken := 0
 	for {
-		acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil)
+		acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil)
 		if acquired.Handle == nil {
 			if !acquired.Busy {
 				t.Error("a group whose replicas are at their limits is not busy")
@@ -306,7 +306,7 @@
 	if taken == 0 || taken > 2*maxLimitPerSlot*4 {
 		t.Errorf("%d requests were let through", taken)
 	}
-	if unknown := v.pool.AcquireForMessage("unknown", v.terms, nil); unknown.Busy || unknown.Handle != nil {
+	if unknown := v.pool.AcquireForMessage("unknown", v.criteria, nil); unknown.Busy || unknown.Handle != nil {
 		t.Errorf("an unknown group: %+v", unknown)
 	}
 }
@@ -314,7 +314,7 @@
 // TestAVanishedReplicaIsTheLastResort: its entry is gone, which may be the
 // store's fault.
 func TestAVanishedReplicaIsTheLastResort(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	board := v.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
@@ -327,18 +327,18 @@
 		t.Errorf("chose %s", got)
 	}
 	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaLeaving})
-	if acquired := v.pool.AcquireForMessage(testGroup, v.terms, nil); acquired.Handle != nil {
+	if acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil); acquired.Handle != nil {
 		t.Errorf("chose %s, which leaves", acquired.Handle.Address())
 	}
 }
 
 func TestConnectionLimitIsNoFailureOfTheReplica(t *testing.T) {
-	v := newVirtual(t)
+	v := newPoolFixture(t)
 	near := v.pool.current().handles[processID{"near:1", "1"}]
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.terms)
+		v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.criteria)
 	}
 	if near.Candidate(v.now).Ejected {
 		t.Error("ejected for this node's own limit")
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -22,43 +22,43 @@
 )
 
 func TestSearchOutcomes(t *testing.T) {
-	good, _ := json.Marshal(goodReply())
+	good, _ := json.Marshal(validReply())
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
 		want    decision.Outcome
 		notRun  bool
 	}{
-		{"whole reply", changed(func(*backendapi.SearchReply) {}), decision.Success, false},
-		{"no hits", changed(func(r *backendapi.SearchReply) { r.Hits, r.Count, r.Total = nil, 0, 0 }), decision.Success, false},
-		{"crossed query", changed(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), decision.Invalid, false},
-		{"crossed attempt", changed(func(r *backendapi.SearchReply) { r.Attempt = 1 }), decision.Invalid, false},
-		{"wrong snapshot", changed(func(r *backendapi.SearchReply) { r.Snapshot = 6 }), decision.Invalid, false},
-		{"wrong index", changed(func(r *backendapi.SearchReply) { r.Index = "cues" }), decision.Invalid, false},
-		{"wrong shard", changed(func(r *backendapi.SearchReply) { r.Shard = 2 }), decision.Invalid, false},
-		{"wrong number of shards", changed(func(r *backendapi.SearchReply) { r.Shards = 4 }), decision.Invalid, false},
-		{"short of its count", changed(func(r *backendapi.SearchReply) { r.Hits = r.Hits[:1] }), decision.Invalid, false},
-		{"short of the limit", changed(func(r *backendapi.SearchReply) { r.Hits, r.Count = r.Hits[:1], 1 }), decision.Invalid, false},
-		{"over the limit", changed(func(r *backendapi.SearchReply) {
+		{"whole reply", respondModified(func(*backendapi.SearchReply) {}), decision.Success, false},
+		{"no hits", respondModified(func(r *backendapi.SearchReply) { r.Hits, r.Count, r.Total = nil, 0, 0 }), decision.Success, false},
+		{"crossed query", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), decision.Invalid, false},
+		{"crossed attempt", respondModified(func(r *backendapi.SearchReply) { r.Attempt = 1 }), decision.Invalid, false},
+		{"wrong snapshot", respondModified(func(r *backendapi.SearchReply) { r.Snapshot = 6 }), decision.Invalid, false},
+		{"wrong index", respondModified(func(r *backendapi.SearchReply) { r.Index = "cues" }), decision.Invalid, false},
+		{"wrong shard", respondModified(func(r *backendapi.SearchReply) { r.Shard = 2 }), decision.Invalid, false},
+		{"wrong number of shards", respondModified(func(r *backendapi.SearchReply) { r.Shards = 4 }), decision.Invalid, false},
+		{"short of its count", respondModified(func(r *backendapi.SearchReply) { r.Hits = r.Hits[:1] }), decision.Invalid, false},
+		{"short of the limit", respondModified(func(r *backendapi.SearchReply) { r.Hits, r.Count = r.Hits[:1], 1 }), decision.Invalid, false},
+		{"over the limit", respondModified(func(r *backendapi.SearchReply) {
 			r.Hits, r.Count = append(r.Hits, client.Hit{ID: "c", Index: "cards"}), 3
 		}), decision.Invalid, false},
-		{"total under count", changed(func(r *backendapi.SearchReply) { r.Total = 1 }), decision.Invalid, false},
-		{"hit twice", changed(func(r *backendapi.SearchReply) { r.Hits[1].ID = "a" }), decision.Invalid, false},
-		{"hit of another index", changed(func(r *backendapi.SearchReply) { r.Hits[1].Index = "cues" }), decision.Invalid, false},
-		{"reply doubled", write(string(good) + string(good)), decision.Invalid, false},
-		{"half of the JSON", write(string(good[:len(good)/2])), decision.Invalid, false},
-		{"empty body", write(""), decision.Invalid, false},
+		{"total under count", respondModified(func(r *backendapi.SearchReply) { r.Total = 1 }), decision.Invalid, false},
+		{"hit twice", respondModified(func(r *backendapi.SearchReply) { r.Hits[1].ID = "a" }), decision.Invalid, false},
+		{"hit of another index", respondModified(func(r *backendapi.SearchReply) { r.Hits[1].Index = "cues" }), decision.Invalid, false},
+		{"reply doubled", respondText(string(good) + string(good)), decision.Invalid, false},
+		{"half of the JSON", respondText(string(good[:len(good)/2])), decision.Invalid, false},
+		{"empty body", respondText(""), decision.Invalid, false},
 		{"cut body", truncate, decision.Failed, false},
-		{"over the size limit", write(string(good) + strings.Repeat(" ", 5000)), decision.Failed, false},
-		{"cut after the write", cut, decision.Failed, false},
-		{"server error", answer(http.StatusInternalServerError, nil), decision.Failed, false},
-		{"shed", refused(http.StatusTooManyRequests, backendapi.RefusedShed, true), decision.Shed, true},
-		{"draining", refused(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), decision.Draining, true},
-		{"snapshot not held", refused(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), decision.SnapshotNotHeld, true},
-		{"deadline passed", refused(http.StatusServiceUnavailable, backendapi.RefusedDeadlinePassed, true), decision.DeadlinePassed, true},
-		{"refusal that ran", refused(http.StatusTooManyRequests, backendapi.RefusedShed, false), decision.Failed, false},
-		{"refusal with a strange status", refused(http.StatusBadGateway, backendapi.RefusedShed, true), decision.Failed, false},
-		{"503 without a refusal", write503, decision.Failed, false},
+		{"over the size limit", respondText(string(good) + strings.Repeat(" ", 5000)), decision.Failed, false},
+		{"cut after the write", abort, decision.Failed, false},
+		{"server error", respondJSON(http.StatusInternalServerError, nil), decision.Failed, false},
+		{"shed", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), decision.Shed, true},
+		{"draining", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), decision.Draining, true},
+		{"snapshot not held", respondRefusal(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), decision.SnapshotNotHeld, true},
+		{"deadline passed", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDeadlinePassed, true), decision.DeadlinePassed, true},
+		{"refusal that ran", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, false), decision.Failed, false},
+		{"refusal with a strange status", respondRefusal(http.StatusBadGateway, backendapi.RefusedShed, true), decision.Failed, false},
+		{"503 without a refusal", respond503, decision.Failed, false},
 	}
 	for _, protocol := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
 		for _, test := range cases {
@@ -72,12 +72,12 @@
 	}
 }
 
-func write503(w http.ResponseWriter, _ *http.Request) {
+func respond503(w http.ResponseWriter, _ *http.Request) {
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// serve runs a back end that speaks a protocol.
-func serve(t *testing.T, protocol Protocol, handler http.HandlerFunc) *testBackend {
+// startBackend runs a back end that speaks a protocol.
+func startBackend(t *testing.T, protocol Protocol, handler http.HandlerFunc) *testBackend {
 	t.Helper()
 	backend := &testBackend{Server: httptest.NewUnstartedServer(handler)}
 	backend.Config.Protocols = new(http.Protocols)
@@ -90,7 +90,7 @@
 
 func searchOnce(t *testing.T, protocol Protocol, handler http.HandlerFunc) (SubrequestResult, *Handle) {
 	t.Helper()
-	backend := serve(t, protocol, handler)
+	backend := startBackend(t, protocol, handler)
 	board := &blackboard.Board{}
 	publish(board, backend.address())
 	pool := newTestPool(t, board, func(options *PoolOptions) { options.Protocol = protocol })
@@ -105,8 +105,8 @@
 	return result, handle
 }
 
-// closedAddress is one where nothing listens.
-func closedAddress(t *testing.T) string {
+// unusedAddress is one where nothing listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +118,7 @@
 
 func TestSearchConnectionRefused(t *testing.T) {
 	board := &blackboard.Board{}
-	publish(board, closedAddress(t))
+	publish(board, unusedAddress(t))
 	pool := newTestPool(t, board, nil)
 	result := pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	if result.Outcome != decision.Failed || !result.NotRun {
@@ -148,7 +148,7 @@
 	release := make(chan struct{})
 	backend := newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
-		answer(http.StatusOK, goodReply())(w, r)
+		respondJSON(http.StatusOK, validReply())(w, r)
 	})
 	board := &blackboard.Board{}
 	publish(board, backend.address())
@@ -180,7 +180,7 @@
 }
 
 func TestCallOutcomes(t *testing.T) {
-	good := answer(http.StatusOK, backendapi.CallReply{Key: "refund-1", Result: json.RawMessage(`{}`)})
+	good := respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-1", Result: json.RawMessage(`{}`)})
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
@@ -190,13 +190,13 @@
 		first, total int64
 	}{
 		{"ran", good, "", false, 1, 1},
-		{"shed goes to another replica", refused(http.StatusTooManyRequests, backendapi.RefusedShed, true), "", false, 1, 2},
-		{"cut after the write is never repeated", cut, failure.OutcomeUnknown, false, 1, 1},
-		{"server error is never repeated", answer(http.StatusInternalServerError, nil), failure.OutcomeUnknown, false, 1, 1},
-		{"reply to another key", answer(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), failure.OutcomeUnknown, false, 1, 1},
-		{"half of the JSON", write(`{"key":"refund-1"`), failure.OutcomeUnknown, false, 1, 1},
+		{"shed goes to another replica", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), "", false, 1, 2},
+		{"cut after the write is never repeated", abort, failure.OutcomeUnknown, false, 1, 1},
+		{"server error is never repeated", respondJSON(http.StatusInternalServerError, nil), failure.OutcomeUnknown, false, 1, 1},
+		{"reply to another key", respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), failure.OutcomeUnknown, false, 1, 1},
+		{"half of the JSON", respondText(`{"key":"refund-1"`), failure.OutcomeUnknown, false, 1, 1},
 		{"cut body", truncate, failure.OutcomeUnknown, false, 1, 1},
-		{"refusal that ran", refused(http.StatusTooManyRequests, backendapi.RefusedShed, false), failure.OutcomeUnknown, false, 1, 1},
+		{"refusal that ran", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, false), failure.OutcomeUnknown, false, 1, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -234,13 +234,13 @@
 // request was written, which is when net/http would replay an idempotent one.
 func TestCallNotReplayedOnReusedConnection(t *testing.T) {
 	var served atomic.Int64
-	good := answer(http.StatusOK, backendapi.CallReply{Key: "refund-1"})
+	good := respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-1"})
 	backend := newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if served.Add(1) == 1 {
 			good(w, r)
 			return
 		}
-		cut(w, r)
+		abort(w, r)
 	})
 	board := &blackboard.Board{}
 	publish(board, backend.address())
@@ -257,7 +257,7 @@
 
 func TestCallRefusedByAll(t *testing.T) {
 	board := &blackboard.Board{}
-	publish(board, closedAddress(t), closedAddress(t))
+	publish(board, unusedAddress(t), unusedAddress(t))
 	pool := newTestPool(t, board, nil)
 	_, err := pool.Call(t.Context(), testGroup, callRequest())
 	checkCallError(t, err, failure.BackendRefused, true)
@@ -270,7 +270,7 @@
 }
 
 func TestDrainingReplyTakesReplicaOut(t *testing.T) {
-	backend := newBackend(t, changed(func(r *backendapi.SearchReply) { r.Draining = true }))
+	backend := newBackend(t, respondModified(func(r *backendapi.SearchReply) { r.Draining = true }))
 	board := &blackboard.Board{}
 	tracker := NewTracker(TrackerOptions{Lister: &fakeLister{}, Board: board})
 	tracker.applyList([]topology.Replica{{Address: backend.address(), Incarnation: "1", Group: testGroup, Slots: 1, ConnectionLimit: 9}})
@@ -285,8 +285,8 @@
 }
 
 func TestEjectionNeverEmptiesAGroup(t *testing.T) {
-	bad := newBackend(t, answer(http.StatusInternalServerError, nil))
-	fine := newBackend(t, answer(http.StatusOK, goodReply()))
+	bad := newBackend(t, respondJSON(http.StatusInternalServerError, nil))
+	fine := newBackend(t, respondJSON(http.StatusOK, validReply()))
 	board := &blackboard.Board{}
 	publish(board, bad.address(), fine.address(), fine.address())
 	pool := newTestPool(t, board, nil)
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -39,8 +39,8 @@
 	return prober, probed[0], told
 }
 
-// probesCounted reads the counter of an outcome.
-func probesCounted(t *testing.T, registry *prometheus.Registry, outcome ProbeOutcome) int {
+// probeCount reads the counter of an outcome.
+func probeCount(t *testing.T, registry *prometheus.Registry, outcome ProbeOutcome) int {
 	t.Helper()
 	families, err := registry.Gather()
 	if err != nil || len(families) != 1 || families[0].GetName() != "doorpondd_probes_total" {
@@ -55,17 +55,17 @@
 	return 0
 }
 
-func status(incarnation string, state backendapi.State) http.HandlerFunc {
-	return answer(http.StatusOK, backendapi.Status{Incarnation: incarnation, State: state, Snapshots: []uint64{7}})
+func respondStatus(incarnation string, state backendapi.State) http.HandlerFunc {
+	return respondJSON(http.StatusOK, backendapi.Status{Incarnation: incarnation, State: state, Snapshots: []uint64{7}})
 }
 
-// probedAddress serves a protocol with a handler; without one nobody listens.
-func probedAddress(t *testing.T, protocol Protocol, handler http.HandlerFunc) string {
+// startProbed serves a protocol with a handler; without one nobody listens.
+func startProbed(t *testing.T, protocol Protocol, handler http.HandlerFunc) string {
 	t.Helper()
 	if handler == nil {
-		return closedAddress(t)
+		return unusedAddress(t)
 	}
-	return serve(t, protocol, handler).address()
+	return startBackend(t, protocol, handler).address()
 }
 
 func TestProbeOutcomes(t *testing.T) {
@@ -81,22 +81,22 @@
 		want    ProbeOutcome
 		told    []string
 	}{
-		{"draining", status("1", backendapi.StateDraining), ProbeDraining, []string{"1"}},
-		{"serving, which may lag or lie", status("1", backendapi.StateServing), ProbeServing, nil},
-		{"cold", status("1", backendapi.StateCold), ProbeServing, nil},
-		{"another incarnation serves", status("2", backendapi.StateServing), ProbeOtherProcess, nil},
-		{"another incarnation drains", status("2", backendapi.StateDraining), ProbeDraining, []string{"2"}},
-		{"no incarnation", status("", backendapi.StateDraining), ProbeInvalid, nil},
-		{"huge incarnation", status(strings.Repeat("1", maxIncarnationBytes+1), backendapi.StateDraining), ProbeInvalid, nil},
-		{"unknown state", status("1", "leaving"), ProbeInvalid, nil},
-		{"garbage", write("draining"), ProbeInvalid, nil},
-		{"empty body", write(""), ProbeInvalid, nil},
-		{"half of the JSON", write(draining[:len(draining)/2]), ProbeInvalid, nil},
-		{"status doubled", write(draining + draining), ProbeInvalid, nil},
-		{"huge body", write(draining + strings.Repeat(" ", maxStatusBytes)), ProbeFailed, nil},
+		{"draining", respondStatus("1", backendapi.StateDraining), ProbeDraining, []string{"1"}},
+		{"serving, which may lag or lie", respondStatus("1", backendapi.StateServing), ProbeServing, nil},
+		{"cold", respondStatus("1", backendapi.StateCold), ProbeServing, nil},
+		{"another incarnation serves", respondStatus("2", backendapi.StateServing), ProbeOtherProcess, nil},
+		{"another incarnation drains", respondStatus("2", backendapi.StateDraining), ProbeDraining, []string{"2"}},
+		{"no incarnation", respondStatus("", backendapi.StateDraining), ProbeInvalid, nil},
+		{"huge incarnation", respondStatus(strings.Repeat("1", maxIncarnationBytes+1), backendapi.StateDraining), ProbeInvalid, nil},
+		{"unknown state", respondStatus("1", "leaving"), ProbeInvalid, nil},
+		{"garbage", respondText("draining"), ProbeInvalid, nil},
+		{"empty body", respondText(""), ProbeInvalid, nil},
+		{"half of the JSON", respondText(draining[:len(draining)/2]), ProbeInvalid, nil},
+		{"status doubled", respondText(draining + draining), ProbeInvalid, nil},
+		{"huge body", respondText(draining + strings.Repeat(" ", maxStatusBytes)), ProbeFailed, nil},
 		{"cut body", truncate, ProbeFailed, nil},
-		{"connection broken", cut, ProbeFailed, nil},
-		{"server error that says draining", answer(http.StatusInternalServerError, backendapi.Status{Incarnation: "1", State: backendapi.StateDraining}), ProbeFailed, nil},
+		{"connection broken", abort, ProbeFailed, nil},
+		{"server error that says draining", respondJSON(http.StatusInternalServerError, backendapi.Status{Incarnation: "1", State: backendapi.StateDraining}), ProbeFailed, nil},
 		{"connection refused", nil, ProbeFailed, nil},
 		{"no answer in time", silent, ProbeFailed, nil},
 	}
@@ -104,7 +104,7 @@
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
 				registry := prometheus.NewRegistry()
-				prober, handle, told := newTestProber(t, probedAddress(t, protocol, test.handler), registry, func(o *PoolOptions) { o.Protocol = protocol })
+				prober, handle, told := newTestProber(t, startProbed(t, protocol, test.handler), registry, func(o *PoolOptions) { o.Protocol = protocol })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				*giveUp = cancel
@@ -112,7 +112,7 @@
 				if outcome != test.want || !slices.Equal(*told, test.told) {
 					t.Errorf("outcome %s, told %v; want %s, %v", probeOutcomeNames[outcome], *told, probeOutcomeNames[test.want], test.told)
 				}
-				if counted := probesCounted(t, registry, test.want); counted != 1 {
+				if counted := probeCount(t, registry, test.want); counted != 1 {
 					t.Errorf("counted %d", counted)
 				}
 				if still := len(prober.options.Pool.current().probed); (still == 0) != slices.Equal(test.told, []string{"1"}) {
@@ -128,7 +128,7 @@
 
 func TestProbesKeepToTheConnectionBudget(t *testing.T) {
 	var opened atomic.Int64
-	backend := newBackend(t, status("1", backendapi.StateServing))
+	backend := newBackend(t, respondStatus("1", backendapi.StateServing))
 	prober, handle, _ := newTestProber(t, backend.address(), prometheus.NewRegistry(), func(options *PoolOptions) {
 		options.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened.Add(1)
@@ -180,7 +180,7 @@
 		if len(asked) < least || asked[0] > probePeriod+2*ProbeTick {
 			t.Errorf("asked at %v, want %d times", asked, least)
 		}
-		if failed := probesCounted(t, registry, ProbeFailed); failed != len(asked) {
+		if failed := probeCount(t, registry, ProbeFailed); failed != len(asked) {
 			t.Errorf("%d failed of %d", failed, len(asked))
 		}
 	})
@@ -215,7 +215,7 @@
 
 // BenchmarkProbe is one probe over a kept connection, both its ends.
 func BenchmarkProbe(b *testing.B) {
-	server := httptest.NewUnstartedServer(answer(http.StatusOK, backendapi.Status{
+	server := httptest.NewUnstartedServer(respondJSON(http.StatusOK, backendapi.Status{
 		Incarnation: "01JGZ8V0Q5K3M9T7XW2C4D6F8H", State: backendapi.StateServing,
 		Load: backendapi.Load{Slots: 5, InFlight: 3, Queued: 12}, Snapshots: []uint64{1024, 1025},
 	}))
--- a/internal/replica/regions_test.go
+++ b/internal/replica/regions_test.go
@@ -15,8 +15,8 @@
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace}, topology.Replica{Address: "far:2", Place: farPlace},
 		topology.Replica{Address: "near:1", Place: nearPlace})
-	pool := messagePool(t, board, func(options *PoolOptions) { options.Self = nearPlace })
-	terms := allTerms()
+	pool := newMessagePool(t, board, func(options *PoolOptions) { options.Self = nearPlace })
+	terms := testCriteria()
 	terms.Regions = []string{farPlace.Region}
 	var tried []*Handle
 	for range 2 {
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const usualTime = 10 * time.Millisecond
+const medianLatency = 10 * time.Millisecond
 
 func TestSpeed(t *testing.T) {
 	type sample struct {
@@ -32,7 +32,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var observed slowdown
 			for _, one := range test.samples {
-				observed.observe(one.at, usualTime, one.slowness)
+				observed.observe(one.at, medianLatency, one.slowness)
 			}
 			if got := observed.factor(test.at); got < test.least || got > test.most {
 				t.Errorf("slowness %.2f, want from %.2f to %.2f", got, test.least, test.most)
--- a/internal/replica/tracker_test.go
+++ b/internal/replica/tracker_test.go
@@ -22,7 +22,7 @@
 	return machines.List{Replicas: f.replicas}, f.err
 }
 
-func listed(incarnation string, state topology.ReplicaState) []topology.Replica {
+func listReplica(incarnation string, state topology.ReplicaState) []topology.Replica {
 	return []topology.Replica{{Address: "127.0.0.1:1", Incarnation: incarnation, Group: testGroup, State: state}}
 }
 
@@ -39,7 +39,7 @@
 		wait time.Duration
 		want []topology.ReplicaState
 	}
-	first, second := listed("1", serving), listed("2", serving)
+	first, second := listReplica("1", serving), listReplica("2", serving)
 	cases := []struct {
 		name     string
 		steps    []step
@@ -47,7 +47,7 @@
 	}{
 		{"listed", []step{{list: first, want: []topology.ReplicaState{serving}}}, nil},
 		{"list says leaving, then flaps", []step{
-			{list: listed("1", leaving), want: []topology.ReplicaState{leaving}},
+			{list: listReplica("1", leaving), want: []topology.ReplicaState{leaving}},
 			{list: first, want: []topology.ReplicaState{leaving}},
 		}, []string{"1"}},
 		{"marked by a reply; the list lags", []step{
@@ -89,7 +89,7 @@
 				if step.mark != "" {
 					tracker.MarkLeaving("127.0.0.1:1", step.mark)
 				}
-				if diff := cmp.Diff(step.want, states(board)); diff != "" {
+				if diff := cmp.Diff(step.want, publishedStates(board)); diff != "" {
 					t.Errorf("step %d (-want +got):\n%s", number, diff)
 				}
 			}
@@ -100,7 +100,7 @@
 	}
 }
 
-func states(board *blackboard.Board) []topology.ReplicaState {
+func publishedStates(board *blackboard.Board) []topology.ReplicaState {
 	var all []topology.ReplicaState
 	if published := board.Replicas.Load(); published != nil {
 		for _, replica := range published.Groups[testGroup] {
