--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -11,16 +11,19 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// callWeights let a call go anywhere, nearest first.
+// callWeights allow replicas at any distance, with equal weights.
 var callWeights = policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}
 
-// maxCallAttempts is the greatest number of replicas that a call is offered to.
+// maxCallAttempts limits the number of replicas to which one call is offered.
 const maxCallAttempts = 4
 
-// Call runs an operation that may not be repeated on one replica of a
-// service. It goes to another replica only after a proof that it did not run.
-// Errors are *failure.Error: NotRun is true for NoReplica, BackendRefused and
-// DeadlineExceeded only; OutcomeUnknown means that it may have run.
+// Call runs a non-idempotent operation on one replica of a service. It moves on
+// to another replica only if the previous one provably did not run the
+// operation.
+//
+// Errors are of type *failure.Error. NotRun is true only for NoReplica,
+// BackendRefused and DeadlineExceeded; OutcomeUnknown means that the operation
+// may have run.
 func (p *Pool) Call(ctx context.Context, service string, request backendapi.CallRequest) (backendapi.CallReply, error) {
 	tried := make([]*Handle, 0, maxCallAttempts)
 	last := failure.New(failure.NoReplica, "no usable replica of service "+service)
@@ -45,8 +48,8 @@
 	return backendapi.CallReply{}, last
 }
 
-// deadlinePassed looks at the wall clock as well, because a process that was
-// frozen may not have seen its context end yet.
+// deadlinePassed also compares the wall clock, because a process resuming from
+// a freeze may not have seen its context expire yet.
 func deadlinePassed(p *Pool, ctx context.Context, request backendapi.CallRequest) bool {
 	if ctx.Err() != nil {
 		return true
@@ -66,21 +69,21 @@
 	if handle.viaPeer {
 		return p.forwardCall(ctx, handle, request)
 	}
-	exchanged := p.post(ctx, handle, handle.urls.call, request)
-	defer exchanged.release()
-	return p.classifyCall(handle, request, &exchanged)
+	result := p.post(ctx, handle, handle.urls.call, request)
+	defer result.release()
+	return p.classifyCall(handle, request, &result)
 }
 
-func (p *Pool) classifyCall(handle *Handle, request backendapi.CallRequest, exchanged *exchangeResult) (backendapi.CallReply, *failure.Error) {
-	if exchanged.err != nil {
-		return backendapi.CallReply{}, callFailure(exchanged)
+func (p *Pool) classifyCall(handle *Handle, request backendapi.CallRequest, result *exchangeResult) (backendapi.CallReply, *failure.Error) {
+	if result.err != nil {
+		return backendapi.CallReply{}, callFailure(result)
 	}
-	if exchanged.status != http.StatusOK {
-		return backendapi.CallReply{}, p.callRefusal(handle, exchanged)
+	if result.status != http.StatusOK {
+		return backendapi.CallReply{}, p.callRefusal(handle, result)
 	}
 	reply := backendapi.CallReply{}
-	if err := json.Unmarshal(exchanged.body, &reply); err != nil {
-		return backendapi.CallReply{}, failure.Wrap(err, failure.OutcomeUnknown, "decode the call's reply")
+	if err := json.Unmarshal(result.body, &reply); err != nil {
+		return backendapi.CallReply{}, failure.Wrap(err, failure.OutcomeUnknown, "decode call reply")
 	}
 	if reply.Key != request.Key {
 		return backendapi.CallReply{}, failure.New(failure.OutcomeUnknown, "reply is for key "+reply.Key)
@@ -89,19 +92,19 @@
 	return reply, nil
 }
 
-func callFailure(exchanged *exchangeResult) *failure.Error {
-	if exchanged.notSent {
-		return failure.Wrap(exchanged.err, failure.BackendRefused, "no byte of the call was sent")
+func callFailure(result *exchangeResult) *failure.Error {
+	if result.notSent {
+		return failure.Wrap(result.err, failure.BackendRefused, "call not sent")
 	}
-	return failure.Wrap(exchanged.err, failure.OutcomeUnknown, "call the service")
+	return failure.Wrap(result.err, failure.OutcomeUnknown, "call backend")
 }
 
-func (p *Pool) callRefusal(handle *Handle, exchanged *exchangeResult) *failure.Error {
-	refused := p.decodeRefusal(handle, exchanged)
+func (p *Pool) callRefusal(handle *Handle, result *exchangeResult) *failure.Error {
+	refused := p.decodeRefusal(handle, result)
 	if !refused.NotRun {
-		return failure.Wrap(refused.Err, failure.OutcomeUnknown, "call the service")
+		return failure.Wrap(refused.Err, failure.OutcomeUnknown, "call backend")
 	}
-	err := failure.Wrap(refused.Err, failure.BackendRefused, "call the service")
+	err := failure.Wrap(refused.Err, failure.BackendRefused, "call backend")
 	if refused.RetryAfter > 0 {
 		err = err.WithRetryAfter(refused.RetryAfter)
 	}
@@ -121,8 +124,8 @@
 	default:
 		p.metrics.calls.WithLabelValues("unknown").Inc()
 	}
-	broken := err != nil && ctx.Err() == nil && err.Kind == failure.OutcomeUnknown
-	if broken {
+	failed := err != nil && ctx.Err() == nil && err.Kind == failure.OutcomeUnknown
+	if failed {
 		handle.observe(p.options.Now(), Observation{Outcome: decision.Failed})
 	}
 }
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -8,71 +8,72 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// GroupHealth is what one daemon has seen of a replica group as a whole: the
-// latency of its replies. Its zero value is ready, and it is safe for
-// concurrent use.
+// GroupHealth tracks the latency of a replica group as seen by one daemon. The
+// zero value is ready to use. It is safe for concurrent use.
 type GroupHealth struct {
 	latency latencyWindow
 }
 
-// RetryBudgets holds a daemon's retry budgets: one for each set of terms, shared by
-// the queries of the policies on those terms and by all groups. A budget for
-// each group would leave a group in trouble a share of the tokens only, while
-// those of the healthy groups lie idle. Its zero value is ready, and it is
-// safe for concurrent use.
+// RetryBudgets holds a daemon's retry budgets, one per combination of ratio and
+// burst. A budget is shared by all groups and all policies with these
+// parameters: with one budget per group, a failing group could use only a
+// fraction of the tokens while those of healthy groups are unused. The zero
+// value is ready to use. It is safe for concurrent use.
 type RetryBudgets struct {
-	byKey sync.Map // budgetTerms -> *decision.TokenBudget
+	byKey sync.Map // retryBudgetKey -> *decision.TokenBudget
 }
 
 type retryBudgetKey struct{ ratio, burst float64 }
 
-// Of returns the budget of some terms.
+// Of returns the budget for the parameters of a retry policy.
 func (b *RetryBudgets) Of(retry policy.Retry) decision.Budget {
-	terms := retryBudgetKey{retry.BudgetRatio, retry.BudgetBurst}
-	if budget, known := b.byKey.Load(terms); known {
+	key := retryBudgetKey{retry.BudgetRatio, retry.BudgetBurst}
+	if budget, known := b.byKey.Load(key); known {
 		return budget.(*decision.TokenBudget)
 	}
-	budget, _ := b.byKey.LoadOrStore(terms, decision.NewTokenBudget(retry.BudgetRatio, retry.BudgetBurst))
+	budget, _ := b.byKey.LoadOrStore(key, decision.NewTokenBudget(retry.BudgetRatio, retry.BudgetBurst))
 	return budget.(*decision.TokenBudget)
 }
 
-// lateQuantile of a group's latency is what a request has to exceed to be late.
+// lateQuantile is the quantile of a group's latency above which a request is
+// late.
 const lateQuantile = 0.95
 
-// Observe takes in how a request to one of the group's replicas ended; true
-// means that the replica is ejected now.
-func (g *GroupHealth) Observe(health *Health, now time.Time, ended Observation) (ejected bool) {
-	if usual := g.LatencyQuantile(lateQuantile); usual > 0 {
-		ended.Late = ended.Elapsed >= usual
+// Observe records the result of a request to one of the group's replicas. It
+// reports whether the replica has been ejected by it.
+func (g *GroupHealth) Observe(health *Health, now time.Time, observation Observation) (ejected bool) {
+	if latency := g.LatencyQuantile(lateQuantile); latency > 0 {
+		observation.Late = observation.Elapsed >= latency
 	}
-	if ended.Outcome == decision.Success {
-		g.latency.Record(ended.Elapsed)
+	if observation.Outcome == decision.Success {
+		g.latency.Record(observation.Elapsed)
 	}
-	return health.Observe(now, ended)
+	return health.Observe(now, observation)
 }
 
-// LatencyQuantile returns a quantile of the recent latencies, 0 while too few
-// are known.
+// LatencyQuantile returns a quantile of the recent latencies, or 0 if there are
+// too few samples.
 func (g *GroupHealth) LatencyQuantile(quantile float64) time.Duration {
 	return g.latency.Quantile(quantile)
 }
 
-// expectedQuantile of a group's latency is the least that an attempt is taken
-// to need.
+// expectedQuantile is the quantile of a group's latency that an attempt is
+// assumed to need at least.
 const expectedQuantile = 0.5
 
-// PlanShard fills in how long a shard of this group is waited for.
+// PlanShard sets the hedge delay and the expected latency of a shard of this
+// group.
 func (g *GroupHealth) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if row.Wait.HedgeQuantile > 0 {
-		if usual := g.LatencyQuantile(row.Wait.HedgeQuantile); usual > 0 {
-			shard.HedgeDelay = max(usual, time.Duration(row.Wait.HedgeFloor))
+		if latency := g.LatencyQuantile(row.Wait.HedgeQuantile); latency > 0 {
+			shard.HedgeDelay = max(latency, time.Duration(row.Wait.HedgeFloor))
 		}
 	}
 	shard.Expected = g.LatencyQuantile(expectedQuantile)
 }
 
-// AllEjected is true when no replica of a group is left that is not ejected, of those
-// that the request may go to.
+// AllEjected reports whether every candidate that the request may be sent to is
+// ejected.
 func AllEjected(candidates []decision.Candidate) bool {
 	for i := range candidates {
 		if !candidates[i].Ejected && !candidates[i].Barred {
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -16,31 +16,33 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// errConnectionBudget is returned by a dial that would exceed the budget.
-var errConnectionBudget = eris.New("connection budget used up")
+// errConnectionBudget is returned when dialing would exceed the connection
+// budget.
+var errConnectionBudget = eris.New("connection budget exhausted")
 
-// Handle is one back-end process as this daemon sees it: its health and its
-// connections. Its counters are atomic; the rest is fixed.
+// Handle is a backend process as seen by this daemon: its health and its
+// connections. Its counters are atomic; the other fields are immutable.
 type Handle struct {
 	*Health
 	group     *GroupHealth
 	replica   topology.Replica
 	urls      handleURLs
 	transport *http.Transport
-	// upstream carries messages; nil when there is no codec.
+	// upstream carries messages; nil if the pool has no codec.
 	upstream  *upstream.Pool
 	multiplex bool
-	// viaPeer is true for a way through a viaPeer, which holds no connection here.
+	// viaPeer is set for a handle that forwards through a peer and holds no
+	// connection to the backend.
 	viaPeer     bool
 	metrics     *poolMetrics
 	connections atomic.Int64
 	budget      atomic.Int64
 	retired     atomic.Bool
-	// vanished is true while the replica is not listed any more.
+	// vanished is set while the replica is no longer listed.
 	vanished atomic.Bool
-	// addressReused is true once another process has answered at the address.
+	// addressReused is set once another process has answered at the address.
 	addressReused atomic.Bool
-	// coldLimiter bounds what this node sends while the replica is coldLimiter.
+	// coldLimiter limits the requests sent while the replica is cold.
 	coldLimiter coldLimiter
 }
 
@@ -48,13 +50,12 @@
 	search, call, status *url.URL
 }
 
-// Address returns IP:port.
+// Address returns the replica's address as IP:port.
 func (h *Handle) Address() string { return h.replica.Address }
 
-// ProcessName names the process among all that have ever run there.
+// ProcessName returns a name for the process that is unique across restarts.
 func (h *Handle) ProcessName() string { return h.replica.Address + "/" + h.replica.Incarnation }
 
-// processID names the processID that the handle is for.
 func (h *Handle) processID() processID { return processID{h.replica.Address, h.replica.Incarnation} }
 
 // Connections returns the number of open connections.
@@ -81,7 +82,7 @@
 	return handle
 }
 
-// dial opens a connection within the budget and counts it until it closes.
+// dial opens a connection within the budget and counts it until it is closed.
 func (h *Handle) dial(ctx context.Context, network, address string, dial dialFunc) (net.Conn, error) {
 	if h.connections.Add(1) > h.budget.Load() {
 		h.connections.Add(-1)
@@ -113,9 +114,8 @@
 	}
 }
 
-// standbyIdleTimeout is for how long a connection rests on a node to which callers are
-// not led: a request comes to it now and then only, and all nodes share the
-// replica's limit of connections.
+// standbyIdleTimeout is how long a standby node keeps an idle connection. It
+// rarely gets requests, and all nodes share the replica's connection limit.
 const standbyIdleTimeout = time.Second
 
 func (h *Handle) setStandby(standby bool) {
@@ -163,9 +163,9 @@
 	return int64(inFlight) < budget
 }
 
-// observe takes in how a request ended and counts ejections.
-func (h *Handle) observe(now time.Time, ended Observation) {
-	if h.group.Observe(h.Health, now, ended) {
+// observe records the result of a request and counts ejections.
+func (h *Handle) observe(now time.Time, observation Observation) {
+	if h.group.Observe(h.Health, now, observation) {
 		h.metrics.ejections.Inc()
 	}
 }
--- a/internal/replica/leaving.go
+++ b/internal/replica/leaving.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// processID names one processID of a back end.
+// processID identifies one backend process.
 type processID struct {
 	address     string
 	incarnation string
 }
 
-// leavingRetention is how long a mark outlives the last sight of its process.
+// leavingRetention is how long a leaving process is remembered after it was
+// last listed.
 const leavingRetention = time.Hour
 
-// leavingSet remembers which processes are leaving. A mark belongs to one
-// incarnation, so only a new incarnation on the same address is free of it.
+// leavingSet remembers which processes are leaving. Entries are per
+// incarnation, so a new process at the same address is not affected.
 type leavingSet struct {
 	lastSeen map[processID]time.Time
 }
@@ -21,29 +22,29 @@
 	return leavingSet{lastSeen: make(map[processID]time.Time)}
 }
 
-// add returns true when the mark is new.
-func (m *leavingSet) add(marked processID, now time.Time) bool {
-	_, known := m.lastSeen[marked]
-	m.lastSeen[marked] = now
+// add reports whether the process was not in the set before.
+func (s *leavingSet) add(leaving processID, now time.Time) bool {
+	_, known := s.lastSeen[leaving]
+	s.lastSeen[leaving] = now
 	return !known
 }
 
-func (m *leavingSet) has(listed processID) bool {
-	_, known := m.lastSeen[listed]
+func (s *leavingSet) has(listed processID) bool {
+	_, known := s.lastSeen[listed]
 	return known
 }
 
-// refresh keeps the mark of a process that is still listed.
-func (m *leavingSet) refresh(listed processID, now time.Time) {
-	if m.has(listed) {
-		m.lastSeen[listed] = now
+// refresh updates the time of an entry whose process is still listed.
+func (s *leavingSet) refresh(listed processID, now time.Time) {
+	if s.has(listed) {
+		s.lastSeen[listed] = now
 	}
 }
 
-func (m *leavingSet) evictExpired(now time.Time) {
-	for marked, seen := range m.lastSeen {
+func (s *leavingSet) evictExpired(now time.Time) {
+	for leaving, seen := range s.lastSeen {
 		if now.Sub(seen) > leavingRetention {
-			delete(m.lastSeen, marked)
+			delete(s.lastSeen, leaving)
 		}
 	}
 }
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -14,57 +14,63 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// SelectionCriteria are what a replica for a message is chosen by.
+// SelectionCriteria controls which replica is selected for a message.
 type SelectionCriteria struct {
 	Weights policy.Replicas
-	// Baseline is how long such messages take.
+	// Baseline holds the typical latencies of messages of this kind.
 	Baseline *LatencyBaseline
-	// LateAfter is used while the usual time is not known.
+	// LateAfter is the time after which an answer is late, for distances
+	// without a known median latency.
 	LateAfter time.Duration
-	// Regions are those whose replicas may take the message; empty means all.
+	// Regions lists the regions whose replicas may be selected. If empty, all
+	// may.
 	Regions []string
-	// Canary is true for a message that may end the replica that runs it: one that runs no
-	// other of this node's is chosen, if there is one, so that no other is lost with it and
-	// the end speaks against this one alone.
+	// Canary is set for a message suspected of terminating the replica process
+	// that runs it. If possible, it is sent to a replica that runs no other
+	// request of this node, so that a termination loses no other request and
+	// can be attributed to this message.
 	Canary bool
 }
 
-// allowsRegion tells whether a replica may take the message.
-func (t *SelectionCriteria) allowsRegion(handle *Handle) bool {
-	return len(t.Regions) == 0 || slices.Contains(t.Regions, handle.replica.Place.Region)
+// allowsRegion reports whether the replica is in an allowed region.
+func (c *SelectionCriteria) allowsRegion(handle *Handle) bool {
+	return len(c.Regions) == 0 || slices.Contains(c.Regions, handle.replica.Place.Region)
 }
 
-// lateAfter returns the time after which an answer from a distance is late.
-func (t *SelectionCriteria) lateAfter(handle *Handle) time.Duration {
-	if usual := t.Baseline.Median(handle.distance); usual > 0 {
-		return lateRatio * usual
+// lateAfter returns the time after which an answer from the replica is late.
+func (c *SelectionCriteria) lateAfter(handle *Handle) time.Duration {
+	if median := c.Baseline.Median(handle.distance); median > 0 {
+		return lateRatio * median
 	}
-	return t.LateAfter
+	return c.LateAfter
 }
 
-// MaxLateAfter is the time after which an answer from any distance that is known
-// is late.
-func (t *SelectionCriteria) MaxLateAfter() time.Duration {
-	if most := t.Baseline.FarthestMedian(); most > 0 {
-		return lateRatio * most
+// MaxLateAfter returns the time after which an answer is late from the farthest
+// distance with a known latency.
+func (c *SelectionCriteria) MaxLateAfter() time.Duration {
+	if farthest := c.Baseline.FarthestMedian(); farthest > 0 {
+		return lateRatio * farthest
 	}
-	return t.LateAfter
+	return c.LateAfter
 }
 
-// AcquireResult is a replica chosen for a message.
+// AcquireResult is the outcome of AcquireForMessage.
 type AcquireResult struct {
-	// Handle is nil when there is none.
+	// Handle is the selected replica, nil if there is none.
 	Handle *Handle
 	// LateAfter is the time after which the replica's answer is late.
 	LateAfter time.Duration
-	// Busy is true when there is none now, but one that only lacks connections.
+	// Busy is set if no replica is available now but one would be with fewer
+	// requests in flight.
 	Busy bool
-	// Exhausted is true when there is none, as each that may take the message was tried.
+	// Exhausted is set if every replica that may take the message has been
+	// tried.
 	Exhausted bool
 }
 
-// AcquireForMessage is Acquire for a message.
-func (p *Pool) AcquireForMessage(groupName string, terms *SelectionCriteria, tried []*Handle) AcquireResult {
+// AcquireForMessage selects a replica for a message and counts a request in
+// flight to it until Forward ends it.
+func (p *Pool) AcquireForMessage(groupName string, criteria *SelectionCriteria, tried []*Handle) AcquireResult {
 	found := p.current().groups[groupName]
 	if found == nil {
 		return AcquireResult{}
@@ -76,8 +82,8 @@
 	now := p.options.Now()
 	busy, exhausted := false, true
 	describe := func(handle *Handle) decision.Candidate {
-		candidate := handle.candidateFor(now, terms)
-		if terms.Canary {
+		candidate := handle.candidateFor(now, criteria)
+		if criteria.Canary {
 			candidate.Limit = 1
 		}
 		untried := !candidate.Barred && !slices.Contains(tried, handle)
@@ -85,62 +91,64 @@
 		exhausted = exhausted && !untried
 		return candidate
 	}
-	chosen := p.chooseFrom(found.handles, terms.Weights, tried, choose, now, describe)
+	chosen := p.chooseFrom(found.handles, criteria.Weights, tried, choose, now, describe)
 	if chosen == nil {
 		return AcquireResult{Busy: busy, Exhausted: exhausted}
 	}
 	chosen.recordSent(now)
 	p.metrics.observeChoice(chosen.distance, len(tried) > 0)
-	return AcquireResult{Handle: chosen, LateAfter: terms.lateAfter(chosen)}
+	return AcquireResult{Handle: chosen, LateAfter: criteria.lateAfter(chosen)}
 }
 
-// CountServableGroups counts those of some groups that have a replica which may take a message
-// now, though it may have to wait for a connection.
-func (p *Pool) CountServableGroups(groups []string, terms *SelectionCriteria) int {
-	seen, now := p.current(), p.options.Now()
-	mayTake := func(handle *Handle) bool { return handle.mayTake(terms, now) }
+// CountServableGroups returns how many of the groups have a replica that may
+// take a message now, possibly after waiting for a connection.
+func (p *Pool) CountServableGroups(groups []string, criteria *SelectionCriteria) int {
+	current, now := p.current(), p.options.Now()
+	mayTake := func(handle *Handle) bool { return handle.mayTake(criteria, now) }
 	servable := 0
 	for _, name := range groups {
-		if found := seen.groups[name]; found != nil && slices.ContainsFunc(found.handles, mayTake) {
+		if found := current.groups[name]; found != nil && slices.ContainsFunc(found.handles, mayTake) {
 			servable++
 		}
 	}
 	return servable
 }
 
-// candidateFor is candidate with the latency that a message is expected to
-// have there.
-func (h *Handle) candidateFor(now time.Time, terms *SelectionCriteria) decision.Candidate {
+// candidateFor describes the replica for the selection of a message's replica,
+// with the latency expected for that kind of message.
+func (h *Handle) candidateFor(now time.Time, criteria *SelectionCriteria) decision.Candidate {
 	candidate := h.candidate(now)
 	age := now.Sub(h.created)
-	usual := terms.Baseline.Median(h.distance)
-	candidate.LatencyEWMA = time.Duration(h.slowdown.factor(age) / h.lossRate.successRate(age) * float64(usual))
+	median := criteria.Baseline.Median(h.distance)
+	candidate.LatencyEWMA = time.Duration(h.slowdown.factor(age) / h.lossRate.successRate(age) * float64(median))
 	candidate.ConnectionAvailable = candidate.ConnectionAvailable && candidate.InFlight < candidate.Limit
-	candidate.Barred = !h.mayTake(terms, now)
-	candidate.Warmth = 1 // the replica's own speed tells whether it is slow
+	candidate.Barred = !h.mayTake(criteria, now)
+	candidate.Warmth = 1 // slowness during warm-up is covered by slowdown
 	candidate.Ejected = candidate.Ejected || h.vanished.Load()
-	candidate.Silent = h.silence.duration(age, h.inFlight.Load()) > terms.lateAfter(h)
+	candidate.Silent = h.silence.duration(age, h.inFlight.Load()) > criteria.lateAfter(h)
 	return candidate
 }
 
-// mayTake tells whether a message may be sent there at all. One that is displaced is out
-// for good, though it is the last of its group that is listed: each message for it would
-// be an arrival at another group, which the retry budget of that one does not account for.
-func (h *Handle) mayTake(terms *SelectionCriteria, now time.Time) bool {
-	return terms.allowsRegion(h) && h.coldLimiter.hasCapacity(now) && !h.addressReused.Load()
+// mayTake reports whether a message may be sent to the replica at all. A
+// replica whose address was reused stays excluded even if it is the last one
+// listed in its group: each message for it would arrive at another group, whose
+// retry budget does not account for it.
+func (h *Handle) mayTake(criteria *SelectionCriteria, now time.Time) bool {
+	return criteria.allowsRegion(h) && h.coldLimiter.hasCapacity(now) && !h.addressReused.Load()
 }
 
 func (h *Handle) recordSent(now time.Time) {
 	h.silence.requestSent(now.Sub(h.created), h.inFlight.Load())
 }
 
-// Forward sends a message to an acquired replica, once, and releases it. A part
-// of a scattered query must be a success.
-func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, terms *SelectionCriteria, scattered bool) SubrequestResult {
+// Forward sends a message to an acquired replica, at most once, and releases
+// the handle. For a part of a scattered query, only a success status counts as
+// Success.
+func (p *Pool) Forward(ctx context.Context, handle *Handle, message *upstream.Message, timeout time.Duration, criteria *SelectionCriteria, scattered bool) SubrequestResult {
 	defer handle.release()
-	started := p.options.Now()
+	start := p.options.Now()
 	reply, err := handle.upstream.Exchange(ctx, p.options.Codec, message, handle.replica.Incarnation, timeout)
-	running := handle.inFlight.Load() // before the others that break with it have ended
+	running := handle.inFlight.Load() // read before other requests on a terminated replica end
 	result := classifyForward(reply, err, scattered)
 	if handle.upstream.HasEnded(ctx, err) {
 		result.Outcome = decision.Ended
@@ -149,20 +157,21 @@
 	if result.Outcome == decision.Elsewhere {
 		p.markAddressReused(handle)
 	}
-	p.recordForward(ctx, handle, result, started, terms)
+	p.recordForward(ctx, handle, result, start, criteria)
 	p.metrics.outcomes[result.Outcome].Inc()
 	return result
 }
 
-// markAddressReused notes that another process answers at a replica's address. As each process
-// has an incarnation of its own, the one of the handle has ended.
+// markAddressReused records that another process answers at the replica's
+// address. Every process has its own incarnation, so the handle's process is
+// gone.
 func (p *Pool) markAddressReused(handle *Handle) {
 	if !handle.addressReused.Swap(true) && p.options.OnAddressReused != nil {
 		p.options.OnAddressReused(handle.replica)
 	}
 }
 
-// classifyForward tells what an exchange means for the query.
+// classifyForward converts the result of an exchange into a SubrequestResult.
 func classifyForward(reply *upstream.Reply, err error, scattered bool) SubrequestResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotAccepted):
@@ -174,57 +183,57 @@
 	case err != nil:
 		return SubrequestResult{Outcome: decision.Failed, Err: err}
 	case reply.Elsewhere:
-		return SubrequestResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("another process is at the address")}
+		return SubrequestResult{Outcome: decision.Elsewhere, NotRun: true, Err: eris.New("address is in use by another process")}
 	case reply.NotRun:
 		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: eris.Errorf("refused with status %d", reply.Status)}
 	case reply.Signature == "":
-		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Errorf("status %d without a signature", reply.Status)}
+		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Errorf("reply with status %d has no signature", reply.Status)}
 	case scattered:
 		return classifyScattered(reply)
 	case reply.Status >= minServerErrorStatus:
-		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("unexpected status %d", reply.Status)}
 	default:
 		return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 	}
 }
 
-// minServerErrorStatus is the least status that tells of a failure of the replica.
+// minServerErrorStatus is the lowest HTTP status that indicates a server error.
 const minServerErrorStatus = 500
 
 func classifyScattered(reply *upstream.Reply) SubrequestResult {
 	if !reply.Succeeded() {
-		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("status %d", reply.Status)}
+		return SubrequestResult{Outcome: decision.Failed, UpstreamReply: reply, Err: eris.Errorf("unexpected status %d", reply.Status)}
 	}
 	return SubrequestResult{Outcome: decision.Success, UpstreamReply: reply}
 }
 
-// recordForward updates what is known of the replica.
-func (p *Pool) recordForward(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time, terms *SelectionCriteria) {
+// recordForward updates the replica's health and latency estimates.
+func (p *Pool) recordForward(ctx context.Context, handle *Handle, result SubrequestResult, start time.Time, criteria *SelectionCriteria) {
 	now := p.options.Now()
-	elapsed := now.Sub(started)
+	elapsed := now.Sub(start)
 	age := now.Sub(handle.created)
-	givenUp := ctx.Err() != nil
-	if !givenUp && !result.Outcome.NotSent() {
+	canceled := ctx.Err() != nil
+	if !canceled && !result.Outcome.NotSent() {
 		handle.silence.replyReceived(age)
 	}
-	late := elapsed > terms.lateAfter(handle)
-	if usual := terms.Baseline.Median(handle.distance); usual > 0 && (result.Outcome == decision.Success || (givenUp && late)) {
-		handle.slowdown.observe(age, usual, float64(elapsed)/float64(usual))
+	late := elapsed > criteria.lateAfter(handle)
+	if median := criteria.Baseline.Median(handle.distance); median > 0 && (result.Outcome == decision.Success || (canceled && late)) {
+		handle.slowdown.observe(age, median, float64(elapsed)/float64(median))
 	}
 	if result.Outcome == decision.Success {
-		terms.Baseline.record(handle.distance, elapsed)
+		criteria.Baseline.record(handle.distance, elapsed)
 	}
-	ended := Observation{Outcome: result.Outcome, Canceled: givenUp, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
+	observation := Observation{Outcome: result.Outcome, Canceled: canceled, Elapsed: elapsed, RetryAfter: result.RetryAfter, Late: late}
 	if result.Outcome == decision.Unreached && !errors.Is(result.Err, upstream.ErrConnectionLimit) {
-		ended.Outcome = decision.Failed // for the replica's health, not to be reached is a failure
+		observation.Outcome = decision.Failed // an unreachable replica is unhealthy
 	}
 	if result.Outcome == decision.Reset || result.Outcome == decision.Ended {
-		ended.Outcome = decision.Failed // it may be a fault of the replica, and others may have none
+		observation.Outcome = decision.Failed // possibly a fault of this replica only
 	}
 	if errors.Is(result.Err, syscall.ECONNRESET) {
-		handle.decreaseLimit() // a replica that is full resets connections
+		handle.decreaseLimit() // a replica at its connection limit resets connections
 	}
-	if handle.Health.Observe(now, ended) {
+	if handle.Health.Observe(now, observation) {
 		p.metrics.ejections.Inc()
 	}
 }
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -14,29 +14,31 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// SubrequestResult is what came of one sub-request.
+// SubrequestResult is the result of one sub-request.
 type SubrequestResult struct {
 	Outcome decision.Outcome
-	// NotRun is true only when the replica provably did not run it.
+	// NotRun is set only if the replica provably did not run the sub-request.
 	NotRun     bool
 	RetryAfter time.Duration
-	// Reply is set on Success and has passed its checks.
+	// Reply is the validated reply to a search. It is set on Success.
 	Reply *backendapi.SearchReply
-	// UpstreamReply is the whole answer to a message. It is set on Success, and on
-	// Failed when the replica itself answered with a failure.
+	// UpstreamReply is the complete reply to a message. It is set on Success,
+	// and on Failed if the replica answered with an error status.
 	UpstreamReply *upstream.Reply
-	// Blame is, for Ended, the share of it that falls on this sub-request: one, divided by
-	// the number of those of this node that the replica was running.
+	// Blame is set for the outcome Ended, that is, if the replica's process
+	// terminated while running the sub-request. It is 1 divided by the number
+	// of this node's requests that the replica was running.
 	Blame float64
 	Err   error
 }
 
-// Search sends one sub-request to an acquired replica, once, and releases it.
+// Search sends one sub-request to an acquired replica, at most once, and
+// releases the handle.
 func (p *Pool) Search(ctx context.Context, handle *Handle, request *backendapi.SearchRequest) SubrequestResult {
 	defer handle.release()
-	started := p.options.Now()
+	start := p.options.Now()
 	result := p.searchOnce(ctx, handle, request)
-	p.recordSearch(ctx, handle, result, started)
+	p.recordSearch(ctx, handle, result, start)
 	p.metrics.outcomes[result.Outcome].Inc()
 	return result
 }
@@ -45,28 +47,28 @@
 	if handle.viaPeer {
 		return p.forwardSearch(ctx, handle, request)
 	}
-	exchanged := p.post(ctx, handle, handle.urls.search, request)
-	defer exchanged.release()
-	return p.classifySearch(handle, request, &exchanged)
+	result := p.post(ctx, handle, handle.urls.search, request)
+	defer result.release()
+	return p.classifySearch(handle, request, &result)
 }
 
-func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, exchanged *exchangeResult) SubrequestResult {
+func (p *Pool) classifySearch(handle *Handle, request *backendapi.SearchRequest, result *exchangeResult) SubrequestResult {
 	switch {
-	case exceedsConnectionBudget(exchanged.err):
-		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: exchanged.err}
-	case exchanged.err != nil:
-		return SubrequestResult{Outcome: decision.Failed, NotRun: exchanged.notSent, Err: exchanged.err}
-	case exchanged.status == http.StatusOK:
-		return p.decodeReply(handle, request, exchanged.body)
+	case exceedsConnectionBudget(result.err):
+		return SubrequestResult{Outcome: decision.Shed, NotRun: true, Err: result.err}
+	case result.err != nil:
+		return SubrequestResult{Outcome: decision.Failed, NotRun: result.notSent, Err: result.err}
+	case result.status == http.StatusOK:
+		return p.decodeReply(handle, request, result.body)
 	default:
-		return p.decodeRefusal(handle, exchanged)
+		return p.decodeRefusal(handle, result)
 	}
 }
 
 func (p *Pool) decodeReply(handle *Handle, request *backendapi.SearchRequest, body []byte) SubrequestResult {
 	reply, err := decodeSearchReply(body)
 	if err != nil {
-		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Wrap(err, "decode the reply")}
+		return SubrequestResult{Outcome: decision.Invalid, Err: eris.Wrap(err, "decode reply")}
 	}
 	if err := validateReply(request, reply); err != nil {
 		return SubrequestResult{Outcome: decision.Invalid, Err: err}
@@ -75,16 +77,16 @@
 	return SubrequestResult{Outcome: decision.Success, Reply: reply}
 }
 
-// decodeSearchReply decodes a whole reply. It is the costliest part of a
-// sub-request that is ours, so it uses a faster library than encoding/json;
-// FuzzDecodeSearchReply holds it to the same verdicts.
+// decodeSearchReply decodes a complete reply. Decoding is the most expensive
+// local part of a sub-request, so it uses a faster library than encoding/json.
+// FuzzDecodeSearchReply checks it against encoding/json.
 func decodeSearchReply(body []byte) (*backendapi.SearchReply, error) {
 	reply := &backendapi.SearchReply{}
 	err := gojson.Unmarshal(body, reply)
 	return reply, err
 }
 
-// applyReplyState takes in what a reply says of its replica.
+// applyReplyState records the load and the draining state reported in a reply.
 func (p *Pool) applyReplyState(handle *Handle, load backendapi.Load, draining bool, incarnation string) {
 	handle.ObserveLoad(load)
 	if !draining || p.options.Tracker == nil {
@@ -96,33 +98,33 @@
 	p.options.Tracker.MarkLeaving(handle.replica.Address, incarnation)
 }
 
-// parseRefusal returns the parseRefusal in an exchange, or nil if it is not one: only a
-// decoded body that says so proves that the request did not run.
-func parseRefusal(exchanged *exchangeResult) *backendapi.Refusal {
-	switch exchanged.status {
+// parseRefusal returns the refusal in a response, or nil if there is none. Only
+// a decoded body with NotRun set proves that the request did not run.
+func parseRefusal(result *exchangeResult) *backendapi.Refusal {
+	switch result.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGone:
 	default:
 		return nil
 	}
-	refused := &backendapi.Refusal{}
-	if err := json.Unmarshal(exchanged.body, refused); err != nil || !refused.NotRun {
+	refusal := &backendapi.Refusal{}
+	if err := json.Unmarshal(result.body, refusal); err != nil || !refusal.NotRun {
 		return nil
 	}
-	return refused
+	return refusal
 }
 
-func (p *Pool) decodeRefusal(handle *Handle, exchanged *exchangeResult) SubrequestResult {
-	refused := parseRefusal(exchanged)
-	if refused == nil {
-		return SubrequestResult{Outcome: decision.Failed, Err: eris.Errorf("status %d", exchanged.status)}
+func (p *Pool) decodeRefusal(handle *Handle, result *exchangeResult) SubrequestResult {
+	refusal := parseRefusal(result)
+	if refusal == nil {
+		return SubrequestResult{Outcome: decision.Failed, Err: eris.Errorf("unexpected status %d", result.status)}
 	}
-	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
-	p.applyReplyState(handle, refused.Load, draining, refused.Incarnation)
+	draining := refusal.Draining || refusal.Reason == backendapi.RefusedDraining
+	p.applyReplyState(handle, refusal.Load, draining, refusal.Incarnation)
 	return SubrequestResult{
-		Outcome:    refusalOutcome(refused.Reason),
+		Outcome:    refusalOutcome(refusal.Reason),
 		NotRun:     true,
-		RetryAfter: time.Duration(refused.RetryAfterMilliseconds) * time.Millisecond,
-		Err:        eris.Errorf("refused: %s", refused.Reason),
+		RetryAfter: time.Duration(refusal.RetryAfterMilliseconds) * time.Millisecond,
+		Err:        eris.Errorf("refused: %s", refusal.Reason),
 	}
 }
 
@@ -141,9 +143,9 @@
 	}
 }
 
-// recordSearch updates the health of the replica and of its group by an outcome.
-func (p *Pool) recordSearch(ctx context.Context, handle *Handle, result SubrequestResult, started time.Time) {
+// recordSearch updates the health of the replica and of its group.
+func (p *Pool) recordSearch(ctx context.Context, handle *Handle, result SubrequestResult, start time.Time) {
 	now := p.options.Now()
-	ended := Observation{Outcome: result.Outcome, Canceled: ctx.Err() != nil, Elapsed: now.Sub(started), RetryAfter: result.RetryAfter}
-	handle.observe(now, ended)
+	observation := Observation{Outcome: result.Outcome, Canceled: ctx.Err() != nil, Elapsed: now.Sub(start), RetryAfter: result.RetryAfter}
+	handle.observe(now, observation)
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -7,16 +7,18 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Status is what this daemon knows of one replica process, for operators.
+// Status describes one replica process for operators.
 type Status struct {
 	Address     string         `json:"address" msgpack:"a"`
 	Incarnation string         `json:"incarnation" msgpack:"n"`
 	Group       string         `json:"group" msgpack:"g"`
 	Place       topology.Place `json:"place" msgpack:"p"`
-	// InFlight is this daemon's requests; Limit is its adaptive limit.
+	// InFlight is the number of this daemon's requests in flight; Limit is the
+	// adaptive concurrency limit.
 	InFlight int `json:"in_flight" msgpack:"f"`
 	Limit    int `json:"limit" msgpack:"l"`
-	// Connections are open; ConnectionBudget is how many may be.
+	// Connections is the number of open connections; ConnectionBudget limits
+	// it.
 	Connections      int     `json:"connections" msgpack:"c"`
 	ConnectionBudget int     `json:"connection_budget" msgpack:"b"`
 	LatencyMicros    int64   `json:"latency_us" msgpack:"u"`
@@ -24,12 +26,12 @@
 	Ejected          bool    `json:"ejected" msgpack:"e"`
 }
 
-// Statuses returns the replicas that take new work, sorted by address.
+// Statuses returns the replicas that accept new work, sorted by address.
 func (p *Pool) Statuses() []Status {
 	now := p.options.Now()
-	seen := p.current()
-	all := make([]Status, 0, len(seen.handles))
-	for _, handle := range seen.handles {
+	current := p.current()
+	all := make([]Status, 0, len(current.handles))
+	for _, handle := range current.handles {
 		candidate := handle.candidate(now)
 		all = append(all, Status{
 			Address: handle.replica.Address, Incarnation: handle.replica.Incarnation,
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -19,17 +19,16 @@
 	"github.com/doorpond/doorpond/internal/certificates"
 )
 
-// Protocol is the HTTP version spoken to back ends.
+// Protocol is the HTTP version used for backends.
 type Protocol string
 
-// The protocols.
+// Supported protocols.
 const (
 	ProtocolHTTP1 Protocol = "http1"
-	// ProtocolH2C is HTTP/2 without TLS, by prior knowledge.
+	// ProtocolH2C is HTTP/2 over plaintext TCP with prior knowledge.
 	ProtocolH2C Protocol = "h2c"
 )
 
-// The constants of a transport.
 const (
 	idleTimeout       = 60 * time.Second
 	dialTimeout       = time.Second
@@ -38,16 +37,16 @@
 	maxPooledBuffer   = 256 << 10
 )
 
-// PostResult is what came of one POST to a replica.
+// PostResult is the result of one POST to a replica.
 type PostResult struct {
 	Status int
 	Body   []byte
 	Err    error
-	// NotSent is true only when no byte of the request was written.
+	// NotSent is set only if no byte of the request was written.
 	NotSent bool
 }
 
-// PostFunc carries one POST to a replica, at most once.
+// PostFunc sends a POST to a replica, at most once.
 type PostFunc func(ctx context.Context, address, path string, body []byte) PostResult
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
@@ -74,7 +73,8 @@
 	}
 }
 
-// trackedConnection counts its bytes written and reports its close once.
+// trackedConnection counts the bytes written and calls closed once when it is
+// closed.
 type trackedConnection struct {
 	net.Conn
 	written atomic.Int64
@@ -82,8 +82,8 @@
 	closed  func()
 }
 
-// Write counts before it writes, so that a write under way is never taken for
-// none.
+// Write counts before writing, so that a write in progress is never mistaken
+// for none.
 func (c *trackedConnection) Write(data []byte) (int, error) {
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
@@ -95,19 +95,20 @@
 	return err
 }
 
-// exchangeResult is what came of one POST to a replica.
+// exchangeResult is the result of one HTTP exchange with a replica.
 type exchangeResult struct {
 	status int
 	body   []byte
 	err    error
-	// notSent is true only when no byte of the request was written.
+	// notSent is set only if no byte of the request was written.
 	notSent bool
 	buffer  *bytes.Buffer
 }
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// release gives the body's memory back.
+// release returns the body's buffer to the pool. The body must not be used
+// afterwards.
 func (e *exchangeResult) release() {
 	if e.buffer != nil && e.buffer.Cap() <= maxPooledBuffer {
 		buffers.Put(e.buffer)
@@ -117,7 +118,7 @@
 
 var requestHeader = http.Header{"Content-Type": {"application/json"}}
 
-// writeTracker finds out whether any byte of a request was written.
+// writeTracker detects whether any byte of a request was written.
 type writeTracker struct {
 	connection atomic.Pointer[trackedConnection]
 	before     atomic.Int64
@@ -134,8 +135,8 @@
 	w.connection.Store(connection)
 }
 
-// provesNothingWritten is only sure when the exchange has failed by itself; after a
-// cancellation the transport may still be writing.
+// provesNothingWritten reports whether certainly no byte was written. It must
+// not be used after a cancellation, when the transport may still be writing.
 func (w *writeTracker) provesNothingWritten(multiplex bool) bool {
 	if w.unknown.Load() {
 		return false
@@ -147,21 +148,21 @@
 	return !multiplex && connection.written.Load() == w.before.Load()
 }
 
-// post sends one request once: there is no GetBody and no idempotency header,
-// so net/http does not replay it after a byte was written.
+// post sends one request at most once. GetBody and idempotency headers are not
+// set, so that net/http does not retry it after a byte was written.
 func (p *Pool) post(ctx context.Context, handle *Handle, target *url.URL, message any) exchangeResult {
 	encoded, err := json.Marshal(message)
 	if err != nil {
-		return exchangeResult{err: eris.Wrap(err, "encode the request"), notSent: true}
+		return exchangeResult{err: eris.Wrap(err, "encode request"), notSent: true}
 	}
 	if p.options.Post != nil {
-		came := p.options.Post(ctx, target.Host, target.Path, encoded)
-		return exchangeResult{status: came.Status, body: came.Body, err: came.Err, notSent: came.NotSent}
+		posted := p.options.Post(ctx, target.Host, target.Path, encoded)
+		return exchangeResult{status: posted.Status, body: posted.Body, err: posted.Err, notSent: posted.NotSent}
 	}
-	watch := &writeTracker{}
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: watch.gotConnection})
-	// net/http knows this type to be in memory and writes header and body at
-	// once; it does not know how to read it again, as GetBody is not set.
+	tracker := &writeTracker{}
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: tracker.gotConnection})
+	// net/http recognizes this type as an in-memory body and writes header and
+	// body together. It cannot rewind it because GetBody is not set.
 	body := io.NopCloser(bytes.NewReader(encoded))
 	request := (&http.Request{
 		Method: http.MethodPost, URL: target, Host: target.Host, Header: requestHeader,
@@ -169,28 +170,28 @@
 	}).WithContext(traced)
 	response, err := handle.transport.RoundTrip(request)
 	if err != nil {
-		gaveUp := ctx.Err() != nil && watch.connection.Load() != nil
+		canceled := ctx.Err() != nil && tracker.connection.Load() != nil
 		return exchangeResult{
 			err:     eris.Wrapf(err, "post to %s", target.Host),
-			notSent: !gaveUp && watch.provesNothingWritten(handle.multiplex),
+			notSent: !canceled && tracker.provesNothingWritten(handle.multiplex),
 		}
 	}
 	return readBody(response, p.options.MaxReplyBytes)
 }
 
-var errReplyTooLarge = eris.New("reply over the size limit")
+var errReplyTooLarge = eris.New("reply exceeds size limit")
 
-// readBody reads the whole body, of so many bytes at most. A body that is over the limit or broken is
-// closed unread, and its connection with it.
+// readBody reads the body, which must not exceed limit bytes. If it does or is
+// truncated, the connection is closed.
 func readBody(response *http.Response, limit int64) exchangeResult {
-	defer func() { _ = response.Body.Close() }() // the reading has failed already if this does
+	defer func() { _ = response.Body.Close() }() // a read error has been reported already
 	buffer := buffers.Get().(*bytes.Buffer)
 	buffer.Reset()
 	result := exchangeResult{status: response.StatusCode, buffer: buffer}
 	size, err := buffer.ReadFrom(io.LimitReader(response.Body, limit+1))
 	switch {
 	case err != nil:
-		result.err = eris.Wrap(err, "read the reply")
+		result.err = eris.Wrap(err, "read reply")
 	case size > limit:
 		result.err = errReplyTooLarge
 	}
@@ -200,7 +201,7 @@
 
 func exceedsConnectionBudget(err error) bool { return errors.Is(err, errConnectionBudget) }
 
-// dialTCP is the dial function used unless options give another.
+// dialTCP is the default dial function.
 func dialTCP(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: idleTimeout}
 	return dialer.DialContext(ctx, network, address)
