--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -10,16 +10,16 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// coldWindow is the span in which what a cold replica receives is counted.
+// coldWindow is the sliding window over which requests to a cold replica are
+// counted.
 const coldWindow = time.Second
 
-// unlimited is the share of a replica that is not cold, or whose rate is not stated.
+// unlimited is the limit of a replica that is not cold or declares no rate.
 const unlimited = -1
 
-// coldLimit returns how many requests this node may send to a replica in any one second.
-// Cold replicas that are sent more than they bear fall over, and with them the zone that
-// has just come back: with a rate of 8 a second, a day on which two zones came back cold
-// earned 0.65 of its credit without the bound and 0.99 with it (one play of each).
+// coldLimit returns how many requests per second this node may send to a
+// replica. A cold replica that receives more than it can handle fails, and a
+// zone that comes back cold can fail as a whole.
 func (v *view) coldLimit(replica topology.Replica) int {
 	if replica.ColdRate == 0 {
 		return unlimited
@@ -30,7 +30,8 @@
 	return decision.ColdShare(replica.ColdRate, v.members.Self.ID, v.sharingNodes(), replica.Place.Zone)
 }
 
-// sameSharingNodes tells whether the same nodes divide what cold replicas take.
+// sameSharingNodes reports whether the cold rates are divided among the same
+// nodes in both views.
 func (v *view) sameSharingNodes(other *view) bool {
 	return slices.Equal(v.sharingNodes(), other.sharingNodes())
 }
@@ -42,53 +43,54 @@
 	return v.members.Sharing
 }
 
-// coldLimiter lets so many requests pass in any one second. Its zero value lets all pass. It
-// is safe for concurrent use.
+// coldLimiter is a sliding-window rate limiter for a cold replica. The zero
+// value admits every request. It is safe for concurrent use.
 type coldLimiter struct {
 	limited atomic.Bool
 	limit   atomic.Int64
 	mutex   sync.Mutex
-	// admitted are the times of the latest requests, oldest first, no more than share.
+	// admitted holds the times of the latest requests, oldest first, at most
+	// limit of them.
 	admitted []time.Time
 }
 
-// setLimit takes the number of requests that may pass in any one second, or unbounded.
-func (g *coldLimiter) setLimit(share int) {
-	g.limit.Store(int64(share))
-	g.limited.Store(share != unlimited)
+// setLimit sets the number of requests admitted per window, or unlimited.
+func (l *coldLimiter) setLimit(limit int) {
+	l.limit.Store(int64(limit))
+	l.limited.Store(limit != unlimited)
 }
 
-// hasCapacity tells whether a request may pass now.
-func (g *coldLimiter) hasCapacity(now time.Time) bool {
-	if !g.limited.Load() {
+// hasCapacity reports whether a request would be admitted now.
+func (l *coldLimiter) hasCapacity(now time.Time) bool {
+	if !l.limited.Load() {
 		return true
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.prune(now)
-	return int64(len(g.admitted)) < g.limit.Load()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.prune(now)
+	return int64(len(l.admitted)) < l.limit.Load()
 }
 
-// admit counts a request, if one may admit now.
-func (g *coldLimiter) admit(now time.Time) bool {
-	if !g.limited.Load() {
+// admit counts a request and returns true if the limit allows it.
+func (l *coldLimiter) admit(now time.Time) bool {
+	if !l.limited.Load() {
 		return true
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.prune(now)
-	if int64(len(g.admitted)) >= g.limit.Load() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.prune(now)
+	if int64(len(l.admitted)) >= l.limit.Load() {
 		return false
 	}
-	g.admitted = append(g.admitted, now)
+	l.admitted = append(l.admitted, now)
 	return true
 }
 
-// prune drops the requests of more than a second ago.
-func (g *coldLimiter) prune(now time.Time) {
+// prune drops requests that have left the window.
+func (l *coldLimiter) prune(now time.Time) {
 	first := 0
-	for first < len(g.admitted) && now.Sub(g.admitted[first]) >= coldWindow {
+	for first < len(l.admitted) && now.Sub(l.admitted[first]) >= coldWindow {
 		first++
 	}
-	g.admitted = append(g.admitted[:0], g.admitted[first:]...)
+	l.admitted = append(l.admitted[:0], l.admitted[first:]...)
 }
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -9,37 +9,36 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The constants of the connection budget.
 const (
-	// connectionReserve is the part of a replica's limit that is left free for
-	// daemons that are not known yet.
+	// connectionReserve is the fraction of a replica's connection limit kept
+	// free for daemons that are not known yet.
 	connectionReserve = 0.1
-	// maxReplicasPerDaemon is how many replicas of a group a daemon may connect to when
-	// not all daemons can connect to all.
+	// maxReplicasPerDaemon limits how many replicas of a group a daemon
+	// connects to when there are not enough connections for all daemons.
 	maxReplicasPerDaemon = 4
 )
 
-// ConnectionPlan divides the connections of replicas among the daemons. It is
-// a pure function of the members: daemons with the same members make the same
-// plan, each with itself as the point of view.
+// ConnectionPlan divides the connections to replicas among the daemons. It is a
+// pure function of the member list, so daemons with the same list compute the
+// same plan.
 type ConnectionPlan struct {
 	self     topology.Member
 	selfZone int
-	selfRank int // among the daemons of its own zone
+	selfRank int // index among the daemons of its zone
 	zones    []planZone
 	daemons  int
-	// distances has those from each zone to a place.
+	// distances caches the distance from each zone to a place.
 	distances map[topology.Place][]topology.Distance
 }
 
-// planZone has the daemons of one zone in the order of a hash.
+// planZone lists the daemons of one zone, ordered by the hash of their IDs.
 type planZone struct {
 	place   topology.Place
 	daemons []topology.Member
 	hashes  []uint64 // of the daemons' IDs
 }
 
-// NewConnectionPlan sorts the daemons that may hold connections by zone.
+// NewConnectionPlan builds the plan for the daemons that may hold connections.
 func NewConnectionPlan(members topology.Members) *ConnectionPlan {
 	holders := []topology.Member{members.Self}
 	for _, member := range members.Members {
@@ -57,7 +56,7 @@
 	return plan
 }
 
-// holdsConnections is true for a member that may still have connections.
+// holdsConnections reports whether a member may still have open connections.
 func holdsConnections(member topology.Member) bool {
 	return member.State < topology.MemberDead
 }
@@ -76,7 +75,7 @@
 	return zones
 }
 
-func sortByHash(daemons []topology.Member) (sorted []topology.Member, hashOf []uint64) {
+func sortByHash(daemons []topology.Member) (sorted []topology.Member, sortedHashes []uint64) {
 	hashes := make(map[string]uint64, len(daemons))
 	for i := range daemons {
 		hashes[daemons[i].ID] = xxhash.Sum64String(daemons[i].ID)
@@ -85,109 +84,114 @@
 		return cmp.Or(cmp.Compare(hashes[a.ID], hashes[b.ID]), cmp.Compare(a.ID, b.ID))
 	})
 	for i := range daemons {
-		hashOf = append(hashOf, hashes[daemons[i].ID])
+		sortedHashes = append(sortedHashes, hashes[daemons[i].ID])
 	}
-	return daemons, hashOf
+	return daemons, sortedHashes
 }
 
 func comparePlaces(a, b topology.Place) int {
 	return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone))
 }
 
-// usableConnections is the part of a replica's limit that is divided.
+// usableConnections returns the part of a replica's connection limit that is
+// divided among daemons.
 func usableConnections(replica topology.Replica) int {
 	return max(1, int(float64(replica.ConnectionLimit)*(1-connectionReserve)))
 }
 
-// GroupConnections says who connects to each replica of one group.
+// GroupConnections is the division of one group's connections: which daemons
+// connect to each replica.
 type GroupConnections struct {
 	plan        *ConnectionPlan
 	replicas    []topology.Replica
 	allocations []replicaAllocation
 }
 
-// replicaAllocation divides one replica's connections. Where all daemons can
-// connect, everyone is the number each has. Otherwise the daemons in the
-// windows get one each.
+// replicaAllocation divides the connections of one replica. If there are enough
+// for all daemons, perDaemon is the number each one gets. Otherwise the daemons
+// in ranges get one each.
 type replicaAllocation struct {
 	perDaemon int
-	remaining int // connections not given yet
+	remaining int // connections not assigned yet
 	ranges    []daemonRange
 }
 
-// daemonRange is a run of daemons of one zone, from start on and around the end.
+// daemonRange is a run of count daemons of one zone, wrapping around at the
+// end.
 type daemonRange struct {
 	zone, start, count int
 }
 
-// AllocateGroup divides the connections of a group's replicas, which must be all that
-// take new work, in the order of their addresses. With more daemons than
-// connections, each daemon gets one replica before any gets a second, from the
-// nearest zone that has connections left.
+// AllocateGroup divides the connections of a group. replicas must be all
+// replicas of the group that accept new work, sorted by address. If there are
+// fewer connections than daemons need, each daemon gets one replica before any
+// gets a second, taken from the nearest zone with connections left.
 func (p *ConnectionPlan) AllocateGroup(name string, replicas []topology.Replica) *GroupConnections {
-	division := &allocator{
+	alloc := &allocator{
 		plan: p, replicas: replicas, allocations: make([]replicaAllocation, len(replicas)),
 		cursors: make([]int, len(p.zones)),
 	}
-	if division.allocateEqually() {
-		division.prepare()
+	if alloc.allocateEqually() {
+		alloc.prepare()
 		first := int(xxhash.Sum64String(name) % uint64(p.daemons))
-		for at := range division.cursors {
-			division.cursors[at] = first
+		for at := range alloc.cursors {
+			alloc.cursors[at] = first
 		}
-		for turn := 0; turn < maxReplicasPerDaemon && division.remaining > 0; turn++ {
-			division.allocateOneEach(turn)
+		for round := 0; round < maxReplicasPerDaemon && alloc.remaining > 0; round++ {
+			alloc.allocateOneEach(round)
 		}
 	}
-	return &GroupConnections{plan: p, replicas: replicas, allocations: division.allocations}
+	return &GroupConnections{plan: p, replicas: replicas, allocations: alloc.allocations}
 }
 
-// allocator is the work of dividing the connections of one group.
+// allocator holds the state of dividing one group's connections.
 type allocator struct {
 	plan        *ConnectionPlan
 	replicas    []topology.Replica
 	allocations []replicaAllocation
-	// cursors say by zone which daemon is served next.
+	// cursors holds, by zone, the index of the next daemon to get a connection.
 	cursors []int
-	// distances has those from each zone, by replica.
+	// distances holds the distance from each zone, by replica.
 	distances [][]topology.Distance
-	remaining int   // connections not given yet
-	scratch   []int // memory for willing
+	remaining int   // connections not assigned yet
+	scratch   []int // buffer for withRemaining
 }
 
-// allocateEqually gives the connections of replicas that all daemons can reach; scarce
-// is true when there are others.
-func (d *allocator) allocateEqually() (scarce bool) {
-	for i, replica := range d.replicas {
-		share := &d.allocations[i]
+// allocateEqually divides the connections of the replicas that all daemons can
+// connect to. It reports whether there are others.
+func (a *allocator) allocateEqually() (scarce bool) {
+	for i, replica := range a.replicas {
+		allocation := &a.allocations[i]
 		usable := usableConnections(replica)
 		switch {
 		case replica.ConnectionLimit <= 0:
-			share.perDaemon = unlimitedConnections
-		case d.plan.daemons <= usable:
-			share.perDaemon = usable / d.plan.daemons
+			allocation.perDaemon = unlimitedConnections
+		case a.plan.daemons <= usable:
+			allocation.perDaemon = usable / a.plan.daemons
 		default:
-			share.remaining = usable
-			d.remaining += usable
+			allocation.remaining = usable
+			a.remaining += usable
 			scarce = true
 		}
 	}
 	return scarce
 }
 
-// preallocatedRanges of a replica need no more memory.
+// preallocatedRanges is the number of ranges per replica that fit into the
+// initial allocation.
 const preallocatedRanges = 2
 
-// prepare finds the distances and makes room for the windows.
-func (d *allocator) prepare() {
-	d.distances = make([][]topology.Distance, len(d.replicas))
-	windows := make([]daemonRange, len(d.replicas)*preallocatedRanges)
-	for i := range d.replicas {
-		d.distances[i] = d.plan.zoneDistances(d.replicas[i].Place)
-		d.allocations[i].ranges = windows[i*preallocatedRanges : i*preallocatedRanges : (i+1)*preallocatedRanges]
+// prepare computes the distances and preallocates the ranges.
+func (a *allocator) prepare() {
+	a.distances = make([][]topology.Distance, len(a.replicas))
+	ranges := make([]daemonRange, len(a.replicas)*preallocatedRanges)
+	for i := range a.replicas {
+		a.distances[i] = a.plan.zoneDistances(a.replicas[i].Place)
+		a.allocations[i].ranges = ranges[i*preallocatedRanges : i*preallocatedRanges : (i+1)*preallocatedRanges]
 	}
 }
 
+// zoneDistances returns the distance from each zone to a place.
 func (p *ConnectionPlan) zoneDistances(place topology.Place) []topology.Distance {
 	known, found := p.distances[place]
 	if !found {
@@ -199,111 +203,113 @@
 	return known
 }
 
-// allocateOneEach gives each daemon one more replica, nearest first, as far as
-// there are connections left.
-func (d *allocator) allocateOneEach(turn int) {
-	needs := make([]int, len(d.plan.zones))
-	for at := range needs {
-		needs[at] = len(d.plan.zones[at].daemons)
+// allocateOneEach assigns one more replica to each daemon, nearest first, while
+// connections remain.
+func (a *allocator) allocateOneEach(round int) {
+	needed := make([]int, len(a.plan.zones))
+	for at := range needed {
+		needed[at] = len(a.plan.zones[at].daemons)
 	}
 	for distance := topology.SameZone; distance <= topology.OtherRegion; distance++ {
-		for at := range needs {
-			needs[at] -= d.allocateInZone(at, needs[at], distance, turn)
+		for at := range needed {
+			needed[at] -= a.allocateInZone(at, needed[at], distance, round)
 		}
 	}
 }
 
-// allocateInZone gives so many daemons of a zone one connection each to the replicas at
-// a distance, in equal parts, and returns how many were served.
-func (d *allocator) allocateInZone(zone, needed int, distance topology.Distance, turn int) (served int) {
+// allocateInZone assigns one connection each to the given number of daemons of
+// a zone, spread evenly over the replicas at a distance. It returns the number
+// of daemons that got one.
+func (a *allocator) allocateInZone(zone, needed int, distance topology.Distance, round int) (assigned int) {
 	if needed == 0 {
 		return 0
 	}
-	willing := d.withRemaining(zone, distance)
-	for i := range willing {
-		at := willing[(i+turn)%len(willing)]
-		parts := len(willing) - i
-		count := min((needed-served+parts-1)/parts, d.allocations[at].remaining)
-		d.assign(at, zone, count)
-		served += count
+	replicas := a.withRemaining(zone, distance)
+	for i := range replicas {
+		at := replicas[(i+round)%len(replicas)]
+		parts := len(replicas) - i
+		count := min((needed-assigned+parts-1)/parts, a.allocations[at].remaining)
+		a.assign(at, zone, count)
+		assigned += count
 	}
-	for _, at := range willing { // what others could not take
-		count := min(needed-served, d.allocations[at].remaining)
-		d.assign(at, zone, count)
-		served += count
+	for _, at := range replicas { // assign what did not fit into the equal parts
+		count := min(needed-assigned, a.allocations[at].remaining)
+		a.assign(at, zone, count)
+		assigned += count
 	}
-	return served
+	return assigned
 }
 
-// withRemaining returns the replicas at a distance that have connections left.
-func (d *allocator) withRemaining(zone int, distance topology.Distance) []int {
-	d.scratch = d.scratch[:0]
-	for i := range d.allocations {
-		if d.distances[i][zone] == distance && d.allocations[i].remaining > 0 {
-			d.scratch = append(d.scratch, i)
+// withRemaining returns the replicas at a distance that have unassigned
+// connections. The result is valid until the next call.
+func (a *allocator) withRemaining(zone int, distance topology.Distance) []int {
+	a.scratch = a.scratch[:0]
+	for i := range a.allocations {
+		if a.distances[i][zone] == distance && a.allocations[i].remaining > 0 {
+			a.scratch = append(a.scratch, i)
 		}
 	}
-	return d.scratch
+	return a.scratch
 }
 
-func (d *allocator) assign(replica, zone, count int) {
+func (a *allocator) assign(replica, zone, count int) {
 	if count == 0 {
 		return
 	}
-	size := len(d.plan.zones[zone].daemons)
-	share := &d.allocations[replica]
-	share.remaining -= count
-	d.remaining -= count
-	share.ranges = append(share.ranges, daemonRange{zone: zone, start: d.cursors[zone] % size, count: count})
-	d.cursors[zone] += count
+	size := len(a.plan.zones[zone].daemons)
+	allocation := &a.allocations[replica]
+	allocation.remaining -= count
+	a.remaining -= count
+	allocation.ranges = append(allocation.ranges, daemonRange{zone: zone, start: a.cursors[zone] % size, count: count})
+	a.cursors[zone] += count
 }
 
-// Budget returns how many connections this daemon may hold to a replica. 0
+// Budget returns how many connections this daemon may open to a replica. Zero
 // means that it must not connect.
 func (g *GroupConnections) Budget(replica int) int {
 	return g.budgetOf(replica, g.plan.selfZone, g.plan.selfRank)
 }
 
 func (g *GroupConnections) budgetOf(replica, zone, rank int) int {
-	share := &g.allocations[replica]
-	if share.perDaemon > 0 {
-		return share.perDaemon
+	allocation := &g.allocations[replica]
+	if allocation.perDaemon > 0 {
+		return allocation.perDaemon
 	}
 	size := len(g.plan.zones[zone].daemons)
-	for _, w := range share.ranges {
-		if w.zone == zone && (rank-w.start+size)%size < w.count {
+	for _, r := range allocation.ranges {
+		if r.zone == zone && (rank-r.start+size)%size < r.count {
 			return 1
 		}
 	}
 	return 0
 }
 
-// Holder returns one of the daemons that may connect to a replica, chosen by
-// a random number; found is false when there is none.
+// Holder returns one of the daemons that may connect to a replica, selected by
+// random. It reports false if there is none.
 func (g *GroupConnections) Holder(replica int, random uint64) (holder topology.Member, found bool) {
-	share := &g.allocations[replica]
-	if share.perDaemon > 0 {
+	allocation := &g.allocations[replica]
+	if allocation.perDaemon > 0 {
 		return g.plan.daemonAt(int(random % uint64(g.plan.daemons))), true
 	}
-	holders := 0
-	for _, w := range share.ranges {
-		holders += w.count
+	total := 0
+	for _, r := range allocation.ranges {
+		total += r.count
 	}
-	if holders == 0 {
+	if total == 0 {
 		return topology.Member{}, false
 	}
-	position := int(random % uint64(holders))
-	for _, w := range share.ranges {
-		if position < w.count {
-			daemons := g.plan.zones[w.zone].daemons
-			return daemons[(w.start+position)%len(daemons)], true
+	position := int(random % uint64(total))
+	for _, r := range allocation.ranges {
+		if position < r.count {
+			daemons := g.plan.zones[r.zone].daemons
+			return daemons[(r.start+position)%len(daemons)], true
 		}
-		position -= w.count
+		position -= r.count
 	}
 	return topology.Member{}, false
 }
 
-// daemonAt returns one of all daemons.
+// daemonAt returns the daemon at a position in the list of all zones' daemons.
 func (p *ConnectionPlan) daemonAt(position int) topology.Member {
 	for at := range p.zones {
 		if position < len(p.zones[at].daemons) {
@@ -314,14 +320,16 @@
 	return p.self
 }
 
-// sameDaemons tells whether another plan divides connections alike.
+// sameDaemons reports whether other has the same daemons and therefore divides
+// connections in the same way.
 func (p *ConnectionPlan) sameDaemons(other *ConnectionPlan) bool {
 	return slices.EqualFunc(p.zones, other.zones, func(a, b planZone) bool {
 		return a.place == b.place && slices.EqualFunc(a.daemons, b.daemons, sameDaemon)
 	})
 }
 
-// sameDaemon also compares whether requests may be sent through the daemon.
+// sameDaemon compares the fields of a member that affect the plan: its identity
+// and whether it is leaving.
 func sameDaemon(a, b topology.Member) bool {
 	return a.ID == b.ID && (a.State == topology.MemberLeaving) == (b.State == topology.MemberLeaving)
 }
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -15,31 +15,33 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// PeerForwarder asks a peer to ask one of its replicas; peer.Client is one.
-// Its errors are *failure.Error, with NotRun only where nothing ran.
+// PeerForwarder asks a peer to forward a request to one of its replicas. It is
+// implemented by peer.Client. Errors are of type *failure.Error; NotRun is set
+// only if no replica ran the request.
 type PeerForwarder interface {
 	Forward(ctx context.Context, address string, request peer.ForwardRequest) (peer.ForwardReply, error)
 }
 
-// The constants of forwarding.
 const (
-	// maxPeerRoutes is how many peers are known for a group whose replicas are
-	// out of this daemon's reach, in whole or in part.
+	// maxPeerRoutes limits how many peers are used for a group whose replicas
+	// this daemon cannot all connect to.
 	maxPeerRoutes = 3
-	// maxHolderDraws is how often a holder is drawn that is not this daemon, a
-	// repetition, or on its way out.
+	// maxHolderDraws limits the attempts to pick a holder that is usable, not
+	// this daemon and not chosen already.
 	maxHolderDraws = 4
-	// sufficientReplicas replicas of a group need no peer beside them.
+	// sufficientReplicas is the number of directly connected replicas from
+	// which on a group needs no routes through peers.
 	sufficientReplicas = 4
 )
 
-// routeKey names a handle that leads through a peer to the replicas of a group.
+// routeKey identifies a handle that reaches the replicas of a group through a
+// peer.
 type routeKey struct {
 	member, group string
 }
 
-// newPeerHandle makes a handle through which a peer is asked. It holds no
-// connection to a back end.
+// newPeerHandle returns a handle that forwards requests through a peer. It
+// holds no connection to a backend.
 func newPeerHandle(p *Pool, group *GroupHealth, member topology.Member, name string) *Handle {
 	replica := topology.Replica{
 		Address: member.PeerAddress, Incarnation: member.ID, Group: name, Place: member.Place, Slots: peerSlots,
@@ -48,31 +50,31 @@
 		Health: NewHealth(replica, p.options.Self, p.options.Now()), group: group, replica: replica,
 		viaPeer: true, multiplex: true, metrics: p.metrics,
 	}
-	handle.budget.Store(1) // a peer's connection carries many requests
+	handle.budget.Store(1) // connections to peers are multiplexed
 	return handle
 }
 
-// peerSlots bounds the requests of one group in flight through one peer.
+// peerSlots limits the requests of one group in flight through one peer.
 const peerSlots = 16
 
-// addPeerRoutes gives a group handles through peers, where this daemon reaches few
-// of the group's replicas itself. The peers are holders of other replicas,
-// nearest first; daemons draw different ones.
-func (p *Pool) addPeerRoutes(seen, next *view, built *group, shares *GroupConnections, listed []topology.Replica) {
+// addPeerRoutes adds routes through peers to a group of which this daemon can
+// connect to few replicas. The peers are holders of the other replicas, nearest
+// first. The choice is seeded by the daemon's ID to spread load over peers.
+func (p *Pool) addPeerRoutes(prev, next *view, built *group, connections *GroupConnections, listed []topology.Replica) {
 	if p.options.Peers == nil || len(built.handles) >= sufficientReplicas {
 		return
 	}
 	name := listed[0].Group
-	random := xxhash.Sum64String(shares.plan.self.ID + name)
+	random := xxhash.Sum64String(connections.plan.self.ID + name)
 	var chosen []string
-	for _, at := range p.unreachableReplicas(shares, listed, random) {
-		member, found := pickHolder(shares, at, random, chosen)
+	for _, at := range p.unreachableReplicas(connections, listed, random) {
+		member, found := pickHolder(connections, at, random, chosen)
 		if !found {
 			continue
 		}
 		chosen = append(chosen, member.ID)
 		key := routeKey{member.ID, name}
-		handle := seen.routes[key]
+		handle := prev.routes[key]
 		if handle == nil {
 			handle = newPeerHandle(p, built.state, member, name)
 		}
@@ -84,14 +86,15 @@
 	}
 }
 
-// unreachableReplicas returns the replicas that this daemon must not connect to,
-// nearest first and within a distance from a random one on.
-func (p *Pool) unreachableReplicas(shares *GroupConnections, listed []topology.Replica, random uint64) []int {
+// unreachableReplicas returns the indexes of the replicas that this daemon must
+// not connect to, sorted by distance. The order within a distance is rotated by
+// random.
+func (p *Pool) unreachableReplicas(connections *GroupConnections, listed []topology.Replica, random uint64) []int {
 	found := make([]int, 0, len(listed))
 	first := int(random % uint64(len(listed)))
 	for i := range listed {
 		at := (first + i) % len(listed)
-		if shares.Budget(at) == 0 {
+		if connections.Budget(at) == 0 {
 			found = append(found, at)
 		}
 	}
@@ -101,10 +104,12 @@
 	return found
 }
 
-func pickHolder(shares *GroupConnections, replica int, random uint64, chosen []string) (topology.Member, bool) {
-	for try := range uint64(maxHolderDraws) {
-		member, found := shares.Holder(replica, random>>(8*try))
-		usable := found && member.State <= topology.MemberSuspect && member.ID != shares.plan.self.ID
+// pickHolder returns a daemon other than this one that may connect to the
+// replica, is neither leaving nor dead and is not in chosen.
+func pickHolder(connections *GroupConnections, replica int, random uint64, chosen []string) (topology.Member, bool) {
+	for draw := range uint64(maxHolderDraws) {
+		member, found := connections.Holder(replica, random>>(8*draw))
+		usable := found && member.State <= topology.MemberSuspect && member.ID != connections.plan.self.ID
 		if usable && !slices.Contains(chosen, member.ID) {
 			return member, true
 		}
@@ -131,8 +136,8 @@
 	return SubrequestResult{Outcome: decision.Success, Reply: &reply.Search}
 }
 
-// forwardedRefusal is the proof of a replica, passed on by a peer, that it did
-// not run the request.
+// forwardedRefusal converts a replica's refusal, relayed by a peer, into a
+// result. The refusal proves that the replica did not run the request.
 func (p *Pool) forwardedRefusal(reply peer.ForwardReply) SubrequestResult {
 	refused := reply.Refusal
 	draining := refused.Draining || refused.Reason == backendapi.RefusedDraining
@@ -141,18 +146,19 @@
 		Outcome:    refusalOutcome(refused.Reason),
 		NotRun:     true,
 		RetryAfter: time.Duration(refused.RetryAfterMilliseconds) * time.Millisecond,
-		Err:        eris.Errorf("refused through a peer: %s", refused.Reason),
+		Err:        eris.Errorf("refused via peer: %s", refused.Reason),
 	}
 }
 
-// applyForwardedState takes in that a replica behind a peer is leaving.
+// applyForwardedState marks a replica behind a peer as leaving if its reply
+// said so.
 func (p *Pool) applyForwardedState(address, incarnation string, draining bool) {
 	if draining && incarnation != "" && p.options.Tracker != nil {
 		p.options.Tracker.MarkLeaving(address, incarnation)
 	}
 }
 
-// forwardCall sends a call that may not be repeated through a peer.
+// forwardCall sends a non-idempotent call through a peer.
 func (p *Pool) forwardCall(ctx context.Context, handle *Handle, request backendapi.CallRequest) (backendapi.CallReply, *failure.Error) {
 	p.metrics.forwarded.Inc()
 	forwarded, err := p.options.Peers.Forward(ctx, handle.replica.Address, peer.ForwardRequest{
@@ -162,20 +168,21 @@
 		return backendapi.CallReply{}, forwardedCallFailure(err)
 	}
 	if forwarded.Call == nil || forwarded.Call.Key != request.Key {
-		return backendapi.CallReply{}, failure.New(failure.OutcomeUnknown, "peer's reply is not for the key")
+		return backendapi.CallReply{}, failure.New(failure.OutcomeUnknown, "peer reply has a different key")
 	}
 	return *forwarded.Call, nil
 }
 
-// forwardedCallFailure keeps the two kinds of answer apart that a call has.
+// forwardedCallFailure maps a peer's error to BackendRefused if the call did
+// not run and to OutcomeUnknown otherwise.
 func forwardedCallFailure(err error) *failure.Error {
 	known := failure.From(err)
 	if known.NotRun {
-		refused := failure.Wrap(err, failure.BackendRefused, "call through a peer").WithNotRun(true)
+		refused := failure.Wrap(err, failure.BackendRefused, "call via peer").WithNotRun(true)
 		if known.RetryAfter > 0 {
 			refused = refused.WithRetryAfter(known.RetryAfter)
 		}
 		return refused
 	}
-	return failure.Wrap(err, failure.OutcomeUnknown, "call through a peer")
+	return failure.Wrap(err, failure.OutcomeUnknown, "call via peer")
 }
--- a/internal/replica/forward_server.go
+++ b/internal/replica/forward_server.go
@@ -12,9 +12,10 @@
 	"github.com/doorpond/doorpond/internal/peer"
 )
 
-// ForwardServer asks replicas for peers that must not connect to them. It
-// sends each request once, to a replica in this daemon's own reach, and never
-// on to another peer. It is a peer.Forwarder.
+// ForwardServer forwards requests to replicas on behalf of peers that must not
+// connect to them. It sends each request at most once, to a replica that this
+// daemon is connected to, and never to another peer. It implements
+// peer.Forwarder.
 type ForwardServer struct {
 	pool  *Pool
 	gauge prometheus.Gauge
@@ -24,7 +25,8 @@
 	idle     chan struct{} // closed when nothing is in flight
 }
 
-// NewForwardServer makes a ForwardServer; a nil registerer keeps no metrics.
+// NewForwardServer returns a ForwardServer. If registerer is nil, metrics are
+// not exported.
 func NewForwardServer(pool *Pool, registerer prometheus.Registerer) *ForwardServer {
 	s := &ForwardServer{pool: pool, idle: make(chan struct{})}
 	close(s.idle)
@@ -35,14 +37,14 @@
 	return s
 }
 
-// Forward implements peer.Forwarder. NotRun is true in its error only when no
+// Forward implements peer.Forwarder. NotRun is set in its errors only if no
 // replica ran any part of the request.
 func (s *ForwardServer) Forward(ctx context.Context, request peer.ForwardRequest) (peer.ForwardReply, error) {
 	s.begin()
 	defer s.end()
 	handle := s.pool.acquireDirect(request.Group, callWeights)
 	if handle == nil {
-		return peer.ForwardReply{}, failure.New(failure.NoReplica, "no replica of "+request.Group+" is in this peer's reach").WithNotRun(true)
+		return peer.ForwardReply{}, failure.New(failure.NoReplica, "no replica of "+request.Group+" is reachable from this peer").WithNotRun(true)
 	}
 	if request.Call != nil {
 		return s.call(ctx, handle, *request.Call)
@@ -63,9 +65,9 @@
 			Incarnation: handle.replica.Incarnation,
 		}}, nil
 	case result.NotRun:
-		return peer.ForwardReply{}, failure.Wrap(result.Err, failure.BackendRefused, "ask a replica for a peer").WithNotRun(true)
+		return peer.ForwardReply{}, failure.Wrap(result.Err, failure.BackendRefused, "forward for peer").WithNotRun(true)
 	default:
-		return peer.ForwardReply{}, failure.Wrap(result.Err, failure.OutcomeUnknown, "ask a replica for a peer")
+		return peer.ForwardReply{}, failure.Wrap(result.Err, failure.OutcomeUnknown, "forward for peer")
 	}
 }
 
@@ -109,8 +111,9 @@
 	}
 }
 
-// AwaitIdle returns once no request of a peer is in flight, or with the error
-// of ctx. A planned stop calls it after peers were told of the leave.
+// AwaitIdle blocks until no forwarded request is in flight or ctx is done. It
+// is called during graceful shutdown, after peers have been told that this
+// daemon is leaving.
 func (s *ForwardServer) AwaitIdle(ctx context.Context) error {
 	s.mutex.Lock()
 	idle := s.idle
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// The kinds of sub-request, as metrics name them.
+// Values of the "kind" label.
 const (
 	kindFirst = "first"
 	// kindFurther is a hedge or a retry.
@@ -44,7 +44,8 @@
 )
 
 type poolMetrics struct {
-	// chosen counts sub-requests of messages by the distance of the replica.
+	// chosen counts sub-requests of messages by the distance of the selected
+	// replica.
 	chosen      [topology.OtherRegion + 1]struct{ first, further prometheus.Counter }
 	outcomes    [decision.Outcomes]prometheus.Counter
 	calls       *prometheus.CounterVec
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -1,6 +1,7 @@
-// Package replica knows the back-end replicas: it follows the machine list,
-// chooses replicas, keeps connections and limits, and sends sub-requests and
-// calls that may not be repeated.
+// Package replica manages the connections and requests to backend replicas. It
+// tracks the replicas from the machine list, selects replicas by health and
+// distance, enforces connection and concurrency limits, and sends sub-requests
+// and non-idempotent calls.
 package replica
 
 import (
@@ -20,48 +21,51 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// defaultMaxReplyBytes bounds one reply of a back end.
+// defaultMaxReplyBytes is the default limit for the size of one backend reply.
 const defaultMaxReplyBytes = 8 << 20
 
-// PoolOptions are what a Pool needs. Zero values take defaults.
+// PoolOptions configures a Pool.
 type PoolOptions struct {
 	Board *blackboard.Board
-	// Self is where this daemon runs.
+	// Self is the place of this daemon.
 	Self topology.Place
-	// Tracker learns of leaving replicas; nil means nobody does.
+	// Tracker is notified of leaving replicas. It may be nil.
 	Tracker *Tracker
-	// Peers reaches replicas beyond this daemon's connection budget; nil means
-	// that they cannot be reached.
+	// Peers forwards requests to replicas that this daemon's connection budget
+	// does not cover. If nil, these replicas are not used.
 	Peers PeerForwarder
 	// Protocol defaults to ProtocolHTTP1.
 	Protocol Protocol
-	// MaxReplyBytes bounds one reply.
+	// MaxReplyBytes limits the size of one reply. It defaults to 8 MiB.
 	MaxReplyBytes int64
-	// Dial opens a connection; the default is plain TCP.
+	// Dial opens a connection. It defaults to TCP.
 	Dial dialFunc
 	// Post replaces the HTTP exchange with a replica; nil means net/http. It is
-	// also called for the GET of backendapi.StatusPath, without a body.
+	// also called, with a nil body, for the GET of backendapi.StatusPath.
 	Post PostFunc
-	// TLS is for back ends that speak it, over HTTP/1.1; nil means plain.
+	// TLS configures connections to backends, over HTTP/1.1 only; nil means
+	// plaintext.
 	TLS *tls.Config
-	// Codec gives messages their headers; nil means that none are forwarded.
+	// Codec encodes and decodes the headers of messages. If nil, messages are
+	// not supported.
 	Codec upstream.Codec
-	// DialUpstream opens the connections of messages; nil means plain TCP.
+	// DialUpstream opens connections for messages. It defaults to TCP.
 	DialUpstream upstream.DialFunc
-	// GroupRetryBudget returns the retry budget of a group; nil means that all groups
-	// share one for each set of terms.
+	// GroupRetryBudget returns the retry budget of a group. If nil, groups
+	// share one budget per combination of retry parameters.
 	GroupRetryBudget func(group string) decision.Budget
-	// OnAddressReused is told, once, of a replica at whose address another process answers.
+	// OnAddressReused is called once for each replica at whose address another
+	// process answers.
 	OnAddressReused func(topology.Replica)
 	Now             func() time.Time
 	Random          func() uint64
-	// Background runs work beside the requests that ask for it; nil means that
-	// a request waits for it.
+	// Background runs work asynchronously. If nil, the request that needs the
+	// work waits for it.
 	Background func(work func())
 	Registerer prometheus.Registerer
 }
 
-// Pool holds a handle for each replica process that takes new work.
+// Pool holds a handle for each replica process that accepts new work.
 type Pool struct {
 	options      PoolOptions
 	metrics      *poolMetrics
@@ -69,12 +73,12 @@
 	places       PlaceHealthMap
 
 	view       atomic.Pointer[view]
-	mutex      sync.Mutex // taken to rebuild the view
+	mutex      sync.Mutex // held while rebuilding the view
 	rebuilding atomic.Bool
-	rebuildAt  atomic.Int64 // Unix time in nanoseconds before which none begins
+	rebuildAt  atomic.Int64 // earliest time of the next rebuild, Unix nanoseconds
 }
 
-// view is the pool's picture of one pair of blackboard sections.
+// view is the pool's state for one version of the replica and member lists.
 type view struct {
 	replicas *topology.Replicas
 	members  *topology.Members
@@ -82,19 +86,20 @@
 	handles  map[processID]*Handle
 	routes   map[routeKey]*Handle
 	plan     *ConnectionPlan
-	// probed are the replicas that this daemon probes, by address.
+	// probed lists the replicas that this daemon probes, sorted by address.
 	probed []*Handle
 }
 
-// group is one replica group; its state outlives views.
+// group is one replica group. Its state is carried over from view to view.
 type group struct {
 	state *GroupHealth
-	// handles are the replicas in reach; routes lead through peers.
+	// handles lists directly connected replicas; routes lists handles through
+	// peers.
 	handles []*Handle
 	routes  []*Handle
 }
 
-// scheme is the scheme of the back ends' URLs.
+// scheme returns the URL scheme of the backends.
 func (o *PoolOptions) scheme() string {
 	if o.TLS != nil {
 		return "https"
@@ -102,7 +107,7 @@
 	return "http"
 }
 
-// NewPool makes a Pool.
+// NewPool returns a Pool, applying defaults to zero-valued options.
 func NewPool(options PoolOptions) *Pool {
 	if options.Protocol == "" {
 		options.Protocol = ProtocolHTTP1
@@ -124,26 +129,28 @@
 	return pool
 }
 
-// current returns the view of what the blackboard holds now.
+// current returns the view for the current replica and member lists, rebuilding
+// it if necessary. If Background is set, member changes are applied
+// asynchronously and the previous view is returned meanwhile.
 func (p *Pool) current() *view {
 	replicas, members := p.options.Board.Replicas.Load(), p.options.Board.Members.Load()
-	seen := p.view.Load()
-	if seen.replicas == replicas && seen.members == members {
-		return seen
+	prev := p.view.Load()
+	if prev.replicas == replicas && prev.members == members {
+		return prev
 	}
-	if seen.replicas != replicas || seen.plan == nil || p.options.Background == nil {
+	if prev.replicas != replicas || prev.plan == nil || p.options.Background == nil {
 		return p.rebuild()
 	}
 	p.rebuildInBackground()
-	return seen
+	return prev
 }
 
-// rebuildInterval is the least time between two divisions of the connections
-// for changes of the daemons alone. The reserve of connections covers it.
+// rebuildInterval is the minimum time between two rebuilds caused by member
+// changes alone. Until then, connectionReserve covers new daemons.
 const rebuildInterval = 2 * time.Second
 
-// rebuildInBackground lets requests go on with the view of earlier members,
-// as dividing the connections of thousands of replicas takes milliseconds.
+// rebuildInBackground lets requests continue with the previous view, because
+// dividing the connections of thousands of replicas takes milliseconds.
 func (p *Pool) rebuildInBackground() {
 	now := p.options.Now().UnixNano()
 	if now < p.rebuildAt.Load() || p.rebuilding.Swap(true) {
@@ -160,30 +167,30 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	replicas, members := p.options.Board.Replicas.Load(), p.options.Board.Members.Load()
-	seen := p.view.Load()
-	if seen.replicas == replicas && seen.members == members {
-		return seen
+	prev := p.view.Load()
+	if prev.replicas == replicas && prev.members == members {
+		return prev
 	}
 	next := &view{
 		replicas: replicas, members: members, groups: map[string]*group{},
-		handles: map[processID]*Handle{}, routes: map[routeKey]*Handle{}, plan: seen.plan,
+		handles: map[processID]*Handle{}, routes: map[routeKey]*Handle{}, plan: prev.plan,
 	}
-	if seen.members != members || seen.plan == nil {
+	if prev.members != members || prev.plan == nil {
 		next.plan = newPlan(members)
 	}
-	if seen.replicas == replicas && seen.plan != nil && next.plan.sameDaemons(seen.plan) && next.sameSharingNodes(seen) {
-		next.groups, next.handles, next.routes, next.probed = seen.groups, seen.handles, seen.routes, seen.probed
+	if prev.replicas == replicas && prev.plan != nil && next.plan.sameDaemons(prev.plan) && next.sameSharingNodes(prev) {
+		next.groups, next.handles, next.routes, next.probed = prev.groups, prev.handles, prev.routes, prev.probed
 		p.view.Store(next)
 		return next
 	}
 	if replicas != nil {
 		for name, listed := range replicas.Groups {
-			next.groups[name] = p.buildGroup(seen, next, name, listed)
+			next.groups[name] = p.buildGroup(prev, next, name, listed)
 		}
 	}
 	slices.SortFunc(next.probed, func(a, b *Handle) int { return compareReplicas(a.replica, b.replica) })
 	p.view.Store(next)
-	for key, handle := range seen.handles {
+	for key, handle := range prev.handles {
 		if next.handles[key] == nil {
 			handle.retire()
 		}
@@ -198,20 +205,20 @@
 	return NewConnectionPlan(*members)
 }
 
-func (p *Pool) buildGroup(seen, next *view, name string, listed []topology.Replica) *group {
+func (p *Pool) buildGroup(prev, next *view, name string, listed []topology.Replica) *group {
 	built := &group{state: &GroupHealth{}}
-	if known := seen.groups[name]; known != nil {
+	if known := prev.groups[name]; known != nil {
 		built.state = known.state
 	}
-	usable := acceptingWork(listed)
-	shares := next.plan.AllocateGroup(name, usable)
-	for i, replica := range usable {
-		budget := shares.Budget(i)
+	accepting := acceptingWork(listed)
+	connections := next.plan.AllocateGroup(name, accepting)
+	for i, replica := range accepting {
+		budget := connections.Budget(i)
 		if budget == 0 {
 			continue
 		}
 		key := processID{replica.Address, replica.Incarnation}
-		handle := seen.handles[key]
+		handle := prev.handles[key]
 		if handle == nil {
 			handle = newHandle(p, built.state, replica)
 			if p.options.Codec != nil {
@@ -224,42 +231,42 @@
 		handle.coldLimiter.setLimit(next.coldLimit(replica))
 		next.handles[key] = handle
 		built.handles = append(built.handles, handle)
-		if shares.Probes(i) {
+		if connections.Probes(i) {
 			next.probed = append(next.probed, handle)
 		}
 	}
-	if len(built.handles) < len(usable) {
-		p.addPeerRoutes(seen, next, built, shares, usable)
+	if len(built.handles) < len(accepting) {
+		p.addPeerRoutes(prev, next, built, connections, accepting)
 	}
 	return built
 }
 
-// unlimitedConnections is used for a replica that states no limit.
+// unlimitedConnections is the budget for a replica that declares no limit.
 const unlimitedConnections = 1024
 
 func acceptingWork(listed []topology.Replica) []topology.Replica {
-	usable := make([]topology.Replica, 0, len(listed))
+	accepting := make([]topology.Replica, 0, len(listed))
 	for _, replica := range listed {
 		if replica.State.TakesWork() {
-			usable = append(usable, replica)
+			accepting = append(accepting, replica)
 		}
 	}
-	return usable
+	return accepting
 }
 
-// HasReplicas is true when a usable replica of each group of a list is known.
+// HasReplicas reports whether a usable replica is known for each of the groups.
 func (p *Pool) HasReplicas(groups []string) bool {
-	seen := p.current()
+	current := p.current()
 	for _, name := range groups {
-		if found := seen.groups[name]; found == nil || len(found.handles)+len(found.routes) == 0 {
+		if found := current.groups[name]; found == nil || len(found.handles)+len(found.routes) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// LatencyQuantile returns a quantile of a group's recent latencies, 0 while
-// too few are known.
+// LatencyQuantile returns a quantile of a group's recent latencies, or 0 if
+// there are too few samples.
 func (p *Pool) LatencyQuantile(groupName string, quantile float64) time.Duration {
 	found := p.current().groups[groupName]
 	if found == nil {
@@ -268,10 +275,11 @@
 	return found.state.LatencyQuantile(quantile)
 }
 
-// SharedRetryBudget returns the retry budget that all queries on the same terms share.
+// SharedRetryBudget returns the retry budget shared by all queries with the
+// same retry parameters.
 func (p *Pool) SharedRetryBudget(retry policy.Retry) decision.Budget { return p.retryBudgets.Of(retry) }
 
-// PlanShard fills in what a shard is waited for, and its budget.
+// PlanShard sets the retry budget, hedge delay and expected latency of a shard.
 func (p *Pool) PlanShard(shard *decision.ShardPlan, row *policy.Row) {
 	if found := p.current().groups[shard.Group]; found != nil {
 		shard.Budget = p.GroupRetryBudget(shard.Group, row)
@@ -287,10 +295,10 @@
 	return p.retryBudgets.Of(row.Retry)
 }
 
-// standby is true for a node to which callers are not led.
+// standby reports whether callers are not directed to this node.
 func (v *view) standby() bool { return v.members != nil && v.members.Standby }
 
-// Sweep closes the connections that have rested for too long.
+// Sweep closes idle connections that have exceeded their idle timeout.
 func (p *Pool) Sweep(now time.Time) {
 	for _, handle := range p.current().handles {
 		if handle.upstream != nil {
@@ -299,13 +307,14 @@
 	}
 }
 
-// inlineCandidates is the number of replicas for which Acquire needs no memory.
+// inlineCandidates is the number of candidates that Acquire handles without
+// allocating.
 const inlineCandidates = 8
 
-// Acquire chooses a replica of a group that was not tried yet and counts a
-// request in flight to it, until Search or Call ends it. Where no replica in
-// reach can take it, the handle leads through a peer. It returns nil when
-// there is none.
+// Acquire selects a replica of a group that is not in tried and counts a
+// request in flight to it until Search or Call ends it. If no directly
+// connected replica is suitable, the handle may forward through a peer. It
+// returns nil if there is no replica.
 func (p *Pool) Acquire(groupName string, weights policy.Replicas, tried []*Handle) *Handle {
 	if len(tried) > 0 {
 		return p.acquire(groupName, weights, tried, decision.ChooseAnother)
@@ -335,17 +344,17 @@
 	return nil
 }
 
-// healthFilter says which handles may be chosen.
+// healthFilter restricts which handles may be selected.
 type healthFilter int
 
 const (
 	anyHealth healthFilter = iota
-	// healthyOnly leaves out the ejected, those that refuse for load, and those at
-	// their limit.
+	// healthyOnly excludes handles that are ejected, backing off or at their
+	// limit.
 	healthyOnly
 )
 
-// acquireDirect is Acquire without the ways through peers.
+// acquireDirect is Acquire without routes through peers.
 func (p *Pool) acquireDirect(groupName string, weights policy.Replicas) *Handle {
 	found := p.current().groups[groupName]
 	if found == nil {
@@ -358,17 +367,17 @@
 	now := p.options.Now()
 	return p.chooseFrom(handles, weights, tried, choose, now, func(handle *Handle) decision.Candidate {
 		candidate := handle.candidate(now)
-		unfit := candidate.Ejected || candidate.BackingOff || candidate.InFlight >= candidate.Limit
-		candidate.Tried = health == healthyOnly && unfit
+		unhealthy := candidate.Ejected || candidate.BackingOff || candidate.InFlight >= candidate.Limit
+		candidate.Tried = health == healthyOnly && unhealthy
 		return candidate
 	})
 }
 
-// chooseFrom describes some handles, chooses one that was not tried, and counts
-// a request in flight to it.
+// chooseFrom selects one of the handles that is not in tried and counts a
+// request in flight to it. describe returns the candidate for a handle.
 func (p *Pool) chooseFrom(handles []*Handle, weights policy.Replicas, tried []*Handle, choose chooser, now time.Time, describe func(*Handle) decision.Candidate) *Handle {
-	var space [inlineCandidates]decision.Candidate
-	candidates := space[:0]
+	var buffer [inlineCandidates]decision.Candidate
+	candidates := buffer[:0]
 	for _, handle := range handles {
 		candidate := describe(handle)
 		candidate.Tried = candidate.Tried || slices.Contains(tried, handle)
@@ -389,11 +398,11 @@
 			handle.Begin()
 			return handle
 		}
-		candidates[chosen].Barred = true // another request has taken its place meanwhile
+		candidates[chosen].Barred = true // a concurrent request used up the cold limit
 	}
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	for _, handle := range p.current().handles {
 		handle.closeIdle()
--- a/internal/replica/probe.go
+++ b/internal/replica/probe.go
@@ -12,27 +12,30 @@
 	"github.com/doorpond/doorpond/internal/backendapi"
 )
 
-// ProbeOutcome is what came of one probe.
+// ProbeOutcome is the result of one probe.
 type ProbeOutcome int
 
-// The outcomes of a probe. Only ProbeDraining changes what is believed.
+// The outcomes of a probe. Only ProbeDraining changes the state of a replica.
 const (
-	// ProbeServing is a status other than draining; it may lag or lie.
+	// ProbeServing: the status is other than draining. It may be stale or
+	// wrong.
 	ProbeServing ProbeOutcome = iota
-	// ProbeDraining marked the process that answered as leaving.
+	// ProbeDraining: the process that answered is draining and was marked as
+	// leaving.
 	ProbeDraining
-	// ProbeOtherProcess is a status of another incarnation, not draining.
+	// ProbeOtherProcess: another incarnation answered, which is not draining.
 	ProbeOtherProcess
-	// ProbeFailed brought no status: no connection, no time, another HTTP status.
+	// ProbeFailed: no status was received because of a connection error, a
+	// timeout or an unexpected HTTP status.
 	ProbeFailed
-	// ProbeInvalid brought something that is not a status.
+	// ProbeInvalid: the reply is not a valid status.
 	ProbeInvalid
-	// ProbeBusy was not sent, as requests use all connections of the budget;
-	// their replies tell of the drain.
+	// ProbeBusy: the probe was not sent because requests use the whole
+	// connection budget. Their replies report a drain as well.
 	ProbeBusy
 )
 
-// probeOutcomeNames are the values of the label "outcome", by ProbeOutcome.
+// probeOutcomeNames holds the values of the "outcome" label.
 var probeOutcomeNames = [...]string{
 	ProbeServing:      "serving",
 	ProbeDraining:     "draining",
@@ -42,34 +45,34 @@
 	ProbeBusy:         "busy",
 }
 
-// The bounds of a status.
+// Limits on a status reply.
 const (
 	maxStatusBytes      = 64 << 10
-	maxIncarnationBytes = 256 // gossip carries it to all daemons
+	maxIncarnationBytes = 256 // distributed to all daemons by gossip
 )
 
-// ProberOptions are what a Prober needs.
+// ProberOptions configures a Prober.
 type ProberOptions struct {
 	Pool *Pool
-	// Tracker learns of replicas that are leaving.
+	// Tracker is notified of leaving replicas.
 	Tracker *Tracker
-	// RandomSeed seeds the times of the probes.
+	// RandomSeed seeds the jitter of the probe schedule.
 	RandomSeed uint64
 	// Now defaults to time.Now.
 	Now        func() time.Time
 	Registerer prometheus.Registerer
 }
 
-// Prober asks for the status of the replicas that are this daemon's to probe,
-// so that a leaving replica which nobody asks anything is learned of too. It
-// uses the pool's connections, within their budget.
+// Prober requests the status of the replicas assigned to this daemon, so that a
+// leaving replica is detected even if it gets no requests. It uses the pool's
+// connections, within their budget.
 type Prober struct {
 	options  ProberOptions
 	schedule *probeSchedule
 	outcomes [len(probeOutcomeNames)]prometheus.Counter
 }
 
-// NewProber makes a Prober; Run starts it.
+// NewProber returns a Prober. Call Run to start it.
 func NewProber(options ProberOptions) *Prober {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -85,7 +88,7 @@
 	return prober
 }
 
-// Run probes until ctx ends and then waits for the probes under way.
+// Run probes until ctx is done and then waits for the probes in progress.
 func (p *Prober) Run(ctx context.Context) error {
 	ticker := time.NewTicker(ProbeTick)
 	defer ticker.Stop()
@@ -107,12 +110,12 @@
 	}
 }
 
-// Due returns the replicas to probe now. It is for one goroutine.
+// Due returns the replicas to probe now. It is not safe for concurrent use.
 func (p *Prober) Due() []*Handle {
 	return p.schedule.due(p.options.Now(), p.options.Pool.current().probed)
 }
 
-// Probe asks one replica for its status and counts what came of it.
+// Probe requests the status of one replica and counts the outcome.
 func (p *Prober) Probe(ctx context.Context, handle *Handle) ProbeOutcome {
 	outcome := p.probe(ctx, handle)
 	p.outcomes[outcome].Inc()
@@ -125,20 +128,20 @@
 	}
 	handle.Begin()
 	defer handle.release()
-	exchanged := p.options.Pool.getStatus(ctx, handle)
-	defer exchanged.release()
+	result := p.options.Pool.getStatus(ctx, handle)
+	defer result.release()
 	switch {
-	case exceedsConnectionBudget(exchanged.err):
+	case exceedsConnectionBudget(result.err):
 		return ProbeBusy
-	case exchanged.err != nil, exchanged.status != http.StatusOK:
+	case result.err != nil, result.status != http.StatusOK:
 		return ProbeFailed
 	default:
-		return p.classifyStatus(handle, exchanged.body)
+		return p.classifyStatus(handle, result.body)
 	}
 }
 
-// classifyStatus believes a status only when it says that its process is draining: a
-// process does not come back from that, whereas "serving" may be old or false.
+// classifyStatus acts on a status only if the process says that it is draining.
+// Draining is final, whereas "serving" may be stale or wrong.
 func (p *Prober) classifyStatus(handle *Handle, body []byte) ProbeOutcome {
 	var status backendapi.Status
 	if json.Unmarshal(body, &status) != nil {
@@ -161,15 +164,15 @@
 	}
 }
 
-// statusHeader keeps net/http from sending a User-Agent, to save bytes.
+// statusHeader suppresses the default User-Agent of net/http.
 var statusHeader = http.Header{"User-Agent": {""}}
 
-// getStatus asks for a replica's status over the pool's connections to it.
+// getStatus requests a replica's status over the pool's connections.
 func (p *Pool) getStatus(ctx context.Context, handle *Handle) exchangeResult {
 	target := handle.urls.status
 	if p.options.Post != nil {
-		came := p.options.Post(ctx, target.Host, target.Path, nil)
-		return exchangeResult{status: came.Status, body: came.Body, err: came.Err}
+		posted := p.options.Post(ctx, target.Host, target.Path, nil)
+		return exchangeResult{status: posted.Status, body: posted.Body, err: posted.Err}
 	}
 	request := (&http.Request{
 		Method: http.MethodGet, URL: target, Host: target.Host, Header: statusHeader,
--- a/internal/replica/probe_schedule.go
+++ b/internal/replica/probe_schedule.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// The constants of probing.
 const (
-	// ProbeTimeout is how long a probe may take.
+	// ProbeTimeout limits the duration of a probe.
 	ProbeTimeout = 500 * time.Millisecond
-	// ProbeTick is how often a daemon looks for probes that are due.
+	// ProbeTick is the interval at which a daemon checks for due probes.
 	ProbeTick = 100 * time.Millisecond
 	// probePeriod is the mean time between two probes of a replica by one
-	// daemon. Two daemons probe it, and gossip needs about a second to the last
-	// of thousands of daemons.
+	// daemon.
 	probePeriod = time.Second
-	// probeJitter is the part of a period by which each varies, both ways.
+	// probeJitter is the fraction by which each period varies in either
+	// direction.
 	probeJitter = 0.25
-	// maxProbesPerSecond bounds what a daemon spends on probes; with more
-	// replicas to probe than that, its period grows.
+	// maxProbesPerSecond limits the probe rate of a daemon. If more replicas
+	// are assigned, the period is extended.
 	maxProbesPerSecond = 50
 )
 
-// probeSchedule says which replicas a daemon probes now. It has no clock of
-// its own and is for one goroutine.
+// probeSchedule determines when a daemon probes each replica. It has no clock
+// and is not safe for concurrent use.
 type probeSchedule struct {
 	random *rand.Rand
 	next   map[processID]time.Time
@@ -34,8 +33,8 @@
 	return &probeSchedule{random: rand.New(rand.NewPCG(seed, stream)), next: make(map[processID]time.Time)}
 }
 
-// due returns which of the replicas assigned to this daemon it probes now, and
-// sets the times of their next probes.
+// due returns the assigned replicas whose probe is due and schedules their next
+// probes.
 func (s *probeSchedule) due(now time.Time, assigned []*Handle) []*Handle {
 	period := max(probePeriod, time.Duration(len(assigned))*time.Second/maxProbesPerSecond)
 	next := make(map[processID]time.Time, len(assigned))
@@ -55,7 +54,8 @@
 	return due
 }
 
-// jitter is a period, varied so that daemons do not fall into step.
+// jitter returns the period with random variation, so that daemons do not probe
+// in lockstep.
 func (s *probeSchedule) jitter(period time.Duration) time.Duration {
 	varied := 1 + probeJitter*(2*s.random.Float64()-1)
 	return time.Duration(varied * float64(period))
--- a/internal/replica/probers.go
+++ b/internal/replica/probers.go
@@ -9,41 +9,42 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// probersPerReplica is how many daemons probe each replica, so that one of
-// them may be frozen, gone or cut off.
+// probersPerReplica is the number of daemons that probe each replica. It
+// provides redundancy if one of them is frozen or partitioned.
 const probersPerReplica = 2
 
 // probeCandidate is a daemon that may probe a replica.
 type probeCandidate struct {
-	// weight is its rendezvous hash with the replica; the highest is first.
+	// weight is the rendezvous hash of daemon and replica; the highest wins.
 	weight     uint64
-	zone, rank int // in the plan
+	zone, rank int // indexes in the plan
 }
 
-// proberSelection keeps the best candidates that it was offered. Those of one
-// distance are offered before farther ones.
+// proberSelection keeps the best candidates offered so far. Candidates must be
+// offered in order of distance.
 type proberSelection struct {
 	chosen []probeCandidate
-	fixed  int // of the chosen, which candidates of this distance do not replace
+	fixed  int // number of chosen that are nearer than the current distance
 }
 
-func (c *proberSelection) full() bool { return len(c.chosen) == probersPerReplica }
+func (s *proberSelection) full() bool { return len(s.chosen) == probersPerReplica }
 
-func (c *proberSelection) offer(candidate probeCandidate) {
-	at := len(c.chosen)
-	for at > c.fixed && candidate.weight > c.chosen[at-1].weight {
+func (s *proberSelection) offer(candidate probeCandidate) {
+	at := len(s.chosen)
+	for at > s.fixed && candidate.weight > s.chosen[at-1].weight {
 		at--
 	}
-	if at == probersPerReplica || slices.Contains(c.chosen, candidate) {
+	if at == probersPerReplica || slices.Contains(s.chosen, candidate) {
 		return
 	}
-	kept := c.chosen[:min(len(c.chosen), probersPerReplica-1)]
-	c.chosen = slices.Insert(kept, at, candidate)
+	kept := s.chosen[:min(len(s.chosen), probersPerReplica-1)]
+	s.chosen = slices.Insert(kept, at, candidate)
 }
 
-// Probers returns the daemons that probe a replica: of those that may connect
-// to it and are not leaving, the nearest, by rendezvous hash. It is a pure
-// function of the members and replicas, so daemons that know the same agree.
+// Probers returns the daemons that probe a replica: the nearest of those that
+// may connect to it and are not leaving, selected by rendezvous hashing. The
+// result depends only on the members and replicas, so daemons with the same
+// lists agree.
 func (g *GroupConnections) Probers(replica int) []topology.Member {
 	var probers []topology.Member
 	for _, candidate := range g.chooseProbers(replica) {
@@ -53,40 +54,40 @@
 }
 
 func (g *GroupConnections) chooseProbers(replica int) []probeCandidate {
-	choice := proberSelection{chosen: make([]probeCandidate, 0, probersPerReplica)}
+	selection := proberSelection{chosen: make([]probeCandidate, 0, probersPerReplica)}
 	key := xxhash.Sum64String(g.replicas[replica].Address)
 	distances := g.plan.zoneDistances(g.replicas[replica].Place)
 	holders := g.holderRanges(replica)
-	for distance := topology.SameZone; distance <= topology.OtherRegion && !choice.full(); distance++ {
-		choice.fixed = len(choice.chosen)
+	for distance := topology.SameZone; distance <= topology.OtherRegion && !selection.full(); distance++ {
+		selection.fixed = len(selection.chosen)
 		for _, holder := range holders {
 			if distances[holder.zone] == distance {
-				g.plan.offerRange(&choice, holder, key)
+				g.plan.offerRange(&selection, holder, key)
 			}
 		}
 	}
-	return choice.chosen
+	return selection.chosen
 }
 
-// offerRange offers the daemons of a window that are not leaving.
-func (p *ConnectionPlan) offerRange(choice *proberSelection, holder daemonRange, key uint64) {
-	zone := &p.zones[holder.zone]
-	for offset := range holder.count {
-		rank := (holder.start + offset) % len(zone.daemons)
+// offerRange offers the daemons of a range that are not leaving.
+func (p *ConnectionPlan) offerRange(selection *proberSelection, daemons daemonRange, key uint64) {
+	zone := &p.zones[daemons.zone]
+	for offset := range daemons.count {
+		rank := (daemons.start + offset) % len(zone.daemons)
 		if zone.daemons[rank].State < topology.MemberLeaving {
-			choice.offer(probeCandidate{weight: rendezvousWeight(zone.hashes[rank], key), zone: holder.zone, rank: rank})
+			selection.offer(probeCandidate{weight: rendezvousWeight(zone.hashes[rank], key), zone: daemons.zone, rank: rank})
 		}
 	}
 }
 
-// Probes is true when this daemon probes a replica.
+// Probes reports whether this daemon probes a replica.
 func (g *GroupConnections) Probes(replica int) bool {
 	return slices.ContainsFunc(g.chooseProbers(replica), func(candidate probeCandidate) bool {
 		return candidate.zone == g.plan.selfZone && candidate.rank == g.plan.selfRank
 	})
 }
 
-// holderRanges returns the runs of daemons that may connect to a replica.
+// holderRanges returns the daemons that may connect to a replica.
 func (g *GroupConnections) holderRanges(replica int) []daemonRange {
 	if g.allocations[replica].perDaemon == 0 {
 		return g.allocations[replica].ranges
@@ -98,10 +99,10 @@
 	return all
 }
 
-// rendezvousWeight hashes the hash of a daemon with that of a replica.
+// rendezvousWeight combines the hashes of a daemon and a replica.
 func rendezvousWeight(daemon, replica uint64) uint64 {
-	var joined [16]byte
-	binary.LittleEndian.PutUint64(joined[:8], daemon)
-	binary.LittleEndian.PutUint64(joined[8:], replica)
-	return xxhash.Sum64(joined[:])
+	var combined [16]byte
+	binary.LittleEndian.PutUint64(combined[:8], daemon)
+	binary.LittleEndian.PutUint64(combined[8:], replica)
+	return xxhash.Sum64(combined[:])
 }
