--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -10,58 +10,59 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The constants of a replica's health.
 const (
-	// ejectAfter failures in a row, a replica is ejected. One that has not
-	// answered since is ejected again after a single failure.
+	// ejectAfter is the number of consecutive failures after which a replica is
+	// ejected. A replica that has not answered since its last ejection is
+	// ejected again after a single failure.
 	ejectAfter = 3
-	// baseEjection is the first ejection's length; each further one doubles it.
+	// baseEjection is the duration of the first ejection; it doubles with each
+	// consecutive one.
 	baseEjection = time.Second
-	// maxEjectionDoublings bounds an ejection to 32 s.
+	// maxEjectionDoublings limits an ejection to 32 s.
 	maxEjectionDoublings = 5
 	// latencyWeight is the weight of a new sample in the moving average.
 	latencyWeight = 0.2
-	// latencyHalfLife is the age after which the average counts half, so that a
-	// replica that was slow is tried again.
+	// latencyHalfLife is the age at which the average latency is halved, so
+	// that a replica that was slow is tried again.
 	latencyHalfLife = 10 * time.Second
-	// warmRequests successes, or warmTime, make a cold replica warm.
+	// A cold replica becomes warm after warmRequests successes or after
+	// warmTime.
 	warmRequests = 32
 	warmTime     = 10 * time.Second
-	// shedBackoff is how long a replica that refused for load is left alone
-	// when it names no time; each refusal in a row doubles the time, up to
-	// shedDoublings times.
+	// shedBackoff is how long a replica that shed a request without a
+	// Retry-After is avoided. Each consecutive one doubles the time, up to
+	// maxShedDoublings times.
 	shedBackoff      = 100 * time.Millisecond
 	maxShedDoublings = 5
-	// limitScale is the number of limit units in one request.
+	// limitScale is the number of limit units per request.
 	limitScale = 1000
-	// limitDecrease is the part of the limit that is kept after a shed reply.
+	// limitDecrease is the factor applied to the limit after a shed reply.
 	limitDecrease = 0.8
 	// maxLimitPerSlot bounds the limit as a multiple of the replica's slots.
 	maxLimitPerSlot = 4
 )
 
-// Health is what one daemon has seen of one back-end process: its own
-// requests in flight, the load that replies report, the latency, the adaptive
-// limit, warmth and ejection. It has no clock and does no I/O: the daemon and
-// the simulated experiments drive the same code. It is safe for concurrent
-// use; its counters are atomic.
+// Health tracks one backend process as seen by one daemon: its requests in
+// flight, reported load, latency, adaptive concurrency limit, warm-up and
+// ejection. It has no clock and does no I/O, so that the daemon and simulations
+// run the same code. It is safe for concurrent use.
 type Health struct {
 	distance topology.Distance
 	cold     bool
 	created  time.Time
-	place    *PlaceHealth // nil means that the place is not watched
+	place    *PlaceHealth // nil if place health is not tracked
 
 	inFlight       atomic.Int64
 	reportedLoad   atomic.Int64
 	slots          atomic.Int64
 	latency        atomic.Int64 // moving average, nanoseconds
-	latencyUpdated atomic.Int64 // time of the last sample, nanoseconds after created
+	latencyUpdated atomic.Int64 // time of the last latency sample, nanoseconds after created
 	limit          atomic.Int64 // in units of 1/limitScale requests
 	successes      atomic.Int64
-	failures       atomic.Int64 // in a row
-	ejections      atomic.Int64 // in a row
+	failures       atomic.Int64 // consecutive
+	ejections      atomic.Int64 // consecutive
 	ejectedUntil   atomic.Int64 // nanoseconds after created
-	sheds          atomic.Int64 // in a row
+	sheds          atomic.Int64 // consecutive
 	shedUntil      atomic.Int64 // nanoseconds after created
 
 	slowdown slowdown
@@ -69,8 +70,8 @@
 	lossRate lossRate
 }
 
-// NewHealth returns the health of a process that was first listed now, as a
-// daemon at a place sees it.
+// NewHealth returns the health of a process first listed at now, as seen from a
+// daemon at self.
 func NewHealth(replica topology.Replica, self topology.Place, now time.Time) *Health {
 	health := &Health{
 		distance: self.DistanceTo(replica.Place),
@@ -83,8 +84,8 @@
 	return health
 }
 
-// WithPlace makes the replica share the health of its place. It is called before the
-// first request.
+// WithPlace makes the replica share the health of its place. It must be called
+// before the first request.
 func (h *Health) WithPlace(place *PlaceHealth) *Health {
 	h.place = place
 	return h
@@ -93,13 +94,13 @@
 // Begin counts a request in flight.
 func (h *Health) Begin() { h.inFlight.Add(1) }
 
-// End counts a request out and returns how many are left.
+// End removes a request in flight and returns the number that remain.
 func (h *Health) End() int64 { return h.inFlight.Add(-1) }
 
-// Candidate returns the replica as decision.ChooseReplica sees it. Tried is
-// false and ConnectionAvailable true; callers that know better set them.
+// Candidate describes the replica for decision.ChooseReplica. Tried is false
+// and ConnectionAvailable is true; callers adjust them as needed.
 func (h *Health) Candidate(now time.Time) decision.Candidate {
-	// a clock reading taken before the replica was listed counts as age 0
+	// now may have been read before the replica was listed
 	age := max(0, now.Sub(h.created))
 	return decision.Candidate{
 		Distance:            h.distance,
@@ -129,7 +130,7 @@
 	return min(1, max(byRequests, byTime))
 }
 
-// ObserveLoad takes in the load that a reply reports.
+// ObserveLoad records the load reported in a reply.
 func (h *Health) ObserveLoad(load backendapi.Load) {
 	h.reportedLoad.Store(int64(max(0, load.InFlight+load.Queued)))
 	if load.Slots > 0 {
@@ -137,50 +138,50 @@
 	}
 }
 
-// Observation is what came of one request to a replica.
+// Observation is the result of one request to a replica.
 type Observation struct {
 	Outcome decision.Outcome
-	// Canceled is true when this daemon ended the request itself.
+	// Canceled is set if this daemon canceled the request.
 	Canceled bool
-	// Elapsed counts from the sending of the request.
+	// Elapsed is the time since the request was sent.
 	Elapsed time.Duration
-	// RetryAfter is the time to come back that a refusal named, or 0.
+	// RetryAfter is the delay requested by a refusal, or 0.
 	RetryAfter time.Duration
-	// Late is true when Elapsed is over what is usual in the group.
+	// Late is set if Elapsed exceeds the typical latency of the group.
 	Late bool
 }
 
-// Observe takes in how a request ended; true means that the replica is
-// ejected now. A refusal is no failure. A request that this daemon gave up is
-// one only if it was late: a replica that has gone silent fails no request, as
-// each is given up when a hedge wins.
-func (h *Health) Observe(now time.Time, ended Observation) (ejected bool) {
-	h.observePlace(now, ended)
+// Observe records the result of a request. It reports whether the replica has
+// been ejected by it. A refusal is not a failure. A canceled request is a
+// failure only if it was late: a replica that stops responding never fails a
+// request, because each one is canceled when its hedge wins.
+func (h *Health) Observe(now time.Time, observation Observation) (ejected bool) {
+	h.observePlace(now, observation)
 	switch {
-	case ended.Outcome == decision.Success:
+	case observation.Outcome == decision.Success:
 		h.lossRate.recordAnswer(now.Sub(h.created))
-		h.recordSuccess(now, ended.Elapsed)
-	case ended.Outcome == decision.Shed:
+		h.recordSuccess(now, observation.Elapsed)
+	case observation.Outcome == decision.Shed:
 		h.lossRate.recordLoss(now.Sub(h.created))
-		h.recordShed(now, ended.RetryAfter)
-	case ended.Outcome == decision.Invalid:
+		h.recordShed(now, observation.RetryAfter)
+	case observation.Outcome == decision.Invalid:
 		h.lossRate.recordLoss(now.Sub(h.created))
 		return h.recordFailure(now)
-	case ended.Outcome == decision.Failed && ended.Canceled:
-		h.recordCanceled(now, ended.Elapsed)
-		return ended.Late && h.recordFailure(now)
-	case ended.Outcome == decision.Failed:
+	case observation.Outcome == decision.Failed && observation.Canceled:
+		h.recordCanceled(now, observation.Elapsed)
+		return observation.Late && h.recordFailure(now)
+	case observation.Outcome == decision.Failed:
 		h.lossRate.recordLoss(now.Sub(h.created))
 		return h.recordFailure(now)
 	}
 	return false
 }
 
-func (h *Health) observePlace(now time.Time, ended Observation) {
+func (h *Health) observePlace(now time.Time, observation Observation) {
 	switch {
-	case ended.Outcome != decision.Failed:
+	case observation.Outcome != decision.Failed:
 		h.place.recordAnswer()
-	case ended.Late, !ended.Canceled:
+	case observation.Late, !observation.Canceled:
 		h.place.recordFailure(now)
 	}
 }
@@ -205,9 +206,9 @@
 	h.increaseLimit()
 }
 
-// recordCanceled takes the time that was waited as a lower bound of the latency, at
-// full weight; without it, a slow replica that always loses to a hedge would
-// look fast.
+// recordCanceled uses the time waited as a lower bound of the latency, at full
+// weight. Otherwise a slow replica that always loses to a hedge would look
+// fast.
 func (h *Health) recordCanceled(now time.Time, waited time.Duration) {
 	if int64(waited) > h.latency.Load() {
 		h.latency.Store(int64(waited))
@@ -215,25 +216,24 @@
 	}
 }
 
-// increaseLimit adds a request to the limit for each limit of successes, while
-// the limit is in use.
+// increaseLimit raises the limit by one request per limit's worth of successes,
+// while at least half of the limit is in use.
 func (h *Health) increaseLimit() {
 	limit := h.limit.Load()
 	if 2*h.inFlight.Load()*limitScale < limit {
 		return
 	}
-	most := maxLimitPerSlot * h.slots.Load() * limitScale
-	h.limit.Store(min(limit+limitScale*limitScale/limit, most))
+	maximum := maxLimitPerSlot * h.slots.Load() * limitScale
+	h.limit.Store(min(limit+limitScale*limitScale/limit, maximum))
 }
 
-// slowStart begins with one request at a time: the limit grows by one with each
-// round of answers, and a replica that has just started is cold. After a restart
-// of all nodes every waiting caller comes at once, each node knows only those
-// that have recorded themselves before it, and the replicas still count the
-// connections of before.
+// slowStart sets the limit to one request, from which it grows by one per round
+// of answers. It protects replicas after a restart of all nodes, when waiting
+// callers arrive together, each node knows only some of the others and replicas
+// still count the connections from before the restart.
 func (h *Health) slowStart() { h.limit.Store(limitScale) }
 
-// recordShed leaves the replica alone for a while; it is no failure.
+// recordShed makes the replica back off. A shed request is not a failure.
 func (h *Health) recordShed(now time.Time, retryAfter time.Duration) {
 	h.decreaseLimit()
 	age := now.Sub(h.created)
@@ -249,9 +249,9 @@
 	h.limit.Store(max(limitScale, int64(limitDecrease*float64(h.limit.Load()))))
 }
 
-// ShortenEjection shortens an ejection to the first length. It is called when all
-// replicas of a group are ejected: that says nothing against any of them, and
-// after an outage they should be used again soon.
+// ShortenEjection reduces an ejection to the base duration. It is called when
+// all replicas of a group are ejected, so that they are retried soon after an
+// outage.
 func (h *Health) ShortenEjection(now time.Time) {
 	soon := int64(now.Sub(h.created) + baseEjection)
 	if until := h.ejectedUntil.Load(); until > soon {
--- a/internal/replica/latency.go
+++ b/internal/replica/latency.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// The latency window keeps counts in buckets of a quarter of a power of two
-// of microseconds: the error is under 25%.
+// Latencies are counted in logarithmic buckets, four per power of two of
+// microseconds, which keeps the error below 25%.
 const (
 	subBuckets    = 4
 	subBucketBits = 2
 	bucketCount   = 32 * subBuckets
-	// windowSamples is the number of samples after which the older half of
-	// the window is dropped.
+	// windowSamples is the number of samples after which the older half of the
+	// window is discarded.
 	windowSamples = 512
-	// minSamples is the number below which a quantile is not known.
+	// minSamples is the number of samples required to estimate a quantile.
 	minSamples = 20
-	// cacheSamples is the number of samples between two computations.
+	// cacheSamples is the number of samples for which a computed quantile is
+	// reused.
 	cacheSamples = 32
 )
 
-// latencyWindow estimates quantiles of the latest 512 to 1,024 latencies. It
-// is safe for concurrent use; samples that race a rotation may be lost.
+// latencyWindow estimates quantiles over the latest 512 to 1,024 latencies. It
+// is safe for concurrent use; samples recorded during a rotation may be lost.
 type latencyWindow struct {
 	halves  [2]latencyHalf
 	current atomic.Uint32
@@ -51,14 +52,13 @@
 	return min(exponent*subBuckets+fraction, bucketCount-1)
 }
 
-// bucketUpperBound returns the upper edge of a bucket.
 func bucketUpperBound(bucket int) time.Duration {
 	exponent, fraction := bucket/subBuckets, bucket%subBuckets
 	micros := float64(uint64(1)<<exponent) * (1 + float64(fraction+1)/subBuckets)
 	return time.Duration(micros * float64(time.Microsecond))
 }
 
-// Record adds one latency.
+// Record adds a sample.
 func (w *latencyWindow) Record(latency time.Duration) {
 	half := &w.halves[w.current.Load()&1]
 	half.counts[bucketOf(latency)].Add(1)
@@ -77,8 +77,8 @@
 	w.current.Add(1)
 }
 
-// Quantile returns the latency below which a share of the window lies, or 0
-// while there are too few samples.
+// Quantile returns an estimate of the given quantile, or 0 if there are too few
+// samples.
 func (w *latencyWindow) Quantile(quantile float64) time.Duration {
 	total := w.total.Load()
 	if total < minSamples {
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -8,22 +8,23 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The constants of a place's health.
 const (
-	// suspectAfter requests in a row to replicas at one place that failed or
-	// were given up late, the place is suspected.
+	// suspectAfter is the number of consecutive requests to replicas at one
+	// place that failed or were canceled late after which the place is
+	// suspected.
 	suspectAfter = 16
-	// suspectFor is how long all its replicas then count as ejected. A place
-	// that has not answered since is suspected again after a single request.
+	// suspectFor is how long all replicas of a suspected place count as
+	// ejected. A place that has not answered since is suspected again after a
+	// single request.
 	suspectFor = time.Second
 )
 
-// PlaceHealth is what one daemon has seen of all replicas at a place. A lost
-// zone takes many replicas at once, and finding them out one by one would cost
-// a late request for each. Its zero value is ready, and it is safe for
-// concurrent use.
+// PlaceHealth tracks all replicas at a place as seen by one daemon. The loss of
+// a zone takes down many replicas at once, and detecting each one separately
+// would cost a late request per replica. The zero value is ready to use. It is
+// safe for concurrent use.
 type PlaceHealth struct {
-	failures     atomic.Int64 // in a row
+	failures     atomic.Int64 // consecutive
 	suspectUntil atomic.Int64 // Unix nanoseconds
 }
 
@@ -43,13 +44,13 @@
 	return p != nil && p.failures.Load() >= suspectAfter && now.UnixNano() < p.suspectUntil.Load()
 }
 
-// PlaceHealthMap holds the health of each place. Its zero value is ready, and it is
-// safe for concurrent use.
+// PlaceHealthMap holds the health of each place. The zero value is ready to
+// use. It is safe for concurrent use.
 type PlaceHealthMap struct {
 	byPlace sync.Map // topology.Place -> *PlaceHealth
 }
 
-// Of returns the health of a place.
+// Of returns the health of a place, creating it if necessary.
 func (p *PlaceHealthMap) Of(place topology.Place) *PlaceHealth {
 	known, _ := p.byPlace.LoadOrStore(place, &PlaceHealth{})
 	return known.(*PlaceHealth)
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -8,46 +8,44 @@
 	"time"
 )
 
-// The constants of a replica's speed.
 const (
-	// slowdownSamples is the number of latest samples of which the median counts:
-	// a single long request, or a pause, does not make a replica slow.
+	// slowdownSamples is the number of samples over which the median is taken,
+	// so that a single long request does not make a replica count as slow.
 	slowdownSamples = 3
-	// slowdownHalfLife is the time in which what is known of a replica that is
-	// not asked fades by half, so that it is tried again.
+	// slowdownHalfLife is the half-life of the estimate for a replica that gets
+	// no requests, so that it is tried again.
 	slowdownHalfLife = 2 * time.Second
-	// lateRatio is how many times its usual time an answer takes when it is
-	// late.
+	// lateRatio is the multiple of the median latency from which on an answer
+	// is late.
 	lateRatio = 2
 )
 
-// slowdown is how many times longer than usual a replica takes: 1 is the usual
-// time of its group's replicas at the same distance, for the same kind of
-// request. Its zero value is that of a replica of usual slowdown. It is safe for
-// concurrent use.
+// slowdown estimates the ratio of a replica's latency to the median latency of
+// its group's replicas at the same distance, for the same kind of request. The
+// zero value estimates 1. It is safe for concurrent use.
 type slowdown struct {
 	mutex    sync.Mutex
-	samples  [slowdownSamples]float64 // excess over the usual time
+	samples  [slowdownSamples]float64 // latency ratio minus 1
 	next     int
-	updated  time.Duration // time of the last sample, after the replica was listed
-	lateAt   time.Duration // time of the last late sample that counted
+	updated  time.Duration // time of the last sample, since the replica was listed
+	lateAt   time.Duration // time of the last late sample counted
 	median   atomic.Uint64 // bits of the median excess
-	medianAt atomic.Int64  // observed, for readers without the mutex
+	medianAt atomic.Int64  // copy of updated that is read without the mutex
 }
 
-// observe takes in a request that took so many times its usual time. Requests
-// that were held up together end together, and count as one.
-func (s *slowdown) observe(age, usual time.Duration, slowness float64) {
+// observe records the latency ratio of a request. Late requests in quick
+// succession were usually delayed by the same pause and count once.
+func (s *slowdown) observe(age, median time.Duration, ratio float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if slowness >= lateRatio {
-		if s.lateAt != 0 && age-s.lateAt < lateRatio*usual {
+	if ratio >= lateRatio {
+		if s.lateAt != 0 && age-s.lateAt < lateRatio*median {
 			return
 		}
 		s.lateAt = age
 	}
 	s.decay(age)
-	s.samples[s.next] = slowness - 1
+	s.samples[s.next] = ratio - 1
 	s.next = (s.next + 1) % slowdownSamples
 	s.updated = age
 	sorted := s.samples
@@ -56,28 +54,27 @@
 	s.medianAt.Store(int64(age))
 }
 
-// decay lets the samples decay by the time since the last one.
+// decay reduces the samples by the time since the last one.
 func (s *slowdown) decay(age time.Duration) {
-	left := slowdownDecay(age - s.updated)
+	factor := slowdownDecay(age - s.updated)
 	for i := range s.samples {
-		s.samples[i] *= left
+		s.samples[i] *= factor
 	}
 }
 
-func slowdownDecay(since time.Duration) float64 { return decayFactor(since, slowdownHalfLife) }
+func slowdownDecay(elapsed time.Duration) float64 { return decayFactor(elapsed, slowdownHalfLife) }
 
-// decayFactor is what is left of a value that fades by half in a time.
-func decayFactor(since, halfLife time.Duration) float64 {
-	return math.Exp2(-max(0, float64(since)/float64(halfLife)))
+// decayFactor returns the factor by which a value decays over a time.
+func decayFactor(elapsed, halfLife time.Duration) float64 {
+	return math.Exp2(-max(0, float64(elapsed)/float64(halfLife)))
 }
 
-// minExcess is the excess from which on a replica counts as slow. Requests
-// differ among themselves by less than that, and a farther replica must not be
-// preferred for it.
+// minExcess is the excess from which on a replica counts as slow. Smaller
+// differences are normal and must not cause a farther replica to be preferred.
 const minExcess = 0.5
 
-// factor returns how many times longer than usual a request is expected to
-// take: 1, or more for a slow replica.
+// factor returns the expected ratio of a request's latency to the median, at
+// least 1.
 func (s *slowdown) factor(age time.Duration) float64 {
 	excess := math.Float64frombits(s.median.Load()) * slowdownDecay(age-time.Duration(s.medianAt.Load()))
 	if excess < minExcess {
@@ -86,26 +83,28 @@
 	return 1 + excess
 }
 
-// silenceTimer notices a replica that holds requests and answers none. Its zero
-// value is ready, and it is safe for concurrent use.
+// silenceTimer measures how long a replica with requests in flight has not
+// answered any. The zero value is ready to use. It is safe for concurrent use.
 type silenceTimer struct {
-	// since is when the replica was heard last, or began to hold requests.
+	// since is the time of the last reply or, if later, of the first request
+	// sent while none was in flight.
 	since atomic.Int64
 }
 
-// requestSent notes that a request was sent; held is the number held with it.
-func (s *silenceTimer) requestSent(age time.Duration, held int64) {
-	if held <= 1 {
+// requestSent records that a request was sent; inFlight includes it.
+func (s *silenceTimer) requestSent(age time.Duration, inFlight int64) {
+	if inFlight <= 1 {
 		s.since.Store(int64(age))
 	}
 }
 
-// replyReceived notes an answer.
+// replyReceived records a reply.
 func (s *silenceTimer) replyReceived(age time.Duration) { s.since.Store(int64(age)) }
 
-// duration returns how long a replica that holds requests has been silent.
-func (s *silenceTimer) duration(age time.Duration, held int64) time.Duration {
-	if held == 0 {
+// duration returns how long the replica has been silent, 0 if nothing is in
+// flight.
+func (s *silenceTimer) duration(age time.Duration, inFlight int64) time.Duration {
+	if inFlight == 0 {
 		return 0
 	}
 	return age - time.Duration(s.since.Load())
--- a/internal/replica/tracker.go
+++ b/internal/replica/tracker.go
@@ -15,27 +15,26 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The defaults of TrackerOptions.
 const (
 	defaultListInterval = 2 * time.Second
 	defaultColdFor      = 10 * time.Second
 )
 
-// TrackerOptions are what a Tracker needs. Zero values take defaults.
+// TrackerOptions configures a Tracker. Zero values select defaults.
 type TrackerOptions struct {
 	Lister machines.Lister
 	Board  *blackboard.Board
-	// Interval between two readings of the machine list.
+	// Interval is the time between two reads of the machine list.
 	Interval time.Duration
-	// ColdFor is how long a newly listed process counts as cold.
+	// ColdFor is how long a newly listed process is considered cold.
 	ColdFor    time.Duration
 	Logger     *slog.Logger
 	Now        func() time.Time
 	Registerer prometheus.Registerer
 }
 
-// Tracker merges the machine list with the marks of leaving replicas and
-// publishes Board.Replicas. It is that section's one writer.
+// Tracker combines the machine list with the set of leaving replicas and
+// publishes the result to Board.Replicas, of which it is the only writer.
 type Tracker struct {
 	options TrackerOptions
 	metrics trackerMetrics
@@ -49,7 +48,7 @@
 	listReads     int
 }
 
-// NewTracker makes a Tracker; Run starts it.
+// NewTracker returns a Tracker. Call Run to start it.
 func NewTracker(options TrackerOptions) *Tracker {
 	if options.Interval <= 0 {
 		options.Interval = defaultListInterval
@@ -72,15 +71,16 @@
 	}
 }
 
-// OnLeaving registers a function that is called once for each newly learned
-// leaving replica. It must not block.
+// OnLeaving registers a function that is called once for each process newly
+// found to be leaving. It must not block.
 func (t *Tracker) OnLeaving(notify func(address, incarnation string)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.listeners = append(t.listeners, notify)
 }
 
-// Run reads the list at once and then at each interval, until ctx ends.
+// Run reads the machine list immediately and then at each interval, until ctx
+// is done.
 func (t *Tracker) Run(ctx context.Context) error {
 	ticker := time.NewTicker(t.options.Interval)
 	defer ticker.Stop()
@@ -94,8 +94,8 @@
 	}
 }
 
-// Refresh reads the list once. A reading that fails or that lost every
-// replica keeps the last one.
+// Refresh reads the machine list once. If the read fails or returns no
+// replicas, the previous list is kept.
 func (t *Tracker) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, t.options.Interval)
 	defer cancel()
@@ -122,7 +122,7 @@
 		t.options.Logger.Info("machine list reachable again")
 		return
 	}
-	t.options.Logger.Warn("machine list unreachable; keeping the last reading", "error", cause.Error())
+	t.options.Logger.Warn("machine list unreachable; using the last list read", "error", cause.Error())
 }
 
 func (t *Tracker) applyList(replicas []topology.Replica) {
@@ -132,15 +132,16 @@
 		t.listed = slices.Clone(replicas)
 	}
 	t.listReads++
-	fresh := t.updateSeen(now)
+	added := t.updateSeen(now)
 	t.publish(now)
 	t.mutex.Unlock()
-	t.notifyLeaving(fresh)
+	t.notifyLeaving(added)
 }
 
-// updateSeen notes first sights and takes the list's own leaving marks.
+// updateSeen records when processes were first listed and adds those listed as
+// leaving to the set. It returns the newly added ones.
 func (t *Tracker) updateSeen(now time.Time) []processID {
-	var fresh []processID
+	var added []processID
 	for _, replica := range t.listed {
 		listed := processID{replica.Address, replica.Incarnation}
 		if _, known := t.firstSeen[listed]; !known {
@@ -148,16 +149,17 @@
 		}
 		t.leaving.refresh(listed, now)
 		if replica.State == topology.ReplicaLeaving && t.leaving.add(listed, now) {
-			fresh = append(fresh, listed)
+			added = append(added, listed)
 		}
 	}
 	t.leaving.evictExpired(now)
 	t.pruneFirstSeen()
-	return fresh
+	return added
 }
 
-// firstSeenTime dates the processes of the first reading back, as they may have run
-// for long.
+// firstSeenTime returns the time from which a newly listed process is
+// considered cold. Processes in the first list may have been running for long,
+// so they are not cold.
 func (t *Tracker) firstSeenTime(now time.Time) time.Time {
 	if t.listReads <= 1 {
 		return now.Add(-t.options.ColdFor)
@@ -180,24 +182,23 @@
 	}
 }
 
-// MarkLeaving records that a process is leaving, learned from its reply or
-// from a peer. Without an incarnation, the listed process at the address is
-// meant.
+// MarkLeaving records that a process is leaving, as reported by its reply or by
+// a peer. If incarnation is empty, the process listed at the address is marked.
 func (t *Tracker) MarkLeaving(address, incarnation string) {
 	now := t.options.Now()
 	t.mutex.Lock()
 	if incarnation == "" {
 		incarnation = t.listedIncarnation(address)
 	}
-	marked := processID{address, incarnation}
-	fresh := t.leaving.add(marked, now)
-	if fresh {
+	process := processID{address, incarnation}
+	added := t.leaving.add(process, now)
+	if added {
 		t.publish(now)
 	}
 	t.mutex.Unlock()
-	if fresh {
+	if added {
 		t.options.Logger.Info("replica leaving", "address", address, "incarnation", incarnation)
-		t.notifyLeaving([]processID{marked})
+		t.notifyLeaving([]processID{process})
 	}
 }
 
@@ -210,27 +211,27 @@
 	return ""
 }
 
-// Leaving returns the address and incarnation of each marked process.
+// Leaving returns the address and incarnation of each leaving process.
 func (t *Tracker) Leaving() []topology.Replica {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	leaving := make([]topology.Replica, 0, len(t.leaving.lastSeen))
-	for marked := range t.leaving.lastSeen {
+	for process := range t.leaving.lastSeen {
 		leaving = append(leaving, topology.Replica{
-			Address: marked.address, Incarnation: marked.incarnation, State: topology.ReplicaLeaving,
+			Address: process.address, Incarnation: process.incarnation, State: topology.ReplicaLeaving,
 		})
 	}
 	slices.SortFunc(leaving, compareReplicas)
 	return leaving
 }
 
-func (t *Tracker) notifyLeaving(fresh []processID) {
+func (t *Tracker) notifyLeaving(added []processID) {
 	t.mutex.Lock()
 	notify := slices.Clone(t.listeners)
 	t.mutex.Unlock()
-	for _, marked := range fresh {
+	for _, process := range added {
 		for _, call := range notify {
-			call(marked.address, marked.incarnation)
+			call(process.address, process.incarnation)
 		}
 	}
 }
@@ -243,7 +244,8 @@
 	}
 }
 
-// publish must be called with the mutex held. It writes only what differs.
+// publish updates the board if the replicas have changed. The caller must hold
+// the mutex.
 func (t *Tracker) publish(now time.Time) {
 	if t.listReads == 0 {
 		return
