--- a/internal/replica/backend_test.go
+++ b/internal/replica/backend_test.go
@@ -17,7 +17,8 @@
 
 const testGroup = "g0"
 
-// testBackend is a replica whose answers are given by a handler.
+// testBackend is a replica that answers with a given handler and counts
+// requests.
 type testBackend struct {
 	*httptest.Server
 	requests atomic.Int64
@@ -36,11 +37,11 @@
 
 func (b *testBackend) address() string { return b.Listener.Addr().String() }
 
-func newTestPool(t *testing.T, board *blackboard.Board, change func(*PoolOptions)) *Pool {
+func newTestPool(t *testing.T, board *blackboard.Board, modify func(*PoolOptions)) *Pool {
 	t.Helper()
 	options := PoolOptions{Board: board, MaxReplyBytes: 4096, Random: func() uint64 { return 0 }}
-	if change != nil {
-		change(&options)
+	if modify != nil {
+		modify(&options)
 	}
 	pool := NewPool(options)
 	t.Cleanup(pool.Close)
@@ -87,14 +88,14 @@
 	}
 }
 
-// abort reads the request and breaks the exchange without an answer: HTTP/1.1
+// abort reads the request and fails the exchange without an answer: HTTP/1.1
 // closes the connection, HTTP/2 resets the stream.
 func abort(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
 
-// truncate announces more bytes than it sends.
+// truncate sends half of the body announced by its Content-Length.
 func truncate(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	encoded, _ := json.Marshal(validReply())
@@ -104,9 +105,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-func respondModified(change func(*backendapi.SearchReply)) http.HandlerFunc {
+func respondModified(modify func(*backendapi.SearchReply)) http.HandlerFunc {
 	reply := validReply()
-	change(&reply)
+	modify(&reply)
 	return respondJSON(http.StatusOK, reply)
 }
 
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -10,8 +10,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// newColdPool is a pool of one cold and one warm replica, on a clock of its own, in a node
-// that alone shares what the cold one takes.
+// newColdPool returns a pool of one cold and one warm replica with a fake
+// clock. The node is the only one that shares the cold replica's rate.
 func newColdPool(t *testing.T, rate int, now *time.Time) (*Pool, *blackboard.Board) {
 	t.Helper()
 	board := &blackboard.Board{}
@@ -25,53 +25,53 @@
 	}), board
 }
 
-// TestAColdReplicaTakesNoMoreThanItsRate: in any one second, also when it is the only one
-// that a message may go to; what is over is neither sent nor waits.
-func TestAColdReplicaTakesNoMoreThanItsRate(t *testing.T) {
+// A cold replica must not exceed its rate in any window, even if no other
+// replica is eligible; excess messages are neither sent nor queued.
+func TestColdReplicaRateLimit(t *testing.T) {
 	const rate = 3
 	now := time.Unix(1000, 0)
 	pool, board := newColdPool(t, rate, &now)
-	terms := testCriteria()
-	terms.Regions = []string{nearPlace.Region}
+	criteria := testCriteria()
+	criteria.Regions = []string{nearPlace.Region}
 	var sent []time.Time
 	for range 100 {
-		if acquired := pool.AcquireForMessage(testGroup, terms, nil); acquired.Handle != nil {
+		if acquired := pool.AcquireForMessage(testGroup, criteria, nil); acquired.Handle != nil {
 			sent = append(sent, now)
 			acquired.Handle.End()
-		} else if acquired.Busy || pool.CountServableGroups([]string{testGroup}, terms) != 0 {
-			t.Fatal("a message waits, or is let in, for a cold replica that has its share")
+		} else if acquired.Busy || pool.CountServableGroups([]string{testGroup}, criteria) != 0 {
+			t.Fatal("message is queued or admitted for a cold replica at its rate limit")
 		}
 		now = now.Add(70 * time.Millisecond)
 	}
 	if len(sent) < rate*6 {
-		t.Errorf("%d messages in seven seconds", len(sent))
+		t.Errorf("sent only %d messages in 7 s", len(sent))
 	}
 	for i := rate; i < len(sent); i++ {
 		if sent[i].Sub(sent[i-rate]) < coldWindow {
-			t.Errorf("%d messages within %v", rate+1, sent[i].Sub(sent[i-rate]))
+			t.Errorf("sent %d messages within %v", rate+1, sent[i].Sub(sent[i-rate]))
 		}
 	}
-	terms.Regions = nil
+	criteria.Regions = nil
 	for range 2 * rate {
-		acquired := pool.AcquireForMessage(testGroup, terms, nil)
+		acquired := pool.AcquireForMessage(testGroup, criteria, nil)
 		if acquired.Handle == nil {
-			t.Fatal("the warm replica is not asked in its place")
+			t.Fatal("no replica acquired, want the warm one")
 		}
 		acquired.Handle.End()
 	}
 	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace}, topology.Replica{Address: "warm:1", Place: farPlace})
-	terms.Regions = []string{nearPlace.Region}
+	criteria.Regions = []string{nearPlace.Region}
 	for range 2 * rate {
-		acquired := pool.AcquireForMessage(testGroup, terms, nil)
+		acquired := pool.AcquireForMessage(testGroup, criteria, nil)
 		if acquired.Handle == nil {
-			t.Fatal("it is bounded though it is warm")
+			t.Fatal("no replica acquired, want the replica that is no longer cold")
 		}
 		acquired.Handle.End()
 	}
 }
 
-// TestAVanishedReplicaIsBoundedWhileItIsCold: as the last resort too.
-func TestAVanishedReplicaIsBoundedWhileItIsCold(t *testing.T) {
+// The rate also applies when the replica is the last resort.
+func TestVanishedColdReplicaRateLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool, board := newColdPool(t, 2, &now)
 	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaVanished, ColdRate: 2})
@@ -83,44 +83,44 @@
 		}
 	}
 	if sent != 2 {
-		t.Errorf("%d messages in a moment", sent)
+		t.Errorf("sent %d messages at once, want 2", sent)
 	}
 }
 
-// TestTheColdGateIsExactUnderRaces: requests that choose at the same moment.
-func TestTheColdGateIsExactUnderRaces(t *testing.T) {
-	const share = 5
-	var gate coldLimiter
-	gate.setLimit(share)
-	var passed atomic.Int64
-	var running sync.WaitGroup
+// Concurrent requests must not exceed the limit.
+func TestColdLimiterConcurrent(t *testing.T) {
+	const limit = 5
+	var limiter coldLimiter
+	limiter.setLimit(limit)
+	var admitted atomic.Int64
+	var group sync.WaitGroup
 	now := time.Unix(1000, 0)
 	for range 50 {
-		running.Go(func() {
-			if gate.hasCapacity(now) && gate.admit(now) {
-				passed.Add(1)
+		group.Go(func() {
+			if limiter.hasCapacity(now) && limiter.admit(now) {
+				admitted.Add(1)
 			}
 		})
 	}
-	running.Wait()
-	if passed.Load() != share {
-		t.Errorf("%d passed", passed.Load())
+	group.Wait()
+	if admitted.Load() != limit {
+		t.Errorf("admitted %d requests", admitted.Load())
 	}
 }
 
-// TestANodeThatBecomesAnEntryNodeHasAShare: of what is cold already, though neither the
-// replicas nor those who hold connections have changed.
-func TestANodeThatBecomesAnEntryNodeHasAShare(t *testing.T) {
+// The limit of a replica that is already cold must be recomputed when only the
+// set of sharing nodes changes.
+func TestColdLimitFollowsSharingNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool, board := newColdPool(t, 3, &now)
-	terms := testCriteria()
-	terms.Regions = []string{nearPlace.Region}
+	criteria := testCriteria()
+	criteria.Regions = []string{nearPlace.Region}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other"}})
-	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 0 {
-		t.Error("a node that does not share asks a cold replica")
+	if got := pool.CountServableGroups([]string{testGroup}, criteria); got != 0 {
+		t.Error("group is servable on a node outside the sharing set")
 	}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other", "self"}})
-	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 1 {
-		t.Error("a node that shares does not ask it")
+	if got := pool.CountServableGroups([]string{testGroup}, criteria); got != 1 {
+		t.Error("group is not servable on a node in the sharing set")
 	}
 }
--- a/internal/replica/contract_test.go
+++ b/internal/replica/contract_test.go
@@ -16,10 +16,10 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The contract of a back end, run by the pool against the stand-in over
-// loopback, with both protocols.
+// These tests check the backend protocol between a pool and the stand-in backend
+// over loopback, with both HTTP versions.
 
-const contractGroup = "cues-0"
+const backendGroup = "cues-0"
 
 // backendFixture is one stand-in replica and a pool that knows it.
 type backendFixture struct {
@@ -34,7 +34,7 @@
 		{Corpus: corpus.Cues, ID: "1", Index: "cues", Document: "a.srt", Text: "the rain"},
 		{Corpus: corpus.Cues, ID: "2", Index: "cues", Document: "a.srt", Text: "the rain again"},
 	}
-	standin := backend.New(backend.Options{Group: contractGroup, Incarnation: "first"})
+	standin := backend.New(backend.Options{Group: backendGroup, Incarnation: "first"})
 	standin.Hold(7, "cues", 0, 1, corpus.NewShard(records))
 	server, err := backend.Start(standin, "127.0.0.1:0")
 	if err != nil {
@@ -42,21 +42,21 @@
 	}
 	t.Cleanup(func() { _ = server.Close() })
 	board := &blackboard.Board{}
-	board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{contractGroup: {{
-		Address: server.Address, Incarnation: "first", Group: contractGroup, Slots: 4, ConnectionLimit: 75,
+	board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{backendGroup: {{
+		Address: server.Address, Incarnation: "first", Group: backendGroup, Slots: 4, ConnectionLimit: 75,
 	}}}})
 	pool := replica.NewPool(replica.PoolOptions{Board: board, Protocol: protocol})
 	t.Cleanup(pool.Close)
 	return &backendFixture{standin: standin, server: server, pool: pool}
 }
 
-func (c *backendFixture) search(t *testing.T, snapshot uint64) replica.SubrequestResult {
+func (f *backendFixture) search(t *testing.T, snapshot uint64) replica.SubrequestResult {
 	t.Helper()
-	handle := c.pool.Acquire(contractGroup, policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}, nil)
+	handle := f.pool.Acquire(backendGroup, policy.Replicas{ZoneWeight: 1, RegionWeight: 1, FarWeight: 1}, nil)
 	if handle == nil {
 		t.Fatal("no replica could be acquired")
 	}
-	return c.pool.Search(t.Context(), handle, &backendapi.SearchRequest{
+	return f.pool.Search(t.Context(), handle, &backendapi.SearchRequest{
 		QueryID: "q", Attempt: 1, Snapshot: snapshot, Index: "cues", Shards: 1,
 		Phrase: "rain", Order: client.OrderRank, Limit: 10, TimeoutMilliseconds: 60_000,
 	})
@@ -64,7 +64,7 @@
 
 var protocols = []replica.Protocol{replica.ProtocolHTTP1, replica.ProtocolH2C}
 
-func TestContractOfSearches(t *testing.T) {
+func TestBackendSearch(t *testing.T) {
 	cases := []struct {
 		name     string
 		faults   backend.Faults
@@ -80,7 +80,7 @@
 		{"wrong shard", backend.Faults{Reply: backend.FaultWrongShard}, false, 7, decision.Invalid, false},
 		{"wrong snapshot", backend.Faults{Reply: backend.FaultWrongSnapshot}, false, 7, decision.Invalid, false},
 		{"wrong attempt", backend.Faults{Reply: backend.FaultWrongAttempt}, false, 7, decision.Invalid, false},
-		{"another query's reply", backend.Faults{Reply: backend.FaultCrossed}, false, 7, decision.Invalid, false},
+		{"reply to another query", backend.Faults{Reply: backend.FaultCrossed}, false, 7, decision.Invalid, false},
 		{"not JSON", backend.Faults{Reply: backend.FaultNotJSON}, false, 7, decision.Invalid, false},
 		{"server error", backend.Faults{Reply: backend.FaultServerError}, false, 7, decision.Failed, false},
 		{"reset before it ran", backend.Faults{Reply: backend.FaultResetBefore}, false, 7, decision.Failed, false},
@@ -92,12 +92,12 @@
 	for _, protocol := range protocols {
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
-				under := newBackendFixture(t, protocol)
-				under.standin.SetFaults(test.faults)
+				fixture := newBackendFixture(t, protocol)
+				fixture.standin.SetFaults(test.faults)
 				if test.drain {
-					under.standin.Drain()
+					fixture.standin.Drain()
 				}
-				got := under.search(t, test.snapshot)
+				got := fixture.search(t, test.snapshot)
 				if got.Outcome != test.outcome || got.NotRun != test.notRun {
 					t.Errorf("outcome %v, not run %v, error %v; want %v, %v", got.Outcome, got.NotRun, got.Err, test.outcome, test.notRun)
 				}
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestContractOfCalls(t *testing.T) {
+func TestBackendCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults backend.Faults
@@ -117,7 +117,7 @@
 		notRun bool
 		ran    int
 	}{
-		{"it ran", backend.Faults{}, "", false, 1},
+		{"ran", backend.Faults{}, "", false, 1},
 		{"shed", backend.Faults{Shed: true}, failure.BackendRefused, true, 0},
 		{"reset before it ran", backend.Faults{Reply: backend.FaultResetBefore}, failure.OutcomeUnknown, false, 0},
 		{"reset after it ran", backend.Faults{Reply: backend.FaultResetAfter}, failure.OutcomeUnknown, false, 1},
@@ -127,41 +127,41 @@
 	for _, protocol := range protocols {
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
-				under := newBackendFixture(t, protocol)
-				under.standin.SetFaults(test.faults)
-				err := under.call(t.Context())
+				fixture := newBackendFixture(t, protocol)
+				fixture.standin.SetFaults(test.faults)
+				err := fixture.call(t.Context())
 				if test.kind == "" && err != nil {
 					t.Fatal(err)
 				}
 				if test.kind != "" && (failure.KindOf(err) != test.kind || failure.From(err).NotRun != test.notRun) {
 					t.Errorf("error %v, not run %v; want %s, %v", err, failure.From(err).NotRun, test.kind, test.notRun)
 				}
-				if ran := under.standin.Executions()["key-1"]; ran != test.ran {
-					t.Errorf("it ran %d times, want %d", ran, test.ran)
+				if ran := fixture.standin.Executions()["key-1"]; ran != test.ran {
+					t.Errorf("call ran %d times, want %d", ran, test.ran)
 				}
 			})
 		}
 	}
 }
 
-func (c *backendFixture) call(ctx context.Context) error {
-	_, err := c.pool.Call(ctx, contractGroup, backendapi.CallRequest{
+func (f *backendFixture) call(ctx context.Context) error {
+	_, err := f.pool.Call(ctx, backendGroup, backendapi.CallRequest{
 		Key: "key-1", Operation: "credit", TimeoutMilliseconds: 60_000, NotAfterUnixMilliseconds: 1 << 60,
 	})
 	return err
 }
 
-func TestContractOfAReplicaThatIsGone(t *testing.T) {
+func TestBackendClosed(t *testing.T) {
 	for _, protocol := range protocols {
 		t.Run(string(protocol), func(t *testing.T) {
-			under := newBackendFixture(t, protocol)
-			for range 2 { // the second close is that of the cleanup's kind
-				if err := under.server.Close(); err != nil {
+			fixture := newBackendFixture(t, protocol)
+			for range 2 { // a second Close, as by the cleanup, must succeed
+				if err := fixture.server.Close(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if got := under.search(t, 7); got.Outcome != decision.Failed || !got.NotRun {
-				t.Errorf("outcome %v, not run %v: a refused connection proves that it did not run", got.Outcome, got.NotRun)
+			if got := fixture.search(t, 7); got.Outcome != decision.Failed || !got.NotRun {
+				t.Errorf("outcome %v, not run %v; want failed and not run after a refused connection", got.Outcome, got.NotRun)
 			}
 		})
 	}
--- a/internal/replica/decode_test.go
+++ b/internal/replica/decode_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorpond/doorpond/internal/backendapi"
 )
 
-// replySeeds are replies in the usual form, then odd and broken ones.
+// replySeeds returns typical replies, followed by unusual and malformed ones.
 func replySeeds() []string {
 	good, _ := json.Marshal(validReply())
 	full := validReply()
@@ -26,8 +26,8 @@
 	}
 }
 
-// FuzzDecodeSearchReply checks that a body is accepted only if encoding/json
-// accepts it, and then reads the same.
+// FuzzDecodeSearchReply checks that every body accepted by the decoder is also
+// accepted by encoding/json and decodes to the same value.
 func FuzzDecodeSearchReply(f *testing.F) {
 	for _, body := range replySeeds() {
 		f.Add(body)
@@ -39,18 +39,18 @@
 		}
 		want := &backendapi.SearchReply{}
 		if err := json.Unmarshal([]byte(body), want); err != nil {
-			t.Fatalf("%q was accepted, and is no reply: %v", body, err)
+			t.Fatalf("%q was accepted but encoding/json rejects it: %v", body, err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%q reads differently (-encoding/json +ours):\n%s", body, diff)
+			t.Errorf("%q decodes differently (-encoding/json +go-json):\n%s", body, diff)
 		}
 	})
 }
 
-// BenchmarkDecodeSearchReply compares with encoding/json.
+// BenchmarkDecodeSearchReply compares the decoder with encoding/json.
 func BenchmarkDecodeSearchReply(b *testing.B) {
 	body, _ := json.Marshal(validReply())
-	b.Run("ours", func(b *testing.B) {
+	b.Run("go-json", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			_, _ = decodeSearchReply(body)
--- a/internal/replica/forward_test.go
+++ b/internal/replica/forward_test.go
@@ -17,7 +17,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// startPeer serves the peers' protocol and returns its address.
+// startPeer serves the peer protocol and returns its address.
 func startPeer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
@@ -27,7 +27,7 @@
 	return server.Listener.Addr().String()
 }
 
-// startHolder serves a daemon that may connect to the replicas.
+// startHolder starts a daemon that may connect to the replicas.
 func startHolder(t *testing.T, replicas ...string) (string, *ForwardServer) {
 	t.Helper()
 	board := &blackboard.Board{}
@@ -36,9 +36,9 @@
 	return startPeer(t, peer.NewServer(peer.ServerOptions{Forwarder: forwarder})), forwarder
 }
 
-// newForwardingPool makes the pool of one of two daemons: the one that must not connect
-// to the first replica. Each replica takes one connection, and the daemons'
-// peers listen at the address.
+// newForwardingPool returns the pool of a daemon that must not connect to the
+// first replica. There are two daemons, each replica accepts one connection,
+// and peerAddress is the address of both daemons.
 func newForwardingPool(t *testing.T, peerAddress string, replicas ...string) *Pool {
 	t.Helper()
 	var listed []topology.Replica
@@ -69,7 +69,7 @@
 	return address
 }
 
-// mismatchedForwarder answers with the reply to another query.
+// mismatchedForwarder answers with the reply to another request.
 type mismatchedForwarder struct{}
 
 func (mismatchedForwarder) Forward(context.Context, peer.ForwardRequest) (peer.ForwardReply, error) {
@@ -96,26 +96,26 @@
 func TestForwardedSearchOutcomes(t *testing.T) {
 	good := respondJSON(http.StatusOK, validReply())
 	cases := []struct {
-		name    string
-		replica http.HandlerFunc
-		peer    func(*testing.T, string) string
-		want    decision.Outcome
-		notRun  bool
-		asked   int64 // requests that reach the replica
+		name     string
+		replica  http.HandlerFunc
+		peer     func(*testing.T, string) string
+		want     decision.Outcome
+		notRun   bool
+		requests int64 // received by the replica
 	}{
 		{"whole reply", good, holderPeer, decision.Success, false, 1},
 		{"replica sheds", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, decision.Shed, true, 1},
 		{"replica drains", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), holderPeer, decision.Draining, true, 1},
 		{"snapshot not held", respondRefusal(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), holderPeer, decision.SnapshotNotHeld, true, 1},
-		{"replica cuts after the write", abort, holderPeer, decision.Failed, false, 1},
-		{"replica's reply is cut", truncate, holderPeer, decision.Failed, false, 1},
-		{"replica's reply is crossed", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), holderPeer, decision.Failed, false, 1},
-		{"peer's reply is crossed", good, mismatchedPeer, decision.Invalid, false, 0},
+		{"replica aborts after the write", abort, holderPeer, decision.Failed, false, 1},
+		{"replica's reply is truncated", truncate, holderPeer, decision.Failed, false, 1},
+		{"replica replies to another query", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), holderPeer, decision.Failed, false, 1},
+		{"peer replies to another query", good, mismatchedPeer, decision.Invalid, false, 0},
 		{"peer reaches no replica", good, peerWithoutReplicas, decision.Failed, true, 0},
 		{"peer does not forward", good, peerWithoutForwarder, decision.Failed, true, 0},
-		{"peer is gone", good, closedPeer, decision.Failed, true, 0},
+		{"peer is closed", good, closedPeer, decision.Failed, true, 0},
 		{"peer resets after the write", good, peerWithHandler(abort), decision.Failed, false, 0},
-		{"peer answers nonsense", good, peerWithHandler(respondText("x")), decision.Failed, false, 0},
+		{"peer sends malformed reply", good, peerWithHandler(respondText("x")), decision.Failed, false, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -125,8 +125,8 @@
 			if result.Outcome != test.want || result.NotRun != test.notRun {
 				t.Errorf("outcome %d not run %v, want %d %v (%v)", result.Outcome, result.NotRun, test.want, test.notRun, result.Err)
 			}
-			if asked := backend.requests.Load(); asked != test.asked {
-				t.Errorf("the replica was asked %d times, want %d", asked, test.asked)
+			if requests := backend.requests.Load(); requests != test.requests {
+				t.Errorf("replica received %d requests, want %d", requests, test.requests)
 			}
 		})
 	}
@@ -135,20 +135,20 @@
 func TestForwardedCallRunsAtMostOnce(t *testing.T) {
 	good := respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-1", Result: json.RawMessage(`{}`)})
 	cases := []struct {
-		name    string
-		replica http.HandlerFunc
-		peer    func(*testing.T, string) string
-		kind    failure.Kind
-		notRun  bool
-		asked   int64
+		name     string
+		replica  http.HandlerFunc
+		peer     func(*testing.T, string) string
+		kind     failure.Kind
+		notRun   bool
+		requests int64
 	}{
 		{"ran", good, holderPeer, "", false, 1},
 		{"replica sheds", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), holderPeer, failure.BackendRefused, true, 1},
-		{"replica cuts after the write", abort, holderPeer, failure.OutcomeUnknown, false, 1},
-		{"replica answers another key", respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), holderPeer, failure.OutcomeUnknown, false, 1},
-		{"peer answers another key", good, mismatchedPeer, failure.OutcomeUnknown, false, 0},
+		{"replica aborts after the write", abort, holderPeer, failure.OutcomeUnknown, false, 1},
+		{"replica replies to another key", respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), holderPeer, failure.OutcomeUnknown, false, 1},
+		{"peer replies to another key", good, mismatchedPeer, failure.OutcomeUnknown, false, 0},
 		{"peer reaches no replica", good, peerWithoutReplicas, failure.BackendRefused, true, 0},
-		{"peer is gone", good, closedPeer, failure.BackendRefused, true, 0},
+		{"peer is closed", good, closedPeer, failure.BackendRefused, true, 0},
 		{"peer resets after the write", good, peerWithHandler(abort), failure.OutcomeUnknown, false, 0},
 	}
 	for _, test := range cases {
@@ -157,14 +157,14 @@
 			pool := newForwardingPool(t, test.peer(t, backend.address()), backend.address())
 			_, err := pool.Call(t.Context(), testGroup, callRequest())
 			checkCallError(t, err, test.kind, test.notRun)
-			if asked := backend.requests.Load(); asked != test.asked {
-				t.Errorf("the replica was asked %d times, want %d", asked, test.asked)
+			if requests := backend.requests.Load(); requests != test.requests {
+				t.Errorf("replica received %d requests, want %d", requests, test.requests)
 			}
 		})
 	}
 }
 
-func TestForwardServerAwaitsWhatIsInFlight(t *testing.T) {
+func TestForwardServerAwaitIdle(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	backend := newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -174,7 +174,7 @@
 	})
 	address, forwarder := startHolder(t, backend.address())
 	if err := forwarder.AwaitIdle(t.Context()); err != nil {
-		t.Fatal("waits for nothing:", err)
+		t.Fatal("AwaitIdle without requests in flight:", err)
 	}
 	pool := newForwardingPool(t, address, backend.address())
 	results := make(chan SubrequestResult, 1)
@@ -182,10 +182,10 @@
 		results <- pool.Search(t.Context(), pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	}()
 	<-arrived
-	over, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := forwarder.AwaitIdle(over); !errors.Is(err, context.Canceled) {
-		t.Error("a request in flight is not awaited:", err)
+	if err := forwarder.AwaitIdle(canceled); !errors.Is(err, context.Canceled) {
+		t.Error("AwaitIdle did not wait for a request in flight:", err)
 	}
 	close(release)
 	if err := forwarder.AwaitIdle(t.Context()); err != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestBrokenReplicaInReachGivesWayToPeers(t *testing.T) {
+func TestAcquireFallsBackToPeer(t *testing.T) {
 	backend := newBackend(t, respondJSON(http.StatusOK, validReply()))
 	address, _ := startHolder(t, backend.address())
 	broken := unusedAddress(t)
@@ -204,7 +204,7 @@
 	for range ejectAfter {
 		handle := pool.Acquire(testGroup, callWeights, nil)
 		if handle.Address() != broken {
-			t.Fatalf("asks %s, want the replica in reach", handle.Address())
+			t.Fatalf("acquired %s, want the directly connected replica", handle.Address())
 		}
 		pool.Search(t.Context(), handle, searchRequest())
 	}
--- a/internal/replica/health_test.go
+++ b/internal/replica/health_test.go
@@ -17,40 +17,40 @@
 )
 
 func TestHealth(t *testing.T) {
-	type seen struct{ ejected, backingOff bool }
+	type status struct{ ejected, backingOff bool }
 	cases := []struct {
-		name  string
-		ended []Observation // 10 ms apart
-		after time.Duration
-		want  seen
+		name     string
+		observed []Observation // 10 ms apart
+		after    time.Duration
+		want     status
 	}{
-		{"failures in a row eject", []Observation{observedFailure, observedFailure, observedFailure}, 0, seen{ejected: true}},
-		{"a success between them does not", []Observation{observedFailure, observedFailure, observedSuccess, observedFailure}, 0, seen{}},
-		{"a silent replica is ejected", []Observation{observedLateCancel, observedLateCancel, observedLateCancel}, 0, seen{ejected: true}},
-		{"requests given up early prove nothing", []Observation{observedEarlyCancel, observedEarlyCancel, observedEarlyCancel, observedEarlyCancel}, 0, seen{}},
-		{"refusals never eject", []Observation{observedShed, observedShed, observedShed, observedShed}, 0, seen{backingOff: true}},
-		{"ejection ends", []Observation{observedFailure, observedFailure, observedFailure}, baseEjection, seen{}},
-		{"refusal ends at the time named", []Observation{observedShed}, 100 * time.Millisecond, seen{}},
-		{"refusals in a row double the time", []Observation{observedShed, observedShed}, 190 * time.Millisecond, seen{backingOff: true}},
-		{"an answer ends the doubling", []Observation{observedShed, observedSuccess, observedShed}, 100 * time.Millisecond, seen{}},
+		{"consecutive failures eject", []Observation{observedFailure, observedFailure, observedFailure}, 0, status{ejected: true}},
+		{"success resets failures", []Observation{observedFailure, observedFailure, observedSuccess, observedFailure}, 0, status{}},
+		{"late cancellations eject", []Observation{observedLateCancel, observedLateCancel, observedLateCancel}, 0, status{ejected: true}},
+		{"early cancellations do not eject", []Observation{observedEarlyCancel, observedEarlyCancel, observedEarlyCancel, observedEarlyCancel}, 0, status{}},
+		{"refusals do not eject", []Observation{observedShed, observedShed, observedShed, observedShed}, 0, status{backingOff: true}},
+		{"ejection ends", []Observation{observedFailure, observedFailure, observedFailure}, baseEjection, status{}},
+		{"backoff ends after Retry-After", []Observation{observedShed}, 100 * time.Millisecond, status{}},
+		{"consecutive refusals double the backoff", []Observation{observedShed, observedShed}, 190 * time.Millisecond, status{backingOff: true}},
+		{"success resets the backoff", []Observation{observedShed, observedSuccess, observedShed}, 100 * time.Millisecond, status{}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
-			for _, ended := range test.ended {
+			for _, observed := range test.observed {
 				now = now.Add(10 * time.Millisecond)
-				health.Observe(now, ended)
+				health.Observe(now, observed)
 			}
 			candidate := health.Candidate(now.Add(test.after))
-			if got := (seen{candidate.Ejected, candidate.BackingOff}); got != test.want {
-				t.Errorf("saw %+v, want %+v", got, test.want)
+			if got := (status{candidate.Ejected, candidate.BackingOff}); got != test.want {
+				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestEjectionIsRenewedByOneFailure(t *testing.T) {
+func TestEjectionRenewedByOneFailure(t *testing.T) {
 	now := time.Unix(1000, 0)
 	health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
 	for range ejectAfter {
@@ -58,14 +58,14 @@
 	}
 	now = now.Add(baseEjection)
 	if !health.Observe(now, observedFailure) {
-		t.Error("a replica that has not answered since was not ejected again")
+		t.Error("not ejected again after one failure")
 	}
 	if !health.Candidate(now.Add(2*baseEjection - 1)).Ejected {
-		t.Error("the second ejection is not twice as long")
+		t.Error("second ejection is not twice as long")
 	}
 }
 
-func TestRelentShortensALongEjection(t *testing.T) {
+func TestShortenEjection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
 	for range ejectAfter {
@@ -76,29 +76,29 @@
 		health.Observe(now, observedFailure)
 	}
 	if !health.Candidate(now.Add(8*baseEjection - 1)).Ejected {
-		t.Fatal("the fourth ejection is not eight times as long as the first")
+		t.Fatal("fourth ejection is not eight times as long as the first")
 	}
-	health.Observe(now, observedFailure) // as the last resort of its group
+	health.Observe(now, observedFailure) // chosen as the last resort of its group
 	health.ShortenEjection(now)
 	if !health.Candidate(now.Add(baseEjection-1)).Ejected || health.Candidate(now.Add(baseEjection)).Ejected {
-		t.Error("want the ejection to end after its first length")
+		t.Error("ejection does not end after the base duration")
 	}
 }
 
-func TestGivenUpRaisesTheLatencyAtOnce(t *testing.T) {
+func TestCanceledRequestRaisesLatency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
 	health.Observe(now, observedSuccess)
 	health.Observe(now, observedLateCancel)
 	if got := health.Candidate(now).LatencyEWMA; got != observedLateCancel.Elapsed {
-		t.Errorf("latency %v after waiting %v in vain", got, observedLateCancel.Elapsed)
+		t.Errorf("latency %v after a request canceled at %v", got, observedLateCancel.Elapsed)
 	}
 	if got := health.Candidate(now.Add(latencyHalfLife)).LatencyEWMA; got != observedLateCancel.Elapsed/2 {
-		t.Errorf("latency %v after it went stale, want half", got)
+		t.Errorf("latency %v after its half-life, want half", got)
 	}
 }
 
-func TestLostPlace(t *testing.T) {
+func TestPlaceSuspicion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	places := &PlaceHealthMap{}
 	lost, other := topology.Place{Region: "r", Zone: "a"}, topology.Place{Region: "r", Zone: "b"}
@@ -109,22 +109,22 @@
 		healthAt(lost).Observe(now, observedLateCancel)
 	}
 	if healthAt(lost).Candidate(now).Ejected {
-		t.Error("suspected too early")
+		t.Error("place suspected too early")
 	}
 	healthAt(lost).Observe(now, observedLateCancel)
 	if !healthAt(lost).Candidate(now).Ejected || healthAt(other).Candidate(now).Ejected {
-		t.Error("want the replicas of the lost place ejected, and no other")
+		t.Error("want only the replicas of the lost place ejected")
 	}
 	if healthAt(lost).Candidate(now.Add(suspectFor)).Ejected {
-		t.Error("still suspected after its time")
+		t.Error("place still suspected after suspectFor")
 	}
 	healthAt(lost).Observe(now, observedShed)
 	if healthAt(lost).Candidate(now).Ejected {
-		t.Error("still suspected after an answer")
+		t.Error("place still suspected after an answer")
 	}
 }
 
-func TestGroupTellsLateRequests(t *testing.T) {
+func TestGroupDetectsLateRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	group := &GroupHealth{}
 	health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
@@ -138,6 +138,6 @@
 		ejected = group.Observe(health, now, late)
 	}
 	if !ejected {
-		t.Error("requests given up after the usual time did not count")
+		t.Error("late canceled requests did not eject the replica")
 	}
 }
--- a/internal/replica/loss_rate_test.go
+++ b/internal/replica/loss_rate_test.go
@@ -9,61 +9,61 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// TestAReplicaThatTurnsAPartAwayIsLeftAlone: an answer in between does not make it well,
-// a single rejection does not make it ill, and it is tried again in time.
-func TestAReplicaThatTurnsAPartAwayIsLeftAlone(t *testing.T) {
-	unnamed := Observation{Outcome: decision.Shed}
+// A replica that sheds part of its requests must back off despite answers in
+// between, and a single refusal must not cause a long backoff.
+func TestLossRateBackoff(t *testing.T) {
+	shed := Observation{Outcome: decision.Shed}
 	cases := []struct {
-		name  string
-		ended []Observation // 10 ms apart
-		after time.Duration
-		want  bool
+		name     string
+		observed []Observation // 10 ms apart
+		after    time.Duration
+		want     bool
 	}{
-		{"one rejection is a short pause", []Observation{unnamed}, shedBackoff, false},
-		{"two of three are a long one", []Observation{unnamed, observedSuccess, unnamed}, lossBackoff - time.Millisecond, true},
-		{"which ends", []Observation{unnamed, observedSuccess, unnamed}, lossBackoff, false},
-		{"a named time counts as it is", []Observation{observedShed, observedSuccess, observedShed}, observedShed.RetryAfter, false},
+		{"single refusal", []Observation{shed}, shedBackoff, false},
+		{"two of three refused", []Observation{shed, observedSuccess, shed}, lossBackoff - time.Millisecond, true},
+		{"backoff ends", []Observation{shed, observedSuccess, shed}, lossBackoff, false},
+		{"Retry-After is not extended", []Observation{observedShed, observedSuccess, observedShed}, observedShed.RetryAfter, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			health := NewHealth(topology.Replica{Slots: 4}, topology.Place{}, now)
-			for _, ended := range test.ended {
+			for _, observed := range test.observed {
 				now = now.Add(10 * time.Millisecond)
-				health.Observe(now, ended)
+				health.Observe(now, observed)
 			}
 			if got := health.Candidate(now.Add(test.after)).BackingOff; got != test.want {
-				t.Errorf("backing off %v", got)
+				t.Errorf("backing off: %v", got)
 			}
 		})
 	}
 }
 
-func TestTheShareOfLossesFades(t *testing.T) {
-	var share lossRate
+func TestLossRateDecay(t *testing.T) {
+	var losses lossRate
 	for range 20 {
-		share.recordLoss(time.Second)
+		losses.recordLoss(time.Second)
 	}
-	if got := share.successRate(time.Second); got != minSuccessRate {
-		t.Errorf("expected to answer %.2f though it loses everything", got)
+	if got := losses.successRate(time.Second); got != minSuccessRate {
+		t.Errorf("success rate %.2f after only losses", got)
 	}
-	half := 1 - share.current(time.Second+lossHalfLife)
+	half := 1 - losses.current(time.Second+lossHalfLife)
 	if half < 0.5 || half > 0.52 {
-		t.Errorf("expected to answer %.2f after the half-life", half)
+		t.Errorf("success rate %.2f after the half-life", half)
 	}
 	for range 100 {
-		share.recordAnswer(time.Second + lossHalfLife)
+		losses.recordAnswer(time.Second + lossHalfLife)
 	}
-	if got := share.successRate(time.Second + lossHalfLife); got < 0.99 {
-		t.Errorf("expected to answer %.2f though it answers everything", got)
+	if got := losses.successRate(time.Second + lossHalfLife); got < 0.99 {
+		t.Errorf("success rate %.2f after only answers", got)
 	}
 }
 
-// TestAReplicaThatLosesAPartIsAskedLess: after its pause too, a farther one that answers
-// everything is preferred to it, whichever way it loses requests.
-func TestAReplicaThatLosesAPartIsAskedLess(t *testing.T) {
-	for _, way := range []decision.Outcome{decision.Shed, decision.Failed, decision.Invalid} {
-		t.Run(way.String(), func(t *testing.T) {
+// A farther replica that answers everything must be preferred to a near one
+// that loses part of its requests, in whichever way, even after the backoff.
+func TestLossRateLowersPreference(t *testing.T) {
+	for _, outcome := range []decision.Outcome{decision.Shed, decision.Failed, decision.Invalid} {
+		t.Run(outcome.String(), func(t *testing.T) {
 			board := &blackboard.Board{}
 			listReplicas(board, topology.Replica{Address: "far:1", Place: farPlace}, topology.Replica{Address: "near:1", Place: nearPlace})
 			now := time.Unix(1000, 0)
@@ -71,23 +71,23 @@
 				options.Self = nearPlace
 				options.Now = func() time.Time { return now }
 			})
-			terms := testCriteria()
+			criteria := testCriteria()
 			for range 2 * minSamples {
-				terms.Baseline.record(topology.SameZone, 20*time.Millisecond)
-				terms.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
+				criteria.Baseline.record(topology.SameZone, 20*time.Millisecond)
+				criteria.Baseline.record(topology.OtherRegion, 28*time.Millisecond)
 			}
-			near := pool.AcquireForMessage(testGroup, terms, nil).Handle
+			near := pool.AcquireForMessage(testGroup, criteria, nil).Handle
 			near.End()
 			if near.replica.Place != nearPlace {
-				t.Fatal("the farther one is preferred from the start")
+				t.Fatal("far replica preferred before any loss")
 			}
 			for range 4 {
-				near.Observe(now, Observation{Outcome: way})
+				near.Observe(now, Observation{Outcome: outcome})
 				near.Observe(now, Observation{Outcome: decision.Success, Elapsed: 20 * time.Millisecond})
 			}
 			now = now.Add(3 * time.Second)
-			if got := pool.AcquireForMessage(testGroup, terms, nil).Handle; got == near {
-				t.Error("it is asked first again, after a pause")
+			if got := pool.AcquireForMessage(testGroup, criteria, nil).Handle; got == near {
+				t.Error("lossy replica preferred after its backoff")
 			}
 		})
 	}
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -15,7 +15,7 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// testCodec names what the tests' replicas say.
+// testCodec implements the headers used by the test replicas.
 type testCodec struct{}
 
 func (testCodec) RequestHeader(message *upstream.Message, incarnation string, _ time.Duration) http.Header {
@@ -35,12 +35,12 @@
 	}
 }
 
-func newMessagePool(t *testing.T, board *blackboard.Board, change func(*PoolOptions)) *Pool {
+func newMessagePool(t *testing.T, board *blackboard.Board, modify func(*PoolOptions)) *Pool {
 	t.Helper()
 	return newTestPool(t, board, func(options *PoolOptions) {
 		options.Codec = testCodec{}
-		if change != nil {
-			change(options)
+		if modify != nil {
+			modify(options)
 		}
 	})
 }
@@ -49,8 +49,8 @@
 	return &upstream.Message{ID: "m", Method: http.MethodGet, Target: "/", Host: "h"}
 }
 
-// TestForwardOutcomes has what a replica may answer, and what it means for a
-// plain request and for a part of a scattered one.
+// Tests the outcome of each kind of answer, for a plain request and for a part
+// of a scattered query.
 func TestForwardOutcomes(t *testing.T) {
 	signed := func(status int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -70,21 +70,21 @@
 		name             string
 		handler          http.HandlerFunc
 		plain, scattered decision.Outcome
-		notRun, hasPart  bool
+		notRun, hasReply bool
 	}{
 		{"answer", signed(200), decision.Success, decision.Success, false, true},
 		{"no signature", unsigned(200, false), decision.Invalid, decision.Invalid, false, false},
-		{"full", unsigned(503, true), decision.Shed, decision.Shed, true, false},
-		{"refused though signed", func(w http.ResponseWriter, r *http.Request) {
+		{"refused", unsigned(503, true), decision.Shed, decision.Shed, true, false},
+		{"refused and signed", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Refused", "1")
 			signed(429)(w, r)
 		}, decision.Shed, decision.Shed, true, false},
-		{"its own 503", signed(503), decision.Failed, decision.Failed, false, true},
-		{"its own 500", signed(500), decision.Failed, decision.Failed, false, true},
-		{"its own 404", signed(404), decision.Success, decision.Failed, false, true},
+		{"signed 503", signed(503), decision.Failed, decision.Failed, false, true},
+		{"signed 500", signed(500), decision.Failed, decision.Failed, false, true},
+		{"signed 404", signed(404), decision.Success, decision.Failed, false, true},
 		{"unsigned 503", unsigned(503, false), decision.Invalid, decision.Invalid, false, false},
-		{"another process", unsigned(421, false), decision.Elsewhere, decision.Elsewhere, true, false},
-		{"breaks off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, decision.Failed, decision.Failed, false, false},
+		{"address reused", unsigned(421, false), decision.Elsewhere, decision.Elsewhere, true, false},
+		{"aborted", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, decision.Failed, decision.Failed, false, false},
 	}
 	for _, test := range cases {
 		for _, scattered := range []bool{false, true} {
@@ -98,18 +98,18 @@
 				if scattered {
 					want = test.scattered
 				}
-				if got.Outcome != want || got.NotRun != test.notRun || (got.UpstreamReply != nil) != test.hasPart {
-					t.Errorf("outcome %v, not run %v, part %v; want %v", got.Outcome, got.NotRun, got.UpstreamReply, want)
+				if got.Outcome != want || got.NotRun != test.notRun || (got.UpstreamReply != nil) != test.hasReply {
+					t.Errorf("outcome %v, not run %v, reply %v; want outcome %v", got.Outcome, got.NotRun, got.UpstreamReply, want)
 				}
-				if held := acquired.Handle.inFlight.Load(); held != 0 {
-					t.Errorf("%d requests are still counted", held)
+				if inFlight := acquired.Handle.inFlight.Load(); inFlight != 0 {
+					t.Errorf("%d requests still in flight", inFlight)
 				}
 			})
 		}
 	}
 }
 
-func TestAReplicaNotReachedHasNotRun(t *testing.T) {
+func TestForwardUnreached(t *testing.T) {
 	board := &blackboard.Board{}
 	publish(board, "127.0.0.1:1")
 	pool := newMessagePool(t, board, nil)
@@ -120,22 +120,22 @@
 	}
 }
 
-func TestAReplicaElsewhereIsTold(t *testing.T) {
+func TestForwardReportsAddressReuse(t *testing.T) {
 	board := &blackboard.Board{}
 	backend := newBackend(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) })
 	publish(board, backend.address())
-	var told []string
+	var notified []string
 	pool := newMessagePool(t, board, func(options *PoolOptions) {
-		options.OnAddressReused = func(replica topology.Replica) { told = append(told, replica.Address) }
+		options.OnAddressReused = func(replica topology.Replica) { notified = append(notified, replica.Address) }
 	})
 	acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil)
 	pool.Forward(t.Context(), acquired.Handle, testMessage(), time.Second, testCriteria(), false)
-	if len(told) != 1 || told[0] != backend.address() {
-		t.Errorf("told of %v", told)
+	if len(notified) != 1 || notified[0] != backend.address() {
+		t.Errorf("notified of %v", notified)
 	}
 }
 
-// listReplicas publishes replicas of the test group in their own places.
+// listReplicas publishes replicas of the test group, keeping their places.
 func listReplicas(board *blackboard.Board, replicas ...topology.Replica) {
 	for i := range replicas {
 		replicas[i].Group, replicas[i].Incarnation = testGroup, "1"
@@ -149,7 +149,7 @@
 	farPlace  = topology.Place{Region: "r2", Zone: "z2"}
 )
 
-// poolFixture is a pool over a near and a far replica on a clock of its own.
+// poolFixture is a pool with a near and a far replica and a fake clock.
 type poolFixture struct {
 	pool     *Pool
 	criteria *SelectionCriteria
@@ -160,128 +160,127 @@
 	t.Helper()
 	board := &blackboard.Board{}
 	listReplicas(board, topology.Replica{Address: "far:1", Place: farPlace}, topology.Replica{Address: "near:1", Place: nearPlace})
-	made := &poolFixture{criteria: testCriteria(), now: time.Unix(1000, 0)}
-	made.pool = newMessagePool(t, board, func(options *PoolOptions) {
+	fixture := &poolFixture{criteria: testCriteria(), now: time.Unix(1000, 0)}
+	fixture.pool = newMessagePool(t, board, func(options *PoolOptions) {
 		options.Self = nearPlace
-		options.Now = func() time.Time { return made.now }
+		options.Now = func() time.Time { return fixture.now }
 	})
-	for _, handle := range made.pool.current().handles {
-		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // as after some answers
+	for _, handle := range fixture.pool.current().handles {
+		handle.limit.Store(int64(handle.replica.Slots) * limitScale) // skip the slow start
 	}
 	for range 2 * minSamples {
-		made.criteria.Baseline.record(topology.SameZone, 20*time.Millisecond)
-		made.criteria.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
+		fixture.criteria.Baseline.record(topology.SameZone, 20*time.Millisecond)
+		fixture.criteria.Baseline.record(topology.OtherRegion, 45*time.Millisecond)
 	}
-	return made
+	return fixture
 }
 
-func (v *poolFixture) acquire(t *testing.T) *Handle {
+func (f *poolFixture) acquire(t *testing.T) *Handle {
 	t.Helper()
-	acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil)
+	acquired := f.pool.AcquireForMessage(testGroup, f.criteria, nil)
 	if acquired.Handle == nil {
 		t.Fatal("no replica")
 	}
 	return acquired.Handle
 }
 
-func (v *poolFixture) end(handle *Handle, outcome decision.Outcome, took time.Duration, givenUp bool) {
+func (f *poolFixture) end(handle *Handle, outcome decision.Outcome, elapsed time.Duration, canceled bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if givenUp {
+	if canceled {
 		cancel()
 	}
-	started := v.now
-	v.now = v.now.Add(took)
-	v.pool.recordForward(ctx, handle, SubrequestResult{Outcome: outcome}, started, v.criteria)
+	started := f.now
+	f.now = f.now.Add(elapsed)
+	f.pool.recordForward(ctx, handle, SubrequestResult{Outcome: outcome}, started, f.criteria)
 	handle.release()
 }
 
-func TestTheNearReplicaIsPreferred(t *testing.T) {
-	v := newPoolFixture(t)
-	if got := v.acquire(t).Address(); got != "near:1" {
+func TestAcquirePrefersNearReplica(t *testing.T) {
+	f := newPoolFixture(t)
+	if got := f.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
 }
 
-// TestAPausedReplicaIsLeftAlone: a first attempt goes elsewhere while a replica
-// holds a request for longer than is usual, and comes back with its answer.
-func TestAPausedReplicaIsLeftAlone(t *testing.T) {
-	v := newPoolFixture(t)
-	held := v.acquire(t)
-	v.now = v.now.Add(30 * time.Millisecond)
-	if got := v.acquire(t); got != held {
-		t.Errorf("chose %s before the answer was late", got.Address())
+// First attempts must avoid a replica that holds a late request, until it
+// answers.
+func TestAcquireAvoidsSilentReplica(t *testing.T) {
+	f := newPoolFixture(t)
+	near := f.acquire(t)
+	f.now = f.now.Add(30 * time.Millisecond)
+	if got := f.acquire(t); got != near {
+		t.Errorf("chose %s before the answer was late, want the near replica", got.Address())
 	}
-	v.now = v.now.Add(30 * time.Millisecond)
-	if got := v.acquire(t); got == held {
-		t.Error("chose a replica that holds a late request")
+	f.now = f.now.Add(30 * time.Millisecond)
+	if got := f.acquire(t); got == near {
+		t.Error("chose a replica with a late request")
 	}
-	v.end(held, decision.Success, 0, false)
-	if got := v.acquire(t); got != held {
+	f.end(near, decision.Success, 0, false)
+	if got := f.acquire(t); got != near {
 		t.Errorf("chose %s after the late answer", got.Address())
 	}
 }
 
-func TestASlowReplicaIsLeftAndTriedAgain(t *testing.T) {
-	v := newPoolFixture(t)
+func TestAcquireRetriesSlowReplica(t *testing.T) {
+	f := newPoolFixture(t)
 	var near *Handle
 	for range slowdownSamples {
-		near = v.pool.current().handles[processID{"near:1", "1"}]
+		near = f.pool.current().handles[processID{"near:1", "1"}]
 		near.Begin()
-		v.end(near, decision.Success, 140*time.Millisecond, false)
+		f.end(near, decision.Success, 140*time.Millisecond, false)
 	}
-	if got := v.acquire(t); got == near {
+	if got := f.acquire(t); got == near {
 		t.Error("chose the slow replica")
 	}
-	v.now = v.now.Add(6 * slowdownHalfLife)
-	if got := v.acquire(t); got != near {
-		t.Error("the replica that was slow is not tried again")
+	f.now = f.now.Add(6 * slowdownHalfLife)
+	if got := f.acquire(t); got != near {
+		t.Error("slow replica not tried again")
 	}
 }
 
-func TestAReplicaThatGoesSilentIsEjected(t *testing.T) {
-	v := newPoolFixture(t)
-	near := v.pool.current().handles[processID{"near:1", "1"}]
+func TestSilentReplicaIsEjected(t *testing.T) {
+	f := newPoolFixture(t)
+	near := f.pool.current().handles[processID{"near:1", "1"}]
 	for range ejectAfter {
 		near.Begin()
-		v.end(near, decision.Failed, 300*time.Millisecond, true)
+		f.end(near, decision.Failed, 300*time.Millisecond, true)
 	}
-	if !near.Candidate(v.now).Ejected {
-		t.Error("a replica that answered none of three requests is not ejected")
+	if !near.Candidate(f.now).Ejected {
+		t.Error("replica not ejected after late cancellations")
 	}
 }
 
-// TestResetsCutTheLimit: a replica that is full resets connections, and is sent
-// less until it answers.
-func TestResetsCutTheLimit(t *testing.T) {
-	v := newPoolFixture(t)
-	near := v.pool.current().handles[processID{"near:1", "1"}]
+// A replica at its connection limit resets connections and must be sent less.
+func TestResetDecreasesLimit(t *testing.T) {
+	f := newPoolFixture(t)
+	near := f.pool.current().handles[processID{"near:1", "1"}]
 	before := near.limit.Load()
 	near.Begin()
 	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
-	v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, v.now, v.criteria)
+	f.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, f.now, f.criteria)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
 	}
 }
 
-// TestANewReplicaStartsWithOneRequest: its limit grows by one with each round of
-// answers, so that a restart of all nodes does not overrun it.
-func TestANewReplicaStartsWithOneRequest(t *testing.T) {
-	v := newPoolFixture(t)
-	near := v.pool.current().handles[processID{"near:1", "1"}]
+// The limit must grow by one per round of answers, so that a restart of all
+// nodes does not overload a replica.
+func TestSlowStart(t *testing.T) {
+	f := newPoolFixture(t)
+	near := f.pool.current().handles[processID{"near:1", "1"}]
 	near.slowStart()
 	for _, want := range []int{1, 2, 3} {
-		for held := range want {
-			if got := v.acquire(t); got != near {
-				t.Fatalf("chose %s with %d requests in flight, of %d", got.Address(), held, want)
+		for inFlight := range want {
+			if got := f.acquire(t); got != near {
+				t.Fatalf("chose %s with %d of %d requests in flight", got.Address(), inFlight, want)
 			}
 		}
-		if got := v.acquire(t); got == near {
-			t.Errorf("more than %d requests at once", want)
+		if got := f.acquire(t); got == near {
+			t.Errorf("more than %d requests in flight", want)
 		}
-		for range want + 1 { // the limit is reached just after a round, by rounding
-			v.end(near, decision.Success, 20*time.Millisecond, false)
+		for range want + 1 { // one more than a round, because of rounding
+			f.end(near, decision.Success, 20*time.Millisecond, false)
 			near.Begin()
 		}
 		for range want {
@@ -290,57 +289,57 @@
 	}
 }
 
-func TestAFullGroupIsBusy(t *testing.T) {
-	v := newPoolFixture(t)
+func TestFullGroupIsBusy(t *testing.T) {
+	f := newPoolFixture(t)
 	taken := 0
 	for {
-		acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil)
+		acquired := f.pool.AcquireForMessage(testGroup, f.criteria, nil)
 		if acquired.Handle == nil {
 			if !acquired.Busy {
-				t.Error("a group whose replicas are at their limits is not busy")
+				t.Error("group with all replicas at their limits is not busy")
 			}
 			break
 		}
 		taken++
 	}
 	if taken == 0 || taken > 2*maxLimitPerSlot*4 {
-		t.Errorf("%d requests were let through", taken)
+		t.Errorf("acquired %d times", taken)
 	}
-	if unknown := v.pool.AcquireForMessage("unknown", v.criteria, nil); unknown.Busy || unknown.Handle != nil {
-		t.Errorf("an unknown group: %+v", unknown)
+	if unknown := f.pool.AcquireForMessage("unknown", f.criteria, nil); unknown.Busy || unknown.Handle != nil {
+		t.Errorf("unknown group: %+v", unknown)
 	}
 }
 
-// TestAVanishedReplicaIsTheLastResort: its entry is gone, which may be the
-// store's fault.
-func TestAVanishedReplicaIsTheLastResort(t *testing.T) {
-	v := newPoolFixture(t)
-	board := v.pool.options.Board
+// A replica may be unlisted because of a fault of the store, so it must remain
+// usable when there is no other.
+func TestVanishedReplicaIsLastResort(t *testing.T) {
+	f := newPoolFixture(t)
+	board := f.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
 		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
-	if got := v.acquire(t).Address(); got != "far:1" {
-		t.Errorf("chose %s beside a listed one", got)
+	if got := f.acquire(t).Address(); got != "far:1" {
+		t.Errorf("chose %s while another replica is listed", got)
 	}
 	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
-	if got := v.acquire(t).Address(); got != "near:1" {
+	if got := f.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
 	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaLeaving})
-	if acquired := v.pool.AcquireForMessage(testGroup, v.criteria, nil); acquired.Handle != nil {
-		t.Errorf("chose %s, which leaves", acquired.Handle.Address())
+	if acquired := f.pool.AcquireForMessage(testGroup, f.criteria, nil); acquired.Handle != nil {
+		t.Errorf("chose %s, which is leaving", acquired.Handle.Address())
 	}
 }
 
-func TestConnectionLimitIsNoFailureOfTheReplica(t *testing.T) {
-	v := newPoolFixture(t)
-	near := v.pool.current().handles[processID{"near:1", "1"}]
+func TestConnectionLimitDoesNotEject(t *testing.T) {
+	f := newPoolFixture(t)
+	near := f.pool.current().handles[processID{"near:1", "1"}]
 	for range 2 * ejectAfter {
 		near.Begin()
 		err := fmt.Errorf("%w: %w", upstream.ErrNotSent, upstream.ErrConnectionLimit)
-		v.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, v.now, v.criteria)
+		f.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Unreached, Err: err}, f.now, f.criteria)
 	}
-	if near.Candidate(v.now).Ejected {
-		t.Error("ejected for this node's own limit")
+	if near.Candidate(f.now).Ejected {
+		t.Error("ejected because of this node's own connection limit")
 	}
 }
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -31,33 +31,33 @@
 	}{
 		{"whole reply", respondModified(func(*backendapi.SearchReply) {}), decision.Success, false},
 		{"no hits", respondModified(func(r *backendapi.SearchReply) { r.Hits, r.Count, r.Total = nil, 0, 0 }), decision.Success, false},
-		{"crossed query", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), decision.Invalid, false},
-		{"crossed attempt", respondModified(func(r *backendapi.SearchReply) { r.Attempt = 1 }), decision.Invalid, false},
+		{"other query", respondModified(func(r *backendapi.SearchReply) { r.QueryID = "q2" }), decision.Invalid, false},
+		{"other attempt", respondModified(func(r *backendapi.SearchReply) { r.Attempt = 1 }), decision.Invalid, false},
 		{"wrong snapshot", respondModified(func(r *backendapi.SearchReply) { r.Snapshot = 6 }), decision.Invalid, false},
 		{"wrong index", respondModified(func(r *backendapi.SearchReply) { r.Index = "cues" }), decision.Invalid, false},
 		{"wrong shard", respondModified(func(r *backendapi.SearchReply) { r.Shard = 2 }), decision.Invalid, false},
 		{"wrong number of shards", respondModified(func(r *backendapi.SearchReply) { r.Shards = 4 }), decision.Invalid, false},
-		{"short of its count", respondModified(func(r *backendapi.SearchReply) { r.Hits = r.Hits[:1] }), decision.Invalid, false},
-		{"short of the limit", respondModified(func(r *backendapi.SearchReply) { r.Hits, r.Count = r.Hits[:1], 1 }), decision.Invalid, false},
-		{"over the limit", respondModified(func(r *backendapi.SearchReply) {
+		{"fewer hits than count", respondModified(func(r *backendapi.SearchReply) { r.Hits = r.Hits[:1] }), decision.Invalid, false},
+		{"fewer hits than limit", respondModified(func(r *backendapi.SearchReply) { r.Hits, r.Count = r.Hits[:1], 1 }), decision.Invalid, false},
+		{"more hits than limit", respondModified(func(r *backendapi.SearchReply) {
 			r.Hits, r.Count = append(r.Hits, client.Hit{ID: "c", Index: "cards"}), 3
 		}), decision.Invalid, false},
-		{"total under count", respondModified(func(r *backendapi.SearchReply) { r.Total = 1 }), decision.Invalid, false},
-		{"hit twice", respondModified(func(r *backendapi.SearchReply) { r.Hits[1].ID = "a" }), decision.Invalid, false},
+		{"total below count", respondModified(func(r *backendapi.SearchReply) { r.Total = 1 }), decision.Invalid, false},
+		{"duplicate hit", respondModified(func(r *backendapi.SearchReply) { r.Hits[1].ID = "a" }), decision.Invalid, false},
 		{"hit of another index", respondModified(func(r *backendapi.SearchReply) { r.Hits[1].Index = "cues" }), decision.Invalid, false},
-		{"reply doubled", respondText(string(good) + string(good)), decision.Invalid, false},
-		{"half of the JSON", respondText(string(good[:len(good)/2])), decision.Invalid, false},
+		{"reply sent twice", respondText(string(good) + string(good)), decision.Invalid, false},
+		{"truncated JSON", respondText(string(good[:len(good)/2])), decision.Invalid, false},
 		{"empty body", respondText(""), decision.Invalid, false},
-		{"cut body", truncate, decision.Failed, false},
+		{"truncated body", truncate, decision.Failed, false},
 		{"over the size limit", respondText(string(good) + strings.Repeat(" ", 5000)), decision.Failed, false},
-		{"cut after the write", abort, decision.Failed, false},
+		{"aborted after the write", abort, decision.Failed, false},
 		{"server error", respondJSON(http.StatusInternalServerError, nil), decision.Failed, false},
 		{"shed", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), decision.Shed, true},
 		{"draining", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDraining, true), decision.Draining, true},
 		{"snapshot not held", respondRefusal(http.StatusGone, backendapi.RefusedSnapshotNotHeld, true), decision.SnapshotNotHeld, true},
 		{"deadline passed", respondRefusal(http.StatusServiceUnavailable, backendapi.RefusedDeadlinePassed, true), decision.DeadlinePassed, true},
 		{"refusal that ran", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, false), decision.Failed, false},
-		{"refusal with a strange status", respondRefusal(http.StatusBadGateway, backendapi.RefusedShed, true), decision.Failed, false},
+		{"refusal with unexpected status", respondRefusal(http.StatusBadGateway, backendapi.RefusedShed, true), decision.Failed, false},
 		{"503 without a refusal", respond503, decision.Failed, false},
 	}
 	for _, protocol := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
@@ -76,7 +76,7 @@
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// startBackend runs a back end that speaks a protocol.
+// startBackend starts a backend that speaks the given protocol.
 func startBackend(t *testing.T, protocol Protocol, handler http.HandlerFunc) *testBackend {
 	t.Helper()
 	backend := &testBackend{Server: httptest.NewUnstartedServer(handler)}
@@ -100,12 +100,12 @@
 	}
 	result := pool.Search(t.Context(), handle, searchRequest())
 	if inFlight := handle.inFlight.Load(); inFlight != 0 {
-		t.Errorf("%d requests in flight after the end", inFlight)
+		t.Errorf("%d requests still in flight", inFlight)
 	}
 	return result, handle
 }
 
-// unusedAddress is one where nothing listens.
+// unusedAddress returns an address on which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestSearchCancelledIsUnclear(t *testing.T) {
+func TestSearchCanceledMayHaveRun(t *testing.T) {
 	arrived := make(chan struct{})
 	backend := newBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -140,11 +140,11 @@
 	go func() { <-arrived; cancel() }()
 	result := pool.Search(ctx, pool.Acquire(testGroup, callWeights, nil), searchRequest())
 	if result.Outcome != decision.Failed || result.NotRun {
-		t.Errorf("outcome %d not run %v, want failed and unclear", result.Outcome, result.NotRun)
+		t.Errorf("outcome %d not run %v, want failed without proof that it did not run", result.Outcome, result.NotRun)
 	}
 }
 
-func TestConnectionBudgetHolds(t *testing.T) {
+func TestConnectionBudgetEnforced(t *testing.T) {
 	release := make(chan struct{})
 	backend := newBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
@@ -153,7 +153,7 @@
 	board := &blackboard.Board{}
 	publish(board, backend.address())
 	pool := newTestPool(t, board, nil)
-	const budget = 9 // nine tenths of the limit of 10
+	const budget = 9 // the limit of 10 minus connectionReserve
 	results := make(chan SubrequestResult)
 	handle := pool.Acquire(testGroup, callWeights, nil)
 	go func() { results <- pool.Search(t.Context(), handle, searchRequest()) }()
@@ -162,7 +162,7 @@
 		go func() { results <- pool.Search(t.Context(), handle, searchRequest()) }()
 	}
 	if extra := pool.Acquire(testGroup, callWeights, nil); extra != nil {
-		t.Error("a request over the connection budget was let through")
+		t.Error("acquired a handle beyond the connection budget")
 	}
 	close(release)
 	for range budget {
@@ -171,7 +171,7 @@
 		}
 	}
 	if open := handle.Connections(); open > budget {
-		t.Errorf("%d connections open, over the budget of %d", open, budget)
+		t.Errorf("%d connections open, exceeding the budget of %d", open, budget)
 	}
 }
 
@@ -186,16 +186,16 @@
 		handler http.HandlerFunc
 		kind    failure.Kind
 		notRun  bool
-		// requests to the first replica and to both together
+		// requests to the first replica and to both
 		first, total int64
 	}{
 		{"ran", good, "", false, 1, 1},
-		{"shed goes to another replica", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), "", false, 1, 2},
-		{"cut after the write is never repeated", abort, failure.OutcomeUnknown, false, 1, 1},
-		{"server error is never repeated", respondJSON(http.StatusInternalServerError, nil), failure.OutcomeUnknown, false, 1, 1},
+		{"retried on another replica after shed", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, true), "", false, 1, 2},
+		{"not retried if aborted after the write", abort, failure.OutcomeUnknown, false, 1, 1},
+		{"not retried after server error", respondJSON(http.StatusInternalServerError, nil), failure.OutcomeUnknown, false, 1, 1},
 		{"reply to another key", respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-2"}), failure.OutcomeUnknown, false, 1, 1},
-		{"half of the JSON", respondText(`{"key":"refund-1"`), failure.OutcomeUnknown, false, 1, 1},
-		{"cut body", truncate, failure.OutcomeUnknown, false, 1, 1},
+		{"truncated JSON", respondText(`{"key":"refund-1"`), failure.OutcomeUnknown, false, 1, 1},
+		{"truncated body", truncate, failure.OutcomeUnknown, false, 1, 1},
 		{"refusal that ran", respondRefusal(http.StatusTooManyRequests, backendapi.RefusedShed, false), failure.OutcomeUnknown, false, 1, 1},
 	}
 	for _, test := range cases {
@@ -208,7 +208,7 @@
 			checkCallError(t, err, test.kind, test.notRun)
 			total := first.requests.Load() + second.requests.Load()
 			if first.requests.Load() != test.first || total != test.total {
-				t.Errorf("%d requests to the first and %d in all, want %d and %d", first.requests.Load(), total, test.first, test.total)
+				t.Errorf("%d requests to the first replica and %d in total, want %d and %d", first.requests.Load(), total, test.first, test.total)
 			}
 		})
 	}
@@ -230,8 +230,8 @@
 	}
 }
 
-// TestCallNotReplayedOnReusedConnection cuts a kept-alive connection after the
-// request was written, which is when net/http would replay an idempotent one.
+// Aborts a request on a kept-alive connection after it was written, in which
+// case net/http would retry an idempotent request.
 func TestCallNotReplayedOnReusedConnection(t *testing.T) {
 	var served atomic.Int64
 	good := respondJSON(http.StatusOK, backendapi.CallReply{Key: "refund-1"})
@@ -251,7 +251,7 @@
 	_, err := pool.Call(t.Context(), testGroup, callRequest())
 	checkCallError(t, err, failure.OutcomeUnknown, false)
 	if served.Load() != 2 {
-		t.Errorf("the back end saw %d requests, want 2", served.Load())
+		t.Errorf("backend received %d requests, want 2", served.Load())
 	}
 }
 
@@ -269,7 +269,7 @@
 	checkCallError(t, err, failure.DeadlineExceeded, true)
 }
 
-func TestDrainingReplyTakesReplicaOut(t *testing.T) {
+func TestDrainingReplyRemovesReplica(t *testing.T) {
 	backend := newBackend(t, respondModified(func(r *backendapi.SearchReply) { r.Draining = true }))
 	board := &blackboard.Board{}
 	tracker := NewTracker(TrackerOptions{Lister: &fakeLister{}, Board: board})
@@ -280,11 +280,11 @@
 		t.Fatalf("outcome %d: %v", result.Outcome, result.Err)
 	}
 	if handle := pool.Acquire(testGroup, callWeights, nil); handle != nil {
-		t.Error("a draining replica was given new work")
+		t.Error("acquired a draining replica")
 	}
 }
 
-func TestEjectionNeverEmptiesAGroup(t *testing.T) {
+func TestEjectionNeverEmptiesGroup(t *testing.T) {
 	bad := newBackend(t, respondJSON(http.StatusInternalServerError, nil))
 	fine := newBackend(t, respondJSON(http.StatusOK, validReply()))
 	board := &blackboard.Board{}
@@ -299,54 +299,54 @@
 	handles := pool.current().groups[testGroup].handles
 	fail(handles[0])
 	if statuses := pool.Statuses(); !slices.ContainsFunc(statuses, func(s Status) bool { return s.Ejected }) {
-		t.Errorf("%d failures in a row did not eject: %+v", ejectAfter, statuses)
+		t.Errorf("not ejected after %d consecutive failures: %+v", ejectAfter, statuses)
 	}
 	for range 20 {
 		handle := pool.Acquire(testGroup, callWeights, nil)
 		if handle == handles[0] {
-			t.Fatal("an ejected replica was chosen before the others")
+			t.Fatal("acquired an ejected replica while others are healthy")
 		}
 		handle.release()
 	}
 	publish(board, bad.address())
 	if pool.Acquire(testGroup, callWeights, nil) == nil {
-		t.Error("ejection emptied the group")
+		t.Error("no replica acquired from a group with all replicas ejected")
 	}
 }
 
-func TestRequestsGoOnWhileMembersChange(t *testing.T) {
+func TestMemberChangeRebuildsInBackground(t *testing.T) {
 	board := &blackboard.Board{}
 	publish(board, "127.0.0.1:1")
-	var waiting []func()
+	var pending []func()
 	now := time.Unix(1000, 0)
 	pool := newTestPool(t, board, func(options *PoolOptions) {
 		options.Now = func() time.Time { return now }
-		options.Background = func(work func()) { waiting = append(waiting, work) }
+		options.Background = func(work func()) { pending = append(pending, work) }
 	})
 	budget := func() int { return pool.Statuses()[0].ConnectionBudget }
-	if budget() != 9 || len(waiting) != 0 {
-		t.Fatalf("budget %d at first, %d rebuilds wait", budget(), len(waiting))
+	if budget() != 9 || len(pending) != 0 {
+		t.Fatalf("initial budget %d, %d pending rebuilds; want 9 and 0", budget(), len(pending))
 	}
 	members := testMembers(3)
 	members.Self = members.Members[0]
 	board.Members.Publish(&members)
 	for range 2 {
-		if budget() != 9 || len(waiting) != 1 {
-			t.Errorf("budget %d and %d rebuilds wait after the members changed, want 9 and one", budget(), len(waiting))
+		if budget() != 9 || len(pending) != 1 {
+			t.Errorf("budget %d, %d pending rebuilds after a member change; want 9 and 1", budget(), len(pending))
 		}
 	}
-	waiting[0]()
-	if budget() != 3 || len(waiting) != 1 {
+	pending[0]()
+	if budget() != 3 || len(pending) != 1 {
 		t.Errorf("budget %d after the rebuild, want 3", budget())
 	}
 	more := testMembers(9)
 	more.Self = more.Members[0]
 	board.Members.Publish(&more)
-	if budget() != 3 || len(waiting) != 1 {
-		t.Error("the connections are divided again at once")
+	if budget() != 3 || len(pending) != 1 {
+		t.Error("rebuilt before rebuildInterval elapsed")
 	}
 	now = now.Add(rebuildInterval)
-	if budget(); len(waiting) != 2 {
-		t.Error("the connections are not divided again after a while")
+	if budget(); len(pending) != 2 {
+		t.Error("not rebuilt after rebuildInterval")
 	}
 }
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -19,32 +19,32 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// newTestProber lists one replica of incarnation "1" and gives a pool and a
-// prober of it, and what was told of leaving replicas.
-func newTestProber(t *testing.T, address string, registry *prometheus.Registry, change func(*PoolOptions)) (prober *Prober, handle *Handle, told *[]string) {
+// newTestProber returns a prober for one replica with incarnation "1", the
+// replica's handle, and the list of incarnations reported as leaving.
+func newTestProber(t *testing.T, address string, registry *prometheus.Registry, modify func(*PoolOptions)) (prober *Prober, handle *Handle, leaving *[]string) {
 	t.Helper()
 	board := &blackboard.Board{}
 	tracker := NewTracker(TrackerOptions{Board: board, Lister: &fakeLister{replicas: []topology.Replica{
 		{Address: address, Incarnation: "1", Group: testGroup, Slots: 4, ConnectionLimit: 2},
 	}}})
-	told = &[]string{}
-	tracker.OnLeaving(func(_, incarnation string) { *told = append(*told, incarnation) })
+	leaving = &[]string{}
+	tracker.OnLeaving(func(_, incarnation string) { *leaving = append(*leaving, incarnation) })
 	tracker.Refresh(t.Context())
-	pool := newTestPool(t, board, change)
+	pool := newTestPool(t, board, modify)
 	prober = NewProber(ProberOptions{Pool: pool, Tracker: tracker, RandomSeed: 1, Registerer: registry})
 	probed := pool.current().probed
 	if len(probed) != 1 {
-		t.Fatalf("%d replicas to probe", len(probed))
+		t.Fatalf("%d replicas to probe, want 1", len(probed))
 	}
-	return prober, probed[0], told
+	return prober, probed[0], leaving
 }
 
-// probeCount reads the counter of an outcome.
+// probeCount returns the value of the counter for an outcome.
 func probeCount(t *testing.T, registry *prometheus.Registry, outcome ProbeOutcome) int {
 	t.Helper()
 	families, err := registry.Gather()
 	if err != nil || len(families) != 1 || families[0].GetName() != "doorpondd_probes_total" {
-		t.Fatalf("%v %v", families, err)
+		t.Fatalf("gathered %v, error %v", families, err)
 	}
 	for _, metric := range families[0].GetMetric() {
 		if metric.GetLabel()[0].GetValue() == probeOutcomeNames[outcome] {
@@ -59,7 +59,8 @@
 	return respondJSON(http.StatusOK, backendapi.Status{Incarnation: incarnation, State: state, Snapshots: []uint64{7}})
 }
 
-// startProbed serves a protocol with a handler; without one nobody listens.
+// startProbed starts a backend and returns its address. If handler is nil,
+// nothing listens there.
 func startProbed(t *testing.T, protocol Protocol, handler http.HandlerFunc) string {
 	t.Helper()
 	if handler == nil {
@@ -69,64 +70,64 @@
 }
 
 func TestProbeOutcomes(t *testing.T) {
-	giveUp := new(context.CancelFunc)
+	cancelProbe := new(context.CancelFunc)
 	silent := func(_ http.ResponseWriter, r *http.Request) {
-		(*giveUp)()
+		(*cancelProbe)()
 		<-r.Context().Done()
 	}
 	draining := `{"incarnation":"1","state":"draining"}`
 	cases := []struct {
 		name    string
-		handler http.HandlerFunc // nil: nobody listens
+		handler http.HandlerFunc // nil if nothing listens
 		want    ProbeOutcome
-		told    []string
+		leaving []string
 	}{
 		{"draining", respondStatus("1", backendapi.StateDraining), ProbeDraining, []string{"1"}},
-		{"serving, which may lag or lie", respondStatus("1", backendapi.StateServing), ProbeServing, nil},
+		{"serving", respondStatus("1", backendapi.StateServing), ProbeServing, nil},
 		{"cold", respondStatus("1", backendapi.StateCold), ProbeServing, nil},
-		{"another incarnation serves", respondStatus("2", backendapi.StateServing), ProbeOtherProcess, nil},
-		{"another incarnation drains", respondStatus("2", backendapi.StateDraining), ProbeDraining, []string{"2"}},
+		{"other incarnation serving", respondStatus("2", backendapi.StateServing), ProbeOtherProcess, nil},
+		{"other incarnation draining", respondStatus("2", backendapi.StateDraining), ProbeDraining, []string{"2"}},
 		{"no incarnation", respondStatus("", backendapi.StateDraining), ProbeInvalid, nil},
-		{"huge incarnation", respondStatus(strings.Repeat("1", maxIncarnationBytes+1), backendapi.StateDraining), ProbeInvalid, nil},
+		{"oversized incarnation", respondStatus(strings.Repeat("1", maxIncarnationBytes+1), backendapi.StateDraining), ProbeInvalid, nil},
 		{"unknown state", respondStatus("1", "leaving"), ProbeInvalid, nil},
-		{"garbage", respondText("draining"), ProbeInvalid, nil},
+		{"malformed body", respondText("draining"), ProbeInvalid, nil},
 		{"empty body", respondText(""), ProbeInvalid, nil},
-		{"half of the JSON", respondText(draining[:len(draining)/2]), ProbeInvalid, nil},
-		{"status doubled", respondText(draining + draining), ProbeInvalid, nil},
-		{"huge body", respondText(draining + strings.Repeat(" ", maxStatusBytes)), ProbeFailed, nil},
-		{"cut body", truncate, ProbeFailed, nil},
-		{"connection broken", abort, ProbeFailed, nil},
-		{"server error that says draining", respondJSON(http.StatusInternalServerError, backendapi.Status{Incarnation: "1", State: backendapi.StateDraining}), ProbeFailed, nil},
+		{"truncated JSON", respondText(draining[:len(draining)/2]), ProbeInvalid, nil},
+		{"status sent twice", respondText(draining + draining), ProbeInvalid, nil},
+		{"oversized body", respondText(draining + strings.Repeat(" ", maxStatusBytes)), ProbeFailed, nil},
+		{"truncated body", truncate, ProbeFailed, nil},
+		{"connection aborted", abort, ProbeFailed, nil},
+		{"server error with draining status", respondJSON(http.StatusInternalServerError, backendapi.Status{Incarnation: "1", State: backendapi.StateDraining}), ProbeFailed, nil},
 		{"connection refused", nil, ProbeFailed, nil},
-		{"no answer in time", silent, ProbeFailed, nil},
+		{"timeout", silent, ProbeFailed, nil},
 	}
 	for _, protocol := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
 		for _, test := range cases {
 			t.Run(string(protocol)+"/"+test.name, func(t *testing.T) {
 				registry := prometheus.NewRegistry()
-				prober, handle, told := newTestProber(t, startProbed(t, protocol, test.handler), registry, func(o *PoolOptions) { o.Protocol = protocol })
+				prober, handle, leaving := newTestProber(t, startProbed(t, protocol, test.handler), registry, func(o *PoolOptions) { o.Protocol = protocol })
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				*giveUp = cancel
+				*cancelProbe = cancel
 				outcome := prober.Probe(ctx, handle)
-				if outcome != test.want || !slices.Equal(*told, test.told) {
-					t.Errorf("outcome %s, told %v; want %s, %v", probeOutcomeNames[outcome], *told, probeOutcomeNames[test.want], test.told)
+				if outcome != test.want || !slices.Equal(*leaving, test.leaving) {
+					t.Errorf("outcome %s, leaving %v; want %s, %v", probeOutcomeNames[outcome], *leaving, probeOutcomeNames[test.want], test.leaving)
 				}
 				if counted := probeCount(t, registry, test.want); counted != 1 {
-					t.Errorf("counted %d", counted)
+					t.Errorf("counter is %d, want 1", counted)
 				}
-				if still := len(prober.options.Pool.current().probed); (still == 0) != slices.Equal(test.told, []string{"1"}) {
-					t.Errorf("%d replicas are probed after it", still)
+				if remaining := len(prober.options.Pool.current().probed); (remaining == 0) != slices.Equal(test.leaving, []string{"1"}) {
+					t.Errorf("%d replicas are still probed", remaining)
 				}
 				if inFlight := handle.inFlight.Load(); inFlight != 0 {
-					t.Errorf("%d in flight after it", inFlight)
+					t.Errorf("%d requests still in flight", inFlight)
 				}
 			})
 		}
 	}
 }
 
-func TestProbesKeepToTheConnectionBudget(t *testing.T) {
+func TestProbeRespectsConnectionBudget(t *testing.T) {
 	var opened atomic.Int64
 	backend := newBackend(t, respondStatus("1", backendapi.StateServing))
 	prober, handle, _ := newTestProber(t, backend.address(), prometheus.NewRegistry(), func(options *PoolOptions) {
@@ -142,7 +143,7 @@
 	}
 	handle.Begin()
 	if outcome := prober.Probe(t.Context(), handle); outcome != ProbeBusy {
-		t.Errorf("%s while a request uses the budget of one connection", probeOutcomeNames[outcome])
+		t.Errorf("%s while a request uses the only connection", probeOutcomeNames[outcome])
 	}
 	handle.release()
 	handle.setBudget(0)
@@ -154,39 +155,39 @@
 	}
 }
 
-// A frozen replica costs a probe its timeout and holds up nothing else.
-func TestProberRuns(t *testing.T) {
+// A frozen replica must cost a probe only its timeout and not delay others.
+func TestProberRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var asked []time.Duration
+		var probedAt []time.Duration
 		started := time.Now()
 		registry := prometheus.NewRegistry()
 		prober, _, _ := newTestProber(t, "192.0.2.1:1", registry, func(options *PoolOptions) {
 			options.Post = func(ctx context.Context, _, _ string, _ []byte) PostResult {
-				asked = append(asked, time.Since(started))
+				probedAt = append(probedAt, time.Since(started))
 				<-ctx.Done()
 				return PostResult{Err: ctx.Err()}
 			}
 		})
 		ended := make(chan error)
 		go func() { ended <- prober.Run(ctx) }()
-		const watched = 20 * time.Second
-		time.Sleep(watched)
+		const period = 20 * time.Second
+		time.Sleep(period)
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		least := int(watched/(probePeriod*5/4+ProbeTick)) - 1
-		if len(asked) < least || asked[0] > probePeriod+2*ProbeTick {
-			t.Errorf("asked at %v, want %d times", asked, least)
+		least := int(period/(probePeriod*5/4+ProbeTick)) - 1
+		if len(probedAt) < least || probedAt[0] > probePeriod+2*ProbeTick {
+			t.Errorf("probed at %v, want at least %d probes", probedAt, least)
 		}
-		if failed := probeCount(t, registry, ProbeFailed); failed != len(asked) {
-			t.Errorf("%d failed of %d", failed, len(asked))
+		if failed := probeCount(t, registry, ProbeFailed); failed != len(probedAt) {
+			t.Errorf("%d of %d probes counted as failed", failed, len(probedAt))
 		}
 	})
 }
 
-// countingListener counts the bytes that its connections carry.
+// countingListener counts the bytes transferred on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -213,7 +214,8 @@
 	return c.Conn.Write(data)
 }
 
-// BenchmarkProbe is one probe over a kept connection, both its ends.
+// BenchmarkProbe measures one probe over a kept-alive connection, including the
+// server side.
 func BenchmarkProbe(b *testing.B) {
 	server := httptest.NewUnstartedServer(respondJSON(http.StatusOK, backendapi.Status{
 		Incarnation: "01JGZ8V0Q5K3M9T7XW2C4D6F8H", State: backendapi.StateServing,
--- a/internal/replica/probers_test.go
+++ b/internal/replica/probers_test.go
@@ -11,8 +11,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// probersSeenBy returns the IDs of the probers of each replica as one member
-// sees them.
+// probersSeenBy returns the IDs of each replica's probers as computed by one
+// member.
 func probersSeenBy(members topology.Members, self int, replicas []topology.Replica) [][]string {
 	members.Self = members.Members[self]
 	group := NewConnectionPlan(members).AllocateGroup(testGroup, replicas)
@@ -32,16 +32,16 @@
 	cases := []struct {
 		name                     string
 		daemons, replicas, limit int
-		leaving                  int // this daemon and each 12th after it; 0 is none
-		want, near               int // probers of a replica, and those from its zone
+		leaving                  int // index of the first leaving daemon, followed by every 12th; 0 for none
+		want, near               int // probers per replica, and how many from its zone
 	}{
 		{"one daemon", 1, 4, 75, 0, 1, 0},
 		{"two daemons", 2, 4, 75, 0, 2, 0},
-		{"all daemons connect to all", 60, 12, 75, 0, 2, 2},
-		{"a zone's daemons leave", 60, 12, 75, 4, 2, 0},
+		{"all daemons connect to all replicas", 60, 12, 75, 0, 2, 2},
+		{"daemons of a zone leaving", 60, 12, 75, 4, 2, 0},
 		{"replicas without a limit", 60, 12, 0, 0, 2, 2},
-		{"the target's group", 2700, 54, 75, 0, 2, 2},
-		{"a limit of one", 50, 4, 1, 0, 1, 1},
+		{"group at target scale", 2700, 54, 75, 0, 2, 2},
+		{"limit of one", 50, 4, 1, 0, 1, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 			}
 			for i, probers := range first {
 				if len(probers) != test.want {
-					t.Errorf("replica %d is probed by %v", i, probers)
+					t.Errorf("replica %d has probers %v", i, probers)
 				}
 				checkProbers(t, members, probers, replicas[i], test.near)
 			}
@@ -65,23 +65,23 @@
 
 func checkProbers(t *testing.T, members topology.Members, probers []string, replica topology.Replica, leastNear int) {
 	t.Helper()
-	near, leftOut := 0, false
+	near, zoneLeaving := 0, false
 	for _, member := range members.Members {
 		chosen := slices.Contains(probers, member.ID)
-		leftOut = leftOut || (member.State == topology.MemberLeaving && member.Place == replica.Place)
+		zoneLeaving = zoneLeaving || (member.State == topology.MemberLeaving && member.Place == replica.Place)
 		if chosen && member.State == topology.MemberLeaving {
-			t.Errorf("%s is leaving and probes %s", member.ID, replica.Address)
+			t.Errorf("leaving daemon %s probes %s", member.ID, replica.Address)
 		}
 		if chosen && member.Place == replica.Place {
 			near++
 		}
 	}
-	if near < leastNear && !leftOut {
-		t.Errorf("%d of %v are in the zone of %s, want %d", near, probers, replica.Address, leastNear)
+	if near < leastNear && !zoneLeaving {
+		t.Errorf("%d of probers %v are in the zone of %s, want %d", near, probers, replica.Address, leastNear)
 	}
 }
 
-func TestOnlyTheShareOfALostProberMoves(t *testing.T) {
+func TestLostProberIsReplaced(t *testing.T) {
 	members, replicas := testMembers(48), testReplicas(48, 12, 75)
 	before := probersSeenBy(members, 0, replicas)
 	lost := before[5][0]
@@ -90,18 +90,18 @@
 	for i := range replicas {
 		kept := slices.DeleteFunc(slices.Clone(before[i]), func(id string) bool { return id == lost })
 		if len(after[i]) != probersPerReplica || !slices.Equal(kept, after[i][:len(kept)]) {
-			t.Errorf("replica %d was probed by %v and is by %v after %s was lost", i, before[i], after[i], lost)
+			t.Errorf("probers of replica %d changed from %v to %v after %s was lost", i, before[i], after[i], lost)
 		}
 	}
 }
 
-// The share of a daemon at the target must leave room under the bound.
-func TestSharesOfProbesAtTheTarget(t *testing.T) {
+// The load of each daemon at target scale must stay below maxProbesPerSecond.
+func TestProbeLoadAtTargetScale(t *testing.T) {
 	const groups = 390
 	members, replicas := testMembers(2700), testReplicas(54, 12, 75)
 	members.Self = members.Members[0]
 	plan := NewConnectionPlan(members)
-	shares := make(map[string]int)
+	load := make(map[string]int)
 	for at := range groups {
 		for i := range replicas {
 			replicas[i].Address = fmt.Sprintf("replica%03d.%d", i, at)
@@ -109,17 +109,17 @@
 		group := plan.AllocateGroup(fmt.Sprint("group", at), replicas)
 		for i := range replicas {
 			for _, prober := range group.Probers(i) {
-				shares[prober.ID]++
+				load[prober.ID]++
 			}
 		}
 	}
-	most, total := 0, 0
-	for _, share := range shares {
-		most, total = max(most, share), total+share
+	maximum, total := 0, 0
+	for _, count := range load {
+		maximum, total = max(maximum, count), total+count
 	}
-	t.Logf("%d daemons probe; %d replicas at most, %.1f on average", len(shares), most, float64(total)/2700)
-	if total != groups*54*probersPerReplica || most > maxProbesPerSecond {
-		t.Errorf("%d probes a period, %d of them by one daemon", total, most)
+	t.Logf("%d daemons probe up to %d replicas each, %.1f on average", len(load), maximum, float64(total)/2700)
+	if total != groups*54*probersPerReplica || maximum > maxProbesPerSecond {
+		t.Errorf("%d probes per period, up to %d by one daemon", total, maximum)
 	}
 }
 
@@ -135,11 +135,11 @@
 	cases := []struct {
 		name     string
 		replicas int
-		longest  time.Duration // between two probes of a replica
+		longest  time.Duration // time between two probes of a replica
 	}{
 		{"few replicas", 16, probePeriod * 5 / 4},
-		{"at the bound", maxProbesPerSecond, probePeriod * 5 / 4},
-		{"over the bound", 4 * maxProbesPerSecond, 5 * probePeriod},
+		{"at the rate limit", maxProbesPerSecond, probePeriod * 5 / 4},
+		{"above the rate limit", 4 * maxProbesPerSecond, 5 * probePeriod},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 			for at := time.Duration(0); at < length; at += ProbeTick {
 				for _, handle := range schedule.due(time.Unix(0, 0).Add(at), handles) {
 					if waited := at - last[handle]; waited > test.longest+ProbeTick {
-						t.Errorf("%s waited %v", handle.replica.Address, waited)
+						t.Errorf("%s not probed for %v", handle.replica.Address, waited)
 					}
 					last[handle] = at
 					probes++
@@ -163,18 +163,18 @@
 	}
 }
 
-func TestProbeScheduleForgetsWhatIsNotAssigned(t *testing.T) {
+func TestProbeScheduleDropsUnassigned(t *testing.T) {
 	schedule := newProbeSchedule(7)
 	schedule.due(time.Unix(0, 0), scheduledHandles(3))
 	schedule.due(time.Unix(1, 0), scheduledHandles(1))
 	if len(schedule.next) != 1 {
-		t.Errorf("%d replicas are remembered", len(schedule.next))
+		t.Errorf("%d replicas scheduled, want 1", len(schedule.next))
 	}
 }
 
-// BenchmarkProbersAtTheTarget is what a change of the daemons costs besides
-// the division of connections, with 2,700 daemons and 390 groups of 54.
-func BenchmarkProbersAtTheTarget(b *testing.B) {
+// BenchmarkProbers measures the cost of choosing probers after a
+// member change, with 2,700 daemons and 390 groups of 54 replicas.
+func BenchmarkProbers(b *testing.B) {
 	members, replicas := testMembers(2700), testReplicas(54, 12, 75)
 	members.Self = members.Members[0]
 	plan := NewConnectionPlan(members)
--- a/internal/replica/tracker_test.go
+++ b/internal/replica/tracker_test.go
@@ -46,16 +46,16 @@
 		notified []string
 	}{
 		{"listed", []step{{list: first, want: []topology.ReplicaState{serving}}}, nil},
-		{"list says leaving, then flaps", []step{
+		{"listed as leaving, then as serving", []step{
 			{list: listReplica("1", leaving), want: []topology.ReplicaState{leaving}},
 			{list: first, want: []topology.ReplicaState{leaving}},
 		}, []string{"1"}},
-		{"marked by a reply; the list lags", []step{
+		{"marked by a reply before the list changes", []step{
 			{list: first, want: []topology.ReplicaState{serving}},
 			{list: first, mark: "1", want: []topology.ReplicaState{leaving}},
 			{list: first, mark: "1", want: []topology.ReplicaState{leaving}},
 		}, []string{"1"}},
-		{"a new incarnation is free, cold and then warm; the old one flaps back", []step{
+		{"new incarnation is cold, then warm; old one stays leaving", []step{
 			{list: first, mark: "1", want: []topology.ReplicaState{leaving}},
 			{list: second, want: []topology.ReplicaState{cold}},
 			{list: second, wait: time.Minute, want: []topology.ReplicaState{serving}},
@@ -65,11 +65,11 @@
 			{mark: "1", err: errors.New("down")},
 			{list: first, want: []topology.ReplicaState{leaving}},
 		}, []string{"1"}},
-		{"an error keeps the last reading", []step{
+		{"failed read keeps the last list", []step{
 			{list: first, want: []topology.ReplicaState{serving}},
 			{err: errors.New("down"), want: []topology.ReplicaState{serving}},
 		}, nil},
-		{"an empty list keeps the last reading", []step{
+		{"empty list is ignored", []step{
 			{list: first, want: []topology.ReplicaState{serving}},
 			{want: []topology.ReplicaState{serving}},
 		}, nil},
