--- a/internal/replica/connections_test.go
+++ b/internal/replica/connections_test.go
@@ -134,7 +134,7 @@
 	}
 	got := window.Quantile(0.9)
 	if low, high := 8*time.Millisecond, 12*time.Millisecond; got < low || got > high {
-		t.Errorf("0.9 quantile of 10 µs to 10 ms is %v", got)
+		t.Errorf("90%% quantile of 10 µs to 10 ms is %v", got)
 	}
 	for range 3 * windowSamples {
 		window.Record(50 * time.Millisecond)
--- a/internal/replica/latency_baseline.go
+++ b/internal/replica/latency_baseline.go
@@ -52,7 +52,7 @@
 // LatencyBaselines holds a LatencyBaseline per kind of request. The zero value
 // is ready to use. It is safe for concurrent use.
 type LatencyBaselines struct {
-	byKind sync.Map // string -> *Usual
+	byKind sync.Map // string -> *LatencyBaseline
 }
 
 // Of returns the baseline for a kind of request, creating it if necessary.
