--- a/internal/replica/probers.go
+++ b/internal/replica/probers.go
@@ -9,41 +9,42 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// probersPerReplica is how many daemons probe each replica, so that one of
-// them may be frozen, gone or cut off.
+// probersPerReplica is the number of daemons that probe each replica. It
+// provides redundancy if one of them is frozen or partitioned.
 const probersPerReplica = 2
 
 // probeCandidate is a daemon that may probe a replica.
 type probeCandidate struct {
-	// weight is its rendezvous hash with the replica; the highest is first.
+	// weight is the rendezvous hash of daemon and replica; the highest wins.
 	weight     uint64
-	zone, rank int // in the plan
+	zone, rank int // indexes in the plan
 }
 
-// proberChoice keeps the best candidates that it was offered. Those of one
-// distance are offered before farther ones.
-type proberChoice struct {
+// proberSelection keeps the best candidates offered so far. Candidates must be
+// offered in order of distance.
+type proberSelection struct {
 	chosen []probeCandidate
-	nearer int // of the chosen, which candidates of this distance do not replace
+	fixed  int // number of chosen that are nearer than the current distance
 }
 
-func (c *proberChoice) full() bool { return len(c.chosen) == probersPerReplica }
+func (s *proberSelection) full() bool { return len(s.chosen) == probersPerReplica }
 
-func (c *proberChoice) offer(candidate probeCandidate) {
-	at := len(c.chosen)
-	for at > c.nearer && candidate.weight > c.chosen[at-1].weight {
+func (s *proberSelection) offer(candidate probeCandidate) {
+	at := len(s.chosen)
+	for at > s.fixed && candidate.weight > s.chosen[at-1].weight {
 		at--
 	}
-	if at == probersPerReplica || slices.Contains(c.chosen, candidate) {
+	if at == probersPerReplica || slices.Contains(s.chosen, candidate) {
 		return
 	}
-	kept := c.chosen[:min(len(c.chosen), probersPerReplica-1)]
-	c.chosen = slices.Insert(kept, at, candidate)
+	kept := s.chosen[:min(len(s.chosen), probersPerReplica-1)]
+	s.chosen = slices.Insert(kept, at, candidate)
 }
 
-// Probers returns the daemons that probe a replica: of those that may connect
-// to it and are not leaving, the nearest, by rendezvous hash. It is a pure
-// function of the members and replicas, so daemons that know the same agree.
+// Probers returns the daemons that probe a replica: the nearest of those that
+// may connect to it and are not leaving, selected by rendezvous hashing. The
+// result depends only on the members and replicas, so daemons with the same
+// lists agree.
 func (g *GroupConnections) Probers(replica int) []topology.Member {
 	var probers []topology.Member
 	for _, candidate := range g.chooseProbers(replica) {
@@ -53,55 +54,55 @@
 }
 
 func (g *GroupConnections) chooseProbers(replica int) []probeCandidate {
-	choice := proberChoice{chosen: make([]probeCandidate, 0, probersPerReplica)}
+	selection := proberSelection{chosen: make([]probeCandidate, 0, probersPerReplica)}
 	key := xxhash.Sum64String(g.replicas[replica].Address)
-	distances := g.plan.distancesTo(g.replicas[replica].Place)
-	holders := g.holders(replica)
-	for distance := topology.SameZone; distance <= topology.OtherRegion && !choice.full(); distance++ {
-		choice.nearer = len(choice.chosen)
+	distances := g.plan.zoneDistances(g.replicas[replica].Place)
+	holders := g.holderRanges(replica)
+	for distance := topology.SameZone; distance <= topology.OtherRegion && !selection.full(); distance++ {
+		selection.fixed = len(selection.chosen)
 		for _, holder := range holders {
 			if distances[holder.zone] == distance {
-				g.plan.offerHolders(&choice, holder, key)
+				g.plan.offerRange(&selection, holder, key)
 			}
 		}
 	}
-	return choice.chosen
+	return selection.chosen
 }
 
-// offerHolders offers the daemons of a window that are not leaving.
-func (p *ConnectionPlan) offerHolders(choice *proberChoice, holder window, key uint64) {
-	zone := &p.zones[holder.zone]
-	for offset := range holder.count {
-		rank := (holder.start + offset) % len(zone.daemons)
+// offerRange offers the daemons of a range that are not leaving.
+func (p *ConnectionPlan) offerRange(selection *proberSelection, daemons daemonRange, key uint64) {
+	zone := &p.zones[daemons.zone]
+	for offset := range daemons.count {
+		rank := (daemons.start + offset) % len(zone.daemons)
 		if zone.daemons[rank].State < topology.MemberLeaving {
-			choice.offer(probeCandidate{weight: rendezvous(zone.hashes[rank], key), zone: holder.zone, rank: rank})
+			selection.offer(probeCandidate{weight: rendezvousWeight(zone.hashes[rank], key), zone: daemons.zone, rank: rank})
 		}
 	}
 }
 
-// Probes is true when this daemon probes a replica.
+// Probes reports whether this daemon probes a replica.
 func (g *GroupConnections) Probes(replica int) bool {
 	return slices.ContainsFunc(g.chooseProbers(replica), func(candidate probeCandidate) bool {
 		return candidate.zone == g.plan.selfZone && candidate.rank == g.plan.selfRank
 	})
 }
 
-// holders returns the runs of daemons that may connect to a replica.
-func (g *GroupConnections) holders(replica int) []window {
-	if g.shares[replica].everyone == 0 {
-		return g.shares[replica].windows
+// holderRanges returns the daemons that may connect to a replica.
+func (g *GroupConnections) holderRanges(replica int) []daemonRange {
+	if g.allocations[replica].perDaemon == 0 {
+		return g.allocations[replica].ranges
 	}
-	all := make([]window, len(g.plan.zones))
+	all := make([]daemonRange, len(g.plan.zones))
 	for zone := range g.plan.zones {
-		all[zone] = window{zone: zone, count: len(g.plan.zones[zone].daemons)}
+		all[zone] = daemonRange{zone: zone, count: len(g.plan.zones[zone].daemons)}
 	}
 	return all
 }
 
-// rendezvous hashes the hash of a daemon with that of a replica.
-func rendezvous(daemon, replica uint64) uint64 {
-	var joined [16]byte
-	binary.LittleEndian.PutUint64(joined[:8], daemon)
-	binary.LittleEndian.PutUint64(joined[8:], replica)
-	return xxhash.Sum64(joined[:])
+// rendezvousWeight combines the hashes of a daemon and a replica.
+func rendezvousWeight(daemon, replica uint64) uint64 {
+	var combined [16]byte
+	binary.LittleEndian.PutUint64(combined[:8], daemon)
+	binary.LittleEndian.PutUint64(combined[8:], replica)
+	return xxhash.Sum64(combined[:])
 }
--- a/internal/replica/tracker.go
+++ b/internal/replica/tracker.go
@@ -15,41 +15,40 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The defaults of TrackerOptions.
 const (
 	defaultListInterval = 2 * time.Second
 	defaultColdFor      = 10 * time.Second
 )
 
-// TrackerOptions are what a Tracker needs. Zero values take defaults.
+// TrackerOptions configures a Tracker. Zero values select defaults.
 type TrackerOptions struct {
 	Lister machines.Lister
 	Board  *blackboard.Board
-	// Interval between two readings of the machine list.
+	// Interval is the time between two reads of the machine list.
 	Interval time.Duration
-	// ColdFor is how long a newly listed process counts as cold.
+	// ColdFor is how long a newly listed process is considered cold.
 	ColdFor    time.Duration
 	Logger     *slog.Logger
 	Now        func() time.Time
 	Registerer prometheus.Registerer
 }
 
-// Tracker merges the machine list with the marks of leaving replicas and
-// publishes Board.Replicas. It is that section's one writer.
+// Tracker combines the machine list with the set of leaving replicas and
+// publishes the result to Board.Replicas, of which it is the only writer.
 type Tracker struct {
 	options TrackerOptions
 	metrics trackerMetrics
 
-	mutex     sync.Mutex
-	listed    []topology.Replica
-	firstSeen map[process]time.Time
-	marks     leavingMarks
-	notify    []func(address, incarnation string)
-	reachable bool
-	readings  int
+	mutex         sync.Mutex
+	listed        []topology.Replica
+	firstSeen     map[processID]time.Time
+	leaving       leavingSet
+	listeners     []func(address, incarnation string)
+	listReachable bool
+	listReads     int
 }
 
-// NewTracker makes a Tracker; Run starts it.
+// NewTracker returns a Tracker. Call Run to start it.
 func NewTracker(options TrackerOptions) *Tracker {
 	if options.Interval <= 0 {
 		options.Interval = defaultListInterval
@@ -64,23 +63,24 @@
 		options.Now = time.Now
 	}
 	return &Tracker{
-		options:   options,
-		metrics:   newTrackerMetrics(options.Registerer),
-		firstSeen: make(map[process]time.Time),
-		marks:     newLeavingMarks(),
-		reachable: true,
+		options:       options,
+		metrics:       newTrackerMetrics(options.Registerer),
+		firstSeen:     make(map[processID]time.Time),
+		leaving:       newLeavingSet(),
+		listReachable: true,
 	}
 }
 
-// OnLeaving registers a function that is called once for each newly learned
-// leaving replica. It must not block.
+// OnLeaving registers a function that is called once for each process newly
+// found to be leaving. It must not block.
 func (t *Tracker) OnLeaving(notify func(address, incarnation string)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.notify = append(t.notify, notify)
+	t.listeners = append(t.listeners, notify)
 }
 
-// Run reads the list at once and then at each interval, until ctx ends.
+// Run reads the machine list immediately and then at each interval, until ctx
+// is done.
 func (t *Tracker) Run(ctx context.Context) error {
 	ticker := time.NewTicker(t.options.Interval)
 	defer ticker.Stop()
@@ -94,26 +94,26 @@
 	}
 }
 
-// Refresh reads the list once. A reading that fails or that lost every
-// replica keeps the last one.
+// Refresh reads the machine list once. If the read fails or returns no
+// replicas, the previous list is kept.
 func (t *Tracker) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, t.options.Interval)
 	defer cancel()
 	list, err := t.options.Lister.List(ctx)
 	if err != nil {
 		t.metrics.listFailures.Inc()
-		t.noteReachable(false, err)
+		t.setListReachable(false, err)
 		t.republish()
 		return
 	}
-	t.noteReachable(true, nil)
-	t.accept(list.Replicas)
+	t.setListReachable(true, nil)
+	t.applyList(list.Replicas)
 }
 
-func (t *Tracker) noteReachable(reachable bool, cause error) {
+func (t *Tracker) setListReachable(reachable bool, cause error) {
 	t.mutex.Lock()
-	changed := t.reachable != reachable
-	t.reachable = reachable
+	changed := t.listReachable != reachable
+	t.listReachable = reachable
 	t.mutex.Unlock()
 	if !changed {
 		return
@@ -122,56 +122,58 @@
 		t.options.Logger.Info("machine list reachable again")
 		return
 	}
-	t.options.Logger.Warn("machine list unreachable; keeping the last reading", "error", cause.Error())
+	t.options.Logger.Warn("machine list unreachable; using the last list read", "error", cause.Error())
 }
 
-func (t *Tracker) accept(replicas []topology.Replica) {
+func (t *Tracker) applyList(replicas []topology.Replica) {
 	now := t.options.Now()
 	t.mutex.Lock()
 	if len(replicas) > 0 {
 		t.listed = slices.Clone(replicas)
 	}
-	t.readings++
-	fresh := t.absorb(now)
+	t.listReads++
+	added := t.updateSeen(now)
 	t.publish(now)
 	t.mutex.Unlock()
-	t.tell(fresh)
+	t.notifyLeaving(added)
 }
 
-// absorb notes first sights and takes the list's own leaving marks.
-func (t *Tracker) absorb(now time.Time) []process {
-	var fresh []process
+// updateSeen records when processes were first listed and adds those listed as
+// leaving to the set. It returns the newly added ones.
+func (t *Tracker) updateSeen(now time.Time) []processID {
+	var added []processID
 	for _, replica := range t.listed {
-		listed := process{replica.Address, replica.Incarnation}
+		listed := processID{replica.Address, replica.Incarnation}
 		if _, known := t.firstSeen[listed]; !known {
-			t.firstSeen[listed] = t.birth(now)
+			t.firstSeen[listed] = t.firstSeenTime(now)
 		}
-		t.marks.see(listed, now)
-		if replica.State == topology.ReplicaLeaving && t.marks.add(listed, now) {
-			fresh = append(fresh, listed)
+		t.leaving.refresh(listed, now)
+		if replica.State == topology.ReplicaLeaving && t.leaving.add(listed, now) {
+			added = append(added, listed)
 		}
 	}
-	t.marks.forgetOld(now)
-	t.forgetUnlisted()
-	return fresh
+	t.leaving.evictExpired(now)
+	t.pruneFirstSeen()
+	return added
 }
 
-// birth dates the processes of the first reading back, as they may have run
-// for long.
-func (t *Tracker) birth(now time.Time) time.Time {
-	if t.readings <= 1 {
+// firstSeenTime returns the time from which a newly listed process is
+// considered cold. Processes in the first list may have been running for long,
+// so they are not cold.
+func (t *Tracker) firstSeenTime(now time.Time) time.Time {
+	if t.listReads <= 1 {
 		return now.Add(-t.options.ColdFor)
 	}
 	return now
 }
 
-func (t *Tracker) forgetUnlisted() {
+func (t *Tracker) pruneFirstSeen() {
 	if len(t.firstSeen) <= 2*len(t.listed) {
 		return
 	}
-	present := make(map[process]bool, len(t.listed))
+	present := make(map[processID]bool, len(t.listed))
 	for _, replica := range t.listed {
-		present[process{replica.Address, replica.Incarnation}] = true
+		present[processID{replica.Address, replica.Incarnation}] = true
 	}
 	for known := range t.firstSeen {
 		if !present[known] {
@@ -180,24 +182,23 @@
 	}
 }
 
-// MarkLeaving records that a process is leaving, learned from its reply or
-// from a peer. Without an incarnation, the listed process at the address is
-// meant.
+// MarkLeaving records that a process is leaving, as reported by its reply or by
+// a peer. If incarnation is empty, the process listed at the address is marked.
 func (t *Tracker) MarkLeaving(address, incarnation string) {
 	now := t.options.Now()
 	t.mutex.Lock()
 	if incarnation == "" {
 		incarnation = t.listedIncarnation(address)
 	}
-	marked := process{address, incarnation}
-	fresh := t.marks.add(marked, now)
-	if fresh {
+	process := processID{address, incarnation}
+	added := t.leaving.add(process, now)
+	if added {
 		t.publish(now)
 	}
 	t.mutex.Unlock()
-	if fresh {
+	if added {
 		t.options.Logger.Info("replica leaving", "address", address, "incarnation", incarnation)
-		t.tell([]process{marked})
+		t.notifyLeaving([]processID{process})
 	}
 }
 
@@ -210,27 +211,27 @@
 	return ""
 }
 
-// Leaving returns the address and incarnation of each marked process.
+// Leaving returns the address and incarnation of each leaving process.
 func (t *Tracker) Leaving() []topology.Replica {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	leaving := make([]topology.Replica, 0, len(t.marks.lastSeen))
-	for marked := range t.marks.lastSeen {
+	leaving := make([]topology.Replica, 0, len(t.leaving.lastSeen))
+	for process := range t.leaving.lastSeen {
 		leaving = append(leaving, topology.Replica{
-			Address: marked.address, Incarnation: marked.incarnation, State: topology.ReplicaLeaving,
+			Address: process.address, Incarnation: process.incarnation, State: topology.ReplicaLeaving,
 		})
 	}
 	slices.SortFunc(leaving, compareReplicas)
 	return leaving
 }
 
-func (t *Tracker) tell(fresh []process) {
+func (t *Tracker) notifyLeaving(added []processID) {
 	t.mutex.Lock()
-	notify := slices.Clone(t.notify)
+	notify := slices.Clone(t.listeners)
 	t.mutex.Unlock()
-	for _, marked := range fresh {
+	for _, process := range added {
 		for _, call := range notify {
-			call(marked.address, marked.incarnation)
+			call(process.address, process.incarnation)
 		}
 	}
 }
@@ -238,20 +239,21 @@
 func (t *Tracker) republish() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.readings > 0 {
+	if t.listReads > 0 {
 		t.publish(t.options.Now())
 	}
 }
 
-// publish must be called with the mutex held. It writes only what differs.
+// publish updates the board if the replicas have changed. The caller must hold
+// the mutex.
 func (t *Tracker) publish(now time.Time) {
-	if t.readings == 0 {
+	if t.listReads == 0 {
 		return
 	}
 	groups := make(map[string][]topology.Replica)
 	leaving := 0
 	for _, replica := range t.listed {
-		replica.State = t.state(replica, now)
+		replica.State = t.stateOf(replica, now)
 		if replica.State == topology.ReplicaLeaving {
 			leaving++
 		}
@@ -268,10 +270,10 @@
 	t.options.Board.Replicas.Publish(&topology.Replicas{Groups: groups})
 }
 
-func (t *Tracker) state(replica topology.Replica, now time.Time) topology.ReplicaState {
-	listed := process{replica.Address, replica.Incarnation}
+func (t *Tracker) stateOf(replica topology.Replica, now time.Time) topology.ReplicaState {
+	listed := processID{replica.Address, replica.Incarnation}
 	switch {
-	case t.marks.has(listed):
+	case t.leaving.has(listed):
 		return topology.ReplicaLeaving
 	case replica.State == topology.ReplicaCold, now.Sub(t.firstSeen[listed]) < t.options.ColdFor:
 		return topology.ReplicaCold
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -19,35 +19,34 @@
 	"github.com/doorpond/doorpond/internal/certificates"
 )
 
-// Protocol is the HTTP version spoken to back ends.
+// Protocol is the HTTP version used for backends.
 type Protocol string
 
-// The protocols.
+// Supported protocols.
 const (
 	ProtocolHTTP1 Protocol = "http1"
-	// ProtocolH2C is HTTP/2 without TLS, by prior knowledge.
+	// ProtocolH2C is HTTP/2 over plaintext TCP with prior knowledge.
 	ProtocolH2C Protocol = "h2c"
 )
 
-// The constants of a transport.
 const (
 	idleTimeout       = 60 * time.Second
 	dialTimeout       = time.Second
 	maxIdlePerReplica = 128
 	maxHeaderBytes    = 16 << 10
-	bufferKept        = 256 << 10
+	maxPooledBuffer   = 256 << 10
 )
 
-// PostResult is what came of one POST to a replica.
+// PostResult is the result of one POST to a replica.
 type PostResult struct {
 	Status int
 	Body   []byte
 	Err    error
-	// NotSent is true only when no byte of the request was written.
+	// NotSent is set only if no byte of the request was written.
 	NotSent bool
 }
 
-// PostFunc carries one POST to a replica, at most once.
+// PostFunc sends a POST to a replica, at most once.
 type PostFunc func(ctx context.Context, address, path string, body []byte) PostResult
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
@@ -74,42 +73,44 @@
 	}
 }
 
-// countedConnection counts its bytes written and reports its close once.
-type countedConnection struct {
+// trackedConnection counts the bytes written and calls closed once when it is
+// closed.
+type trackedConnection struct {
 	net.Conn
 	written atomic.Int64
 	once    sync.Once
 	closed  func()
 }
 
-// Write counts before it writes, so that a write under way is never taken for
-// none.
-func (c *countedConnection) Write(data []byte) (int, error) {
+// Write counts before writing, so that a write in progress is never mistaken
+// for none.
+func (c *trackedConnection) Write(data []byte) (int, error) {
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
 }
 
-func (c *countedConnection) Close() error {
+func (c *trackedConnection) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(c.closed)
 	return err
 }
 
-// exchange is what came of one POST to a replica.
-type exchange struct {
+// exchangeResult is the result of one HTTP exchange with a replica.
+type exchangeResult struct {
 	status int
 	body   []byte
 	err    error
-	// notSent is true only when no byte of the request was written.
+	// notSent is set only if no byte of the request was written.
 	notSent bool
 	buffer  *bytes.Buffer
 }
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// free gives the body's memory back.
-func (e *exchange) free() {
-	if e.buffer != nil && e.buffer.Cap() <= bufferKept {
+// release returns the body's buffer to the pool. The body must not be used
+// afterwards.
+func (e *exchangeResult) release() {
+	if e.buffer != nil && e.buffer.Cap() <= maxPooledBuffer {
 		buffers.Put(e.buffer)
 	}
 	e.buffer, e.body = nil, nil
@@ -117,27 +118,27 @@
 
 var requestHeader = http.Header{"Content-Type": {"application/json"}}
 
-// sendWatch finds out whether any byte of a request was written.
-type sendWatch struct {
-	connection atomic.Pointer[countedConnection]
+// writeTracker detects whether any byte of a request was written.
+type writeTracker struct {
+	connection atomic.Pointer[trackedConnection]
 	before     atomic.Int64
-	unclear    atomic.Bool
+	unknown    atomic.Bool
 }
 
-func (w *sendWatch) gotConnection(info httptrace.GotConnInfo) {
-	connection, plain := info.Conn.(*countedConnection)
+func (w *writeTracker) gotConnection(info httptrace.GotConnInfo) {
+	connection, plain := info.Conn.(*trackedConnection)
 	if !plain {
-		w.unclear.Store(true)
+		w.unknown.Store(true)
 		return
 	}
 	w.before.Store(connection.written.Load())
 	w.connection.Store(connection)
 }
 
-// nothingWritten is only sure when the exchange has failed by itself; after a
-// cancellation the transport may still be writing.
-func (w *sendWatch) nothingWritten(multiplex bool) bool {
-	if w.unclear.Load() {
+// provesNothingWritten reports whether certainly no byte was written. It must
+// not be used after a cancellation, when the transport may still be writing.
+func (w *writeTracker) provesNothingWritten(multiplex bool) bool {
+	if w.unknown.Load() {
 		return false
 	}
 	connection := w.connection.Load()
@@ -147,21 +148,21 @@
 	return !multiplex && connection.written.Load() == w.before.Load()
 }
 
-// post sends one request once: there is no GetBody and no idempotency header,
-// so net/http does not replay it after a byte was written.
-func (p *Pool) post(ctx context.Context, handle *Handle, target *url.URL, message any) exchange {
+// post sends one request at most once. GetBody and idempotency headers are not
+// set, so that net/http does not retry it after a byte was written.
+func (p *Pool) post(ctx context.Context, handle *Handle, target *url.URL, message any) exchangeResult {
 	encoded, err := json.Marshal(message)
 	if err != nil {
-		return exchange{err: eris.Wrap(err, "encode the request"), notSent: true}
+		return exchangeResult{err: eris.Wrap(err, "encode request"), notSent: true}
 	}
 	if p.options.Post != nil {
-		came := p.options.Post(ctx, target.Host, target.Path, encoded)
-		return exchange{status: came.Status, body: came.Body, err: came.Err, notSent: came.NotSent}
+		posted := p.options.Post(ctx, target.Host, target.Path, encoded)
+		return exchangeResult{status: posted.Status, body: posted.Body, err: posted.Err, notSent: posted.NotSent}
 	}
-	watch := &sendWatch{}
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: watch.gotConnection})
-	// net/http knows this type to be in memory and writes header and body at
-	// once; it does not know how to read it again, as GetBody is not set.
+	tracker := &writeTracker{}
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: tracker.gotConnection})
+	// net/http recognizes this type as an in-memory body and writes header and
+	// body together. It cannot rewind it because GetBody is not set.
 	body := io.NopCloser(bytes.NewReader(encoded))
 	request := (&http.Request{
 		Method: http.MethodPost, URL: target, Host: target.Host, Header: requestHeader,
@@ -169,28 +170,28 @@
 	}).WithContext(traced)
 	response, err := handle.transport.RoundTrip(request)
 	if err != nil {
-		gaveUp := ctx.Err() != nil && watch.connection.Load() != nil
-		return exchange{
+		canceled := ctx.Err() != nil && tracker.connection.Load() != nil
+		return exchangeResult{
 			err:     eris.Wrapf(err, "post to %s", target.Host),
-			notSent: !gaveUp && watch.nothingWritten(handle.multiplex),
+			notSent: !canceled && tracker.provesNothingWritten(handle.multiplex),
 		}
 	}
 	return readBody(response, p.options.MaxReplyBytes)
 }
 
-var errReplyTooLarge = eris.New("reply over the size limit")
+var errReplyTooLarge = eris.New("reply exceeds size limit")
 
-// readBody reads the whole body, of so many bytes at most. A body that is over the limit or broken is
-// closed unread, and its connection with it.
-func readBody(response *http.Response, limit int64) exchange {
-	defer func() { _ = response.Body.Close() }() // the reading has failed already if this does
+// readBody reads the body, which must not exceed limit bytes. If it does or is
+// truncated, the connection is closed.
+func readBody(response *http.Response, limit int64) exchangeResult {
+	defer func() { _ = response.Body.Close() }() // a read error has been reported already
 	buffer := buffers.Get().(*bytes.Buffer)
 	buffer.Reset()
-	result := exchange{status: response.StatusCode, buffer: buffer}
+	result := exchangeResult{status: response.StatusCode, buffer: buffer}
 	size, err := buffer.ReadFrom(io.LimitReader(response.Body, limit+1))
 	switch {
 	case err != nil:
-		result.err = eris.Wrap(err, "read the reply")
+		result.err = eris.Wrap(err, "read reply")
 	case size > limit:
 		result.err = errReplyTooLarge
 	}
@@ -198,10 +199,10 @@
 	return result
 }
 
-func overConnectionBudget(err error) bool { return errors.Is(err, errConnectionBudget) }
+func exceedsConnectionBudget(err error) bool { return errors.Is(err, errConnectionBudget) }
 
-// plainDial is the dial function used unless options give another.
-func plainDial(ctx context.Context, network, address string) (net.Conn, error) {
+// dialTCP is the default dial function.
+func dialTCP(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: idleTimeout}
 	return dialer.DialContext(ctx, network, address)
 }
