--- a/internal/query/forward_bench_test.go
+++ b/internal/query/forward_bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// benchCodec names the headers of the benchmark's back ends.
+// benchCodec maps the header fields of the test back ends.
 type benchCodec struct{}
 
 func (benchCodec) RequestHeader(message *upstream.Message, incarnation string, timeout time.Duration) http.Header {
@@ -32,8 +32,8 @@
 
 const benchShards = 10
 
-// startRecords starts a back end for each shard, each with 20 records.
-func startRecords(b *testing.B) []string {
+// startRecordBackends starts a back end for each shard, which returns 20 records.
+func startRecordBackends(b *testing.B) []string {
 	records := make([]byte, 20*routing.RecordBytes)
 	var addresses []string
 	for range benchShards {
@@ -48,15 +48,14 @@
 	return addresses
 }
 
-// BenchmarkTenShards has, in one run, a forwarded request to ten shards, a plain
-// one, a search over ten shards by the product's own protocol, and bare exchanges
-// of net/http with the same back ends. The back ends are hollow and in this
-// process; their processor time is part of the figures.
+// BenchmarkTenShards compares a scattered request to ten shards, a plain request, a search
+// over ten shards, and exchanges by net/http with the same back ends. The back ends run in
+// this process, so that their CPU time is included.
 func BenchmarkTenShards(b *testing.B) {
 	b.Run("forwarded", func(b *testing.B) { benchmarkForward(b, true) })
 	b.Run("plain", func(b *testing.B) { benchmarkForward(b, false) })
-	b.Run("search", benchmarkTenSearched)
-	b.Run("bare", benchmarkBare)
+	b.Run("search", benchmarkSearchTenShards)
+	b.Run("nethttp", benchmarkNetHTTP)
 }
 
 func benchmarkForward(b *testing.B, scattered bool) {
@@ -66,7 +65,7 @@
 		Objective: time.Minute, Repeatable: true,
 	}
 	groups := make(map[string][]topology.Replica)
-	for i, address := range startRecords(b) {
+	for i, address := range startRecordBackends(b) {
 		name := fmt.Sprint("g", i)
 		groups[name] = []topology.Replica{{Address: address, Incarnation: "1", Group: name, Slots: 8, ConnectionLimit: 40}}
 		route.Shards = append(route.Shards, name)
@@ -89,26 +88,26 @@
 	}
 }
 
-func benchmarkTenSearched(b *testing.B) {
+func benchmarkSearchTenShards(b *testing.B) {
 	board := &blackboard.Board{}
-	publishHollow(board, startHollow(b, benchShards, replica.ProtocolHTTP1), benchShards)
+	publishBenchTopology(board, startEmptyBackends(b, benchShards, replica.ProtocolHTTP1), benchShards)
 	pool := replica.NewPool(replica.PoolOptions{Board: board, Protocol: replica.ProtocolHTTP1})
 	b.Cleanup(pool.Close)
 	service := query.NewService(query.Options{Board: board, Pool: pool})
-	asked := client.Query{Group: "gate", Corpus: "cards", Phrase: "fare"}
+	search := client.Query{Group: "gate", Corpus: "cards", Phrase: "fare"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := service.Search(b.Context(), asked); err != nil {
+		if _, err := service.Search(b.Context(), search); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func benchmarkBare(b *testing.B) {
-	addresses := startRecords(b)
-	bare := &http.Client{Transport: &http.Transport{DisableCompression: true}}
+func benchmarkNetHTTP(b *testing.B) {
+	addresses := startRecordBackends(b)
+	httpClient := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	exchange := func(address string) {
-		response, err := bare.Get("http://" + address + "/")
+		response, err := httpClient.Get("http://" + address + "/")
 		if err != nil {
 			b.Error(err)
 			return
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -14,20 +14,21 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// protocol is how one kind of request is put to the replicas of its shards.
+// protocol sends one kind of request to the replicas of its shards.
 type protocol interface {
-	// acquire chooses a replica that was not tried yet; a canary goes to an idle one if it
-	// can.
+	// acquire chooses a replica that has not been tried yet, preferably an idle
+	// one for a canary.
 	acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult
-	// exchange sends one attempt to a replica, and returns what came of it.
+	// exchange sends one attempt to a replica and returns its result.
 	exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SubrequestResult
-	// otherSnapshot tells whether the query could start anew on another one.
-	otherSnapshot() bool
+	// hasAlternateSnapshot reports whether the query can restart on another
+	// snapshot.
+	hasAlternateSnapshot() bool
 }
 
-// run carries out the decisions of one query. Its state belongs to the
-// goroutine of the query; sub-requests hand their results over by a channel,
-// and find nowhere to go once the run is over.
+// run executes the decisions for one query. Its state is confined to the
+// query's goroutine; sub-requests deliver their results through the inbox,
+// which discards them once the run has finished.
 type run struct {
 	service  *Service
 	protocol protocol
@@ -38,48 +39,49 @@
 	shards   []shardRun
 	reason   decision.FinishReason
 	counts   runCounts
-	// linger is for how long an attempt that is not needed any more may still
-	// answer: its time tells how its replica does, and its connection is kept.
+	// linger is how long an attempt that is no longer needed may still answer,
+	// so that its latency is measured and its connection is kept.
 	linger time.Duration
-	// halfAt is when half of the shards had answered, 0 until then.
-	halfAt time.Duration
-	// quarantined tells whether other nodes have found the query to end replicas, contested
-	// whether this one has by what may have been another's doing; onEnded is called when
-	// one ended while it ran a sub-request, with its name if that was a canary. Nil means
-	// nothing.
-	quarantined func() bool
-	contested   func() bool
-	onEnded     func(canary string)
-	// abandoned is set once the caller no longer waits.
+	// halfAnsweredAt is when half of the shards had answered, 0 until then.
+	halfAnsweredAt time.Duration
+	// checkQuarantined reports whether another node has quarantined the request,
+	// checkContested whether the crashes attributed to it may have been caused by
+	// another request. onCrash is called when a replica crashed while executing
+	// a sub-request; canary names its process if that was a canary. Each may be
+	// nil.
+	checkQuarantined func() bool
+	checkContested   func() bool
+	onCrash          func(canary string)
+	// abandoned is true once the caller no longer waits for an answer.
 	abandoned bool
-	allowance pauseAllowance
+	pauses    pauseCompensation
 }
 
-// runCounts is what a run cost.
+// runCounts counts the sub-requests of a run.
 type runCounts struct {
 	dispatched int
 	hedges     int
 	cancelled  int
-	// proven counts the attempts that provably did not run.
-	proven     int
-	retryAfter time.Duration
+	// provenNotRun counts the attempts that provably were not executed.
+	provenNotRun int
+	retryAfter   time.Duration
 }
 
 type shardRun struct {
-	tried    []*replica.Handle
-	attempts []attempt
-	reply    *backendapi.SearchReply
-	// part is the answer to a message; refusal is a failure that a replica
-	// itself answered with.
-	part    *upstream.Reply
-	refusal *upstream.Reply
-	// err is the last failure of an attempt.
+	tried       []*replica.Handle
+	attempts    []attempt
+	searchReply *backendapi.SearchReply
+	// forwardReply is the response to a forwarded request, errorReply an error
+	// response from a replica.
+	forwardReply *upstream.Reply
+	errorReply   *upstream.Reply
+	// err is the error of the last failed attempt.
 	err error
 }
 
-// forgetUnsent lets replicas that attempts have not come to be tried again; false
-// means that there are none.
-func (s *shardRun) forgetUnsent() bool {
+// readmitUnsent makes the replicas eligible again that attempts did not reach,
+// and reports whether there were any.
+func (s *shardRun) readmitUnsent() bool {
 	before := len(s.tried)
 	s.tried = slices.DeleteFunc(s.tried, func(handle *replica.Handle) bool {
 		return slices.ContainsFunc(s.attempts, func(a attempt) bool { return a.handle == handle && a.unsent })
@@ -87,9 +89,9 @@
 	return len(s.tried) < before
 }
 
-// forgetRejected lets replicas that have rejected an attempt be tried again; false means that
-// there are none.
-func (s *shardRun) forgetRejected() bool {
+// readmitRejected makes the replicas eligible again that rejected an attempt, and
+// reports whether there were any.
+func (s *shardRun) readmitRejected() bool {
 	before := len(s.tried)
 	s.tried = slices.DeleteFunc(s.tried, func(handle *replica.Handle) bool {
 		return slices.ContainsFunc(s.attempts, func(a attempt) bool { return a.handle == handle && a.rejected })
@@ -97,103 +99,106 @@
 	return len(s.tried) < before
 }
 
-// inFlight is what has come of an attempt that has not ended.
-const inFlight = "in_flight"
+// outcomeInFlight is the outcome in traces of an attempt that has not finished.
+const outcomeInFlight = "in_flight"
 
-// attempt is one sub-request of a shard, by the core's number.
+// attempt is one sub-request of a shard. Its position is its attempt number in
+// decision events.
 type attempt struct {
-	// handle is nil when no replica was left to send it to.
-	handle *replica.Handle
-	cancel context.CancelFunc
-	cause  decision.Cause
-	sent   time.Duration
-	ended  string
-	// unsent is true when no byte of it came to the replica.
+	// handle is nil if no replica was available.
+	handle  *replica.Handle
+	cancel  context.CancelFunc
+	cause   decision.Cause
+	sentAt  time.Duration
+	outcome string
+	// unsent is true if no byte reached the replica.
 	unsent bool
-	// rejected is true when the replica turned it away without running it.
+	// rejected is true if the replica rejected it without executing it.
 	rejected bool
-	// canary is true for one by which its replica may end.
+	// canary is true if it tests whether the request crashes its replica.
 	canary bool
 }
 
-// canaryOf names the process that ran a canary; empty for another sub-request.
-func (a *attempt) canaryOf() string {
+// canaryProcess returns the process that executed a canary, or "" if the attempt
+// is not one.
+func (a *attempt) canaryProcess() string {
 	if !a.canary {
 		return ""
 	}
 	return a.handle.ProcessName()
 }
 
-// newRun makes a run of a plan.
-func (s *Service) newRun(plan decision.Plan, speaks protocol) *run {
-	lost := s.lost() // before the inbox, which begins to count
+func (s *Service) newRun(plan decision.Plan, proto protocol) *run {
+	paused := s.pausedTime() // read before the inbox starts its clock
 	return &run{
-		service: s, protocol: speaks, plan: plan, core: decision.New(plan),
-		inbox:     s.options.Driver.NewInbox(len(plan.Shards)),
-		shards:    make([]shardRun, len(plan.Shards)),
-		allowance: pauseAllowance{seen: lost},
+		service: s, protocol: proto, plan: plan, core: decision.New(plan),
+		inbox:  s.options.Driver.NewInbox(len(plan.Shards)),
+		shards: make([]shardRun, len(plan.Shards)),
+		pauses: pauseCompensation{lastPaused: paused},
 	}
 }
 
-// elapsed is the time since the run's start, without what is allowed for pauses.
-func (r *run) elapsed() time.Duration { return r.inbox.Elapsed() - r.allowance.granted }
+// elapsed returns the time since the run's start, without compensated pauses.
+func (r *run) elapsed() time.Duration { return r.inbox.Elapsed() - r.pauses.excluded }
 
-// now is elapsed, after pauses of the process up to now have been taken in. A pause may come
-// between any two readings; the two clocks have to be read on the same side of it.
+// now compensates for pauses of the process up to the present and returns the
+// elapsed time. If a pause falls between the readings of the two clocks, both are
+// read again.
 func (r *run) now() time.Duration {
 	for {
-		lost := r.service.lost()
+		paused := r.service.pausedTime()
 		elapsed := r.inbox.Elapsed()
-		if r.service.lost()-lost < leastAllowed {
-			r.allowance.look(lost, elapsed, r.plan.Deadline)
-			return elapsed - r.allowance.granted
+		if r.service.pausedTime()-paused < minPause {
+			r.pauses.update(paused, elapsed, r.plan.Deadline)
+			return elapsed - r.pauses.excluded
 		}
 	}
 }
 
-// setTimer sets the timer to a time as elapsed counts it.
-func (r *run) setTimer(at time.Duration) { r.inbox.SetTimer(at + r.allowance.granted) }
+// setTimer sets the timer to a time as measured by elapsed.
+func (r *run) setTimer(at time.Duration) { r.inbox.SetTimer(at + r.pauses.excluded) }
 
-// execute runs until the core finishes. Its attempts end with it, but for
-// those that linger.
+// execute runs until the core finishes. It cancels outstanding attempts on return,
+// unless they linger.
 func (r *run) execute(ctx context.Context, deadline time.Duration) {
 	defer r.inbox.Close()
 	if r.linger > 0 {
 		r.context = r.service.options.Driver.Detached()
 	} else {
-		// no time-out: the core gives attempts up at the deadline, and it may be later
-		sub, cancel := r.service.options.Driver.WithCancel(ctx)
+		// no timeout: the core cancels attempts at the deadline, which pauses may postpone
+		runContext, cancel := r.service.options.Driver.WithCancel(ctx)
 		defer cancel()
-		r.context = sub
+		r.context = runContext
 	}
 	r.setTimer(deadline)
 	finished := r.step(decision.Event{Kind: decision.Started})
 	for !finished {
-		result, woken := r.inbox.Next(ctx)
-		switch woken {
+		result, reason := r.inbox.Next(ctx)
+		switch reason {
 		case WakeResult:
-			finished = r.step(r.take(result))
-			r.noteHalf()
-			if r.onEnded != nil && result.Result.Outcome == decision.Crashed {
-				r.onEnded(r.shards[result.Shard].attempts[result.Attempt].canaryOf())
+			finished = r.step(r.resultEvent(result))
+			r.recordHalfAnswered()
+			if r.onCrash != nil && result.Result.Outcome == decision.Crashed {
+				r.onCrash(r.shards[result.Shard].attempts[result.Attempt].canaryProcess())
 			}
 		case WakeTimer:
-			if r.contested != nil && r.contested() {
+			if r.checkContested != nil && r.checkContested() {
 				finished = r.step(decision.Event{Kind: decision.EvidenceDisputed})
 			}
 			finished = finished || r.step(decision.Event{Kind: decision.TimerFired})
 		case WakeContextDone:
-			finished = r.step(r.leave(ctx))
+			finished = r.step(r.contextEvent(ctx))
 		}
 	}
 }
 
-// ErrShuttingDown is the cause for which the context of a request ends that has to be answered
-// now, as its node stops. Other causes mean that the caller no longer waits.
-var ErrShuttingDown = errors.New("the node stops")
+// ErrShuttingDown is the cause of a request's context if the request has to be
+// answered immediately because the node is shutting down. Any other cause means that
+// the caller no longer waits for an answer.
+var ErrShuttingDown = errors.New("node is shutting down")
 
-// leave describes the end of a request's context.
-func (r *run) leave(ctx context.Context) decision.Event {
+// contextEvent returns the event for the end of a request's context.
+func (r *run) contextEvent(ctx context.Context) decision.Event {
 	if errors.Is(context.Cause(ctx), ErrShuttingDown) {
 		return decision.Event{Kind: decision.Interrupted}
 	}
@@ -201,60 +206,60 @@
 	return decision.Event{Kind: decision.Canceled}
 }
 
-// noteHalf notes when half of the shards have answered.
-func (r *run) noteHalf() {
-	if r.halfAt == 0 && 2*r.core.Answered() >= len(r.shards) {
-		r.halfAt = r.elapsed()
+// recordHalfAnswered records when half of the shards have answered.
+func (r *run) recordHalfAnswered() {
+	if r.halfAnsweredAt == 0 && 2*r.core.Answered() >= len(r.shards) {
+		r.halfAnsweredAt = r.elapsed()
 	}
 }
 
-// take notes a result and turns it into an event.
-func (r *run) take(result AttemptResult) decision.Event {
+// resultEvent records a result and converts it to an event.
+func (r *run) resultEvent(result AttemptResult) decision.Event {
 	outcome := result.Result.Outcome
 	if result.Result.NotRun {
-		r.counts.proven++
+		r.counts.provenNotRun++
 		r.counts.retryAfter = max(r.counts.retryAfter, result.Result.RetryAfter)
 	}
-	r.keep(&r.shards[result.Shard], result.Result)
-	ended := &r.shards[result.Shard].attempts[result.Attempt]
-	ended.ended = outcome.String()
-	ended.unsent = outcome.NotSent()
-	ended.rejected = outcome == decision.Shed
-	ended.cancel()
+	r.storeResult(&r.shards[result.Shard], result.Result)
+	finished := &r.shards[result.Shard].attempts[result.Attempt]
+	finished.outcome = outcome.String()
+	finished.unsent = outcome.NotSent()
+	finished.rejected = outcome == decision.Shed
+	finished.cancel()
 	event := decision.Event{
 		Kind: decision.AttemptCompleted, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
 		Survived: result.Result.UpstreamReply != nil, Attribution: result.Result.Blame,
 	}
-	if outcome == decision.Crashed && r.quarantined != nil {
-		event.Quarantined = r.quarantined()
+	if outcome == decision.Crashed && r.checkQuarantined != nil {
+		event.Quarantined = r.checkQuarantined()
 	}
 	if outcome == decision.SnapshotNotHeld {
-		event.OtherSnapshot = r.protocol.otherSnapshot()
+		event.OtherSnapshot = r.protocol.hasAlternateSnapshot()
 	}
 	return event
 }
 
-// keep stores the first answer of a shard, or its last failure.
-func (r *run) keep(shard *shardRun, result replica.SubrequestResult) {
+// storeResult stores the first reply of a shard or its last failure.
+func (r *run) storeResult(shard *shardRun, result replica.SubrequestResult) {
 	switch {
 	case result.Outcome != decision.Success:
 		shard.err = result.Err
-		shard.refusal = result.UpstreamReply
-	case shard.reply == nil && shard.part == nil:
-		shard.reply, shard.part = result.Reply, result.UpstreamReply
+		shard.errorReply = result.UpstreamReply
+	case shard.searchReply == nil && shard.forwardReply == nil:
+		shard.searchReply, shard.forwardReply = result.Reply, result.UpstreamReply
 	}
 }
 
-// step feeds the core and carries out its actions. What the sends give rise to
-// is fed back after all actions, as the core reuses their memory.
+// step feeds an event to the core and carries out the resulting actions. Events
+// caused by sends are fed back after all actions, as the core reuses their memory.
 func (r *run) step(event decision.Event) (finished bool) {
-	var arisen []decision.Event
+	var followUps []decision.Event
 	for _, action := range r.core.Step(r.now(), event) {
 		switch action.Kind {
 		case decision.Send:
-			arisen = r.send(action, arisen)
+			followUps = r.send(action, followUps)
 		case decision.Cancel:
 			r.cancel(action)
 		case decision.SetTimer:
@@ -264,7 +269,7 @@
 			return true
 		}
 	}
-	for _, next := range arisen {
+	for _, next := range followUps {
 		if r.step(next) {
 			return true
 		}
@@ -272,8 +277,8 @@
 	return false
 }
 
-// cancel gives an attempt up. The core may give up one that was not sent, as
-// all replicas were busy, before it is told so.
+// cancel cancels an attempt. The core may cancel one that was not sent because all
+// replicas were busy, before it has processed the event that reports this.
 func (r *run) cancel(action decision.Action) {
 	attempts := r.shards[action.Shard].attempts
 	if action.Attempt >= len(attempts) {
@@ -288,57 +293,55 @@
 	cancel()
 }
 
-// send dispatches one attempt, and adds the event that this gives rise to.
-func (r *run) send(action decision.Action, arisen []decision.Event) []decision.Event {
+// send dispatches one attempt and appends the events that result to followUps.
+func (r *run) send(action decision.Action, followUps []decision.Event) []decision.Event {
 	plan, shard := &r.plan.Shards[action.Shard], &r.shards[action.Shard]
 	acquired := r.protocol.acquire(plan, action.Canary, shard.tried)
-	if acquired.Handle == nil && !acquired.Busy && shard.forgetUnsent() {
+	if acquired.Handle == nil && !acquired.Busy && shard.readmitUnsent() {
 		acquired = r.protocol.acquire(plan, action.Canary, shard.tried)
 	}
-	if acquired.Exhausted && shard.forgetRejected() {
-		// A replica that is full for a moment is asked again after a wait where no other may
-		// be. (With one replica a shard that rejects a twentieth of the requests, 0.96 of
-		// them were answered without it, and 0.998 with it.)
+	if acquired.Exhausted && shard.readmitRejected() {
+		// Only replicas that rejected an attempt are left: retry them after a delay.
 		acquired.Busy = true
 	}
 	handle := acquired.Handle
 	if handle == nil {
 		if !acquired.Busy {
-			shard.attempts = append(shard.attempts, attempt{cancel: func() {}, ended: decision.NoReplica.String()})
+			shard.attempts = append(shard.attempts, attempt{cancel: func() {}, outcome: decision.NoReplica.String()})
 		}
-		return append(arisen, decision.Event{
+		return append(followUps, decision.Event{
 			Kind: decision.AttemptCompleted, Shard: action.Shard, Attempt: action.Attempt,
 			Outcome: decision.NoReplica, Busy: acquired.Busy,
 		})
 	}
-	sub, cancel := r.service.options.Driver.WithCancel(r.context)
+	attemptContext, cancel := r.service.options.Driver.WithCancel(r.context)
 	shard.tried = append(shard.tried, handle)
-	shard.attempts = append(shard.attempts, attempt{handle: handle, cancel: cancel, cause: action.Cause, canary: action.Canary, sent: r.elapsed(), ended: inFlight})
+	shard.attempts = append(shard.attempts, attempt{handle: handle, cancel: cancel, cause: action.Cause, canary: action.Canary, sentAt: r.elapsed(), outcome: outcomeInFlight})
 	r.counts.dispatched++
 	if action.Cause == decision.CauseHedge {
 		r.counts.hedges++
 	}
-	r.service.metrics.sent[action.Cause].Inc()
+	r.service.metrics.subrequests[action.Cause].Inc()
 	r.service.options.Driver.Start(func() {
-		result := r.protocol.exchange(sub, handle, plan, action)
+		result := r.protocol.exchange(attemptContext, handle, plan, action)
 		r.inbox.Deliver(AttemptResult{Shard: action.Shard, Attempt: action.Attempt, Result: result})
 	})
 	if acquired.LateAfter == 0 {
-		return arisen
+		return followUps
 	}
-	return append(arisen, decision.Event{
+	return append(followUps, decision.Event{
 		Kind: decision.Dispatched, Shard: action.Shard, Attempt: action.Attempt, HedgeDelay: acquired.LateAfter,
 	})
 }
 
-// ended is what admission learns from the run.
-func (r *run) ended(took time.Duration) admission.Ended {
-	ended := admission.Ended{Took: took, Asked: len(r.plan.Shards), Answered: r.core.Answered()}
+// admissionOutcome returns what the run reports to admission control.
+func (r *run) admissionOutcome(took time.Duration) admission.Ended {
+	outcome := admission.Ended{Took: took, Asked: len(r.plan.Shards), Answered: r.core.Answered()}
 	for i := range r.plan.Shards {
 		if r.core.Status(i).Reason == client.MissingShed {
-			ended.Refused++
-			ended.RefusedShard = r.plan.Shards[i].Group
+			outcome.Refused++
+			outcome.RefusedShard = r.plan.Shards[i].Group
 		}
 	}
-	return ended
+	return outcome
 }
--- a/internal/query/search.go
+++ b/internal/query/search.go
@@ -11,7 +11,7 @@
 	"github.com/doorpond/doorpond/internal/replica"
 )
 
-// searchRun is a run of a search on one snapshot.
+// searchRun executes a search on one snapshot.
 type searchRun struct {
 	*run
 	request  *request
@@ -19,7 +19,7 @@
 	selected decision.ShardSelection
 }
 
-// newSearchRun plans a run; deadline is the time left from now on.
+// newSearchRun plans a search; deadline is the remaining time.
 func (s *Service) newSearchRun(request *request, snapshot *catalogue.Snapshot, deadline time.Duration) *searchRun {
 	selected := decision.SelectShards(snapshot, request.row, &request.query, request.id)
 	for i := range selected.Asked {
@@ -28,7 +28,7 @@
 	plan := decision.Plan{Shards: selected.Asked, Policy: request.row, Deadline: deadline}
 	search := &searchRun{request: request, snapshot: snapshot, selected: selected}
 	search.run = s.newRun(plan, search)
-	search.allowance.seen = request.lost // the deadline counts from the request's start
+	search.pauses.lastPaused = request.pausedAtStart // the deadline counts from the request's start
 	return search
 }
 
@@ -37,14 +37,14 @@
 }
 
 func (r *searchRun) exchange(ctx context.Context, handle *replica.Handle, shard *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
-	return r.service.options.Pool.Search(ctx, handle, r.message(shard, action))
+	return r.service.options.Pool.Search(ctx, handle, r.searchRequest(shard, action))
 }
 
-func (r *searchRun) otherSnapshot() bool {
-	return r.request.restarts > 0 && r.service.otherSnapshot(&r.request.query, r.snapshot.ID) != nil
+func (r *searchRun) hasAlternateSnapshot() bool {
+	return r.request.restartsLeft > 0 && r.service.alternateSnapshot(&r.request.query, r.snapshot.ID) != nil
 }
 
-func (r *searchRun) message(plan *decision.ShardPlan, action decision.Action) *backendapi.SearchRequest {
+func (r *searchRun) searchRequest(plan *decision.ShardPlan, action decision.Action) *backendapi.SearchRequest {
 	query := &r.request.query
 	return &backendapi.SearchRequest{
 		QueryID: r.request.id, Attempt: action.Attempt, Snapshot: r.snapshot.ID,
@@ -54,18 +54,18 @@
 	}
 }
 
-// hits merges the replies; truncated is true when more hits matched.
+// hits merges the replies; truncated is true if more hits matched than the limit.
 func (r *searchRun) hits() (merged []client.Hit, truncated bool) {
-	matched, held := 0, 0
+	matched, received := 0, 0
 	for i := range r.shards {
-		if reply := r.answered(i); reply != nil {
+		if reply := r.acceptedReply(i); reply != nil {
 			matched += reply.Total
-			held += len(reply.Hits)
+			received += len(reply.Hits)
 		}
 	}
-	merged = make([]client.Hit, 0, held)
+	merged = make([]client.Hit, 0, received)
 	for i := range r.shards {
-		if reply := r.answered(i); reply != nil {
+		if reply := r.acceptedReply(i); reply != nil {
 			merged = append(merged, reply.Hits...)
 		}
 	}
@@ -77,10 +77,11 @@
 	return merged, matched > limit
 }
 
-// answered returns a shard's reply only if the core counts it.
-func (r *searchRun) answered(shard int) *backendapi.SearchReply {
+// acceptedReply returns a shard's reply, or nil if the core does not count it as
+// answered.
+func (r *searchRun) acceptedReply(shard int) *backendapi.SearchReply {
 	if !r.core.Status(shard).Answered {
 		return nil
 	}
-	return r.shards[shard].reply
+	return r.shards[shard].searchReply
 }
