--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -76,9 +76,9 @@
 type Options struct {
 	// Address is IP:port of this node's datagrams.
 	Address string
-	// Notice takes what other nodes spread with Spread; nil means that it is dropped. The
+	// OnNotice takes what other nodes spread with Spread; nil means that it is dropped. The
 	// bytes are its own. It must not block.
-	Notice func(content []byte)
+	OnNotice func(content []byte)
 	// Nodes returns the nodes known now; this one is left out by its address.
 	Nodes  func() *topology.Nodes
 	Logger *slog.Logger
@@ -149,14 +149,14 @@
 
 // notice hands a notice over.
 func (a *Announcer) notice(content []byte) {
-	if a.options.Notice != nil {
-		a.options.Notice(bytes.Clone(content))
+	if a.options.OnNotice != nil {
+		a.options.OnNotice(bytes.Clone(content))
 	}
 }
 
-// Spread sends a notice to some other nodes, chosen by chance. One that is longer than a
+// SendNotice sends a notice to some other nodes, chosen by chance. One that is longer than a
 // datagram may be is refused.
-func (a *Announcer) Spread(content []byte) error {
+func (a *Announcer) SendNotice(content []byte) error {
 	if len(content) >= maxDatagramBytes {
 		return eris.Errorf("a notice of %d bytes is too long", len(content))
 	}
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for range size {
-		one, err := New(Options{Address: "127.0.0.1:0", Nodes: made.known, Notice: made.notice})
+		one, err := New(Options{Address: "127.0.0.1:0", Nodes: made.known, OnNotice: made.notice})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,7 +124,7 @@
 // TestANoticeReachesTheOthers: and is no announcement.
 func TestANoticeReachesTheOthers(t *testing.T) {
 	made := newNetwork(t, 2)
-	if err := made.announcers[0].Spread([]byte("notice")); err != nil {
+	if err := made.announcers[0].SendNotice([]byte("notice")); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -138,7 +138,7 @@
 	if waiting := len(made.announcers[1].Received()); waiting != 0 {
 		t.Errorf("%d announcements", waiting)
 	}
-	if err := made.announcers[0].Spread(make([]byte, maxDatagramBytes)); err == nil {
+	if err := made.announcers[0].SendNotice(make([]byte, maxDatagramBytes)); err == nil {
 		t.Error("a notice that is too long is sent")
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -155,7 +155,7 @@
 	n.enter(blackboard.PhaseStarting)
 	var err error
 	n.announcer, err = announce.New(announce.Options{
-		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, Notice: n.hearOfRequest,
+		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, OnNotice: n.hearOfRequest,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := announcer.Spread(notice); err != nil {
+		if err := announcer.SendNotice(notice); err != nil {
 			t.Error(err)
 		}
 	}})
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -54,7 +54,7 @@
 func (n *Node) tellOfRequest(record quarantine.Record) {
 	notice, err := msgpack.Marshal(&record)
 	if err == nil {
-		err = n.announcer.Spread(notice)
+		err = n.announcer.SendNotice(notice)
 	}
 	if err != nil {
 		n.logger.Error("other nodes were not told of a request", "identity", record.Identity.String(), "error", err.Error())
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, wait := range retellAfter {
-		time.AfterFunc(wait, func() { _ = n.announcer.Spread(notice) }) // it was sent before
+		time.AfterFunc(wait, func() { _ = n.announcer.SendNotice(notice) }) // it was sent before
 	}
 }
 
@@ -77,7 +77,7 @@
 		return
 	}
 	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
-		_ = n.announcer.Spread(notice) // as long as when it came
+		_ = n.announcer.SendNotice(notice) // as long as when it came
 	}
 }
 
