--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -205,8 +205,8 @@
 		Announcer: n.announcer, MaxStaleness: n.settings.Bounds.MaxStaleness(),
 		PeerSnapshots: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
 		RelayClient: relay.New(relay.Config{
-			HTTP: relayClient(), Wait: relayWait, Slack: relaySlack,
-			Suspected: func(found []relay.Suspicion) { n.follower.Suspect(found) },
+			HTTP: relayClient(), Wait: relayWait, ResponseMargin: relaySlack,
+			OnSuspicions: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
 		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.Steady,
 		VanishedRetention: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -328,13 +328,13 @@
 	broken, silent, compacted := r.broken, r.silent[node.Port()], r.compacted
 	r.mu.Unlock()
 	if compacted {
-		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrForgotten)
+		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrRevisionUnavailable)
 	}
 	if silent {
-		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrSilent)
+		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrNoResponse)
 	}
 	if broken {
-		return relay.ErrBroken
+		return relay.ErrWatchEnded
 	}
 	for {
 		select {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -234,7 +234,7 @@
 		suspected: make(chan []relay.Suspicion, 1), refreshRequested: make(chan struct{}, 1),
 	}
 	f.window.Store(&validityWindow{replaced: make(chan struct{})})
-	f.feed.Suspected = f.suspicions
+	f.feed.Suspicions = f.suspicions
 	return f
 }
 
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -90,7 +90,7 @@
 func (f *Follower) SuspectUnresponsive(ids []string) {
 	suspicions := make([]relay.Suspicion, 0, len(ids))
 	for _, id := range ids {
-		suspicions = append(suspicions, relay.Suspicion{ID: id, Milliseconds: suspicionTTL.Milliseconds()})
+		suspicions = append(suspicions, relay.Suspicion{ID: id, TTLMilliseconds: suspicionTTL.Milliseconds()})
 	}
 	f.Suspect(suspicions)
 }
@@ -102,7 +102,7 @@
 		if suspicion.ID == f.options.Self.ID || !f.state.isRegistered(suspicion.ID) {
 			continue
 		}
-		if f.state.suspects.add(suspicion.ID, now.Add(min(suspicion.For(), suspicionTTL))) {
+		if f.state.suspects.add(suspicion.ID, now.Add(min(suspicion.TTL(), suspicionTTL))) {
 			f.state.nodesChanged = true
 			f.options.Logger.Info("node suspected", "node", suspicion.ID)
 		}
@@ -132,7 +132,7 @@
 	var current []relay.Suspicion
 	for id, until := range *published {
 		if left := until.Sub(now).Milliseconds(); left > 0 {
-			current = append(current, relay.Suspicion{ID: id, Milliseconds: left})
+			current = append(current, relay.Suspicion{ID: id, TTLMilliseconds: left})
 		}
 	}
 	return current
@@ -180,7 +180,7 @@
 	for _, node := range nodes.Nodes {
 		address, err := netip.ParseAddrPort(node.StateAddress)
 		if err == nil && slices.Contains(addresses, address) {
-			suspicions = append(suspicions, relay.Suspicion{ID: node.ID, Milliseconds: suspicionTTL.Milliseconds()})
+			suspicions = append(suspicions, relay.Suspicion{ID: node.ID, TTLMilliseconds: suspicionTTL.Milliseconds()})
 		}
 	}
 	f.handleSuspicions(suspicions)
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -158,10 +158,10 @@
 	})
 	f.state.put(nodeAt(t, 1, "a"))
 	f.state.put(nodeAt(t, 2, "self"))
-	f.handleSuspicions([]relay.Suspicion{{ID: "a", Milliseconds: 3000}, {ID: "self", Milliseconds: 3000}, {ID: "unknown", Milliseconds: 3000}})
+	f.handleSuspicions([]relay.Suspicion{{ID: "a", TTLMilliseconds: 3000}, {ID: "self", TTLMilliseconds: 3000}, {ID: "unknown", TTLMilliseconds: 3000}})
 	now = now.Add(time.Second)
 	f.handleSuspicions(f.suspicions())
-	if suspicions := f.suspicions(); len(suspicions) != 1 || suspicions[0].ID != "a" || suspicions[0].For() != 2*time.Second {
+	if suspicions := f.suspicions(); len(suspicions) != 1 || suspicions[0].ID != "a" || suspicions[0].TTL() != 2*time.Second {
 		t.Errorf("suspicions %v", suspicions)
 	}
 	now = now.Add(2 * time.Second)
--- a/internal/follower/watch.go
+++ b/internal/follower/watch.go
@@ -40,11 +40,11 @@
 		f.recordRelayFailures(maxRelayFailures) // the relay's source is lagging as well
 		f.relayLagged = true
 		f.staleness.restartGrace(f.options.Now())
-	case errors.Is(err, relay.ErrForgotten):
+	case errors.Is(err, relay.ErrRevisionUnavailable):
 		f.needsStoreWatch = true
-	case errors.Is(err, relay.ErrSilent):
+	case errors.Is(err, relay.ErrNoResponse):
 		f.handleSilentRelay(from)
-	case errors.Is(err, relay.ErrBroken):
+	case errors.Is(err, relay.ErrWatchEnded):
 		f.recordRelayFailures(f.relayFailures + 1)
 	default:
 		return false
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -27,13 +27,13 @@
 // of another version is not answered, and watches the store.
 const Path = "/v2/changes"
 
-// ErrBroken is returned when a watch of another node ends; nothing is wrong
-// with the store then. ErrSilent comes with it when the node did not answer at all,
-// ErrForgotten when it does not keep changes from as far back as is asked for.
+// ErrWatchEnded is returned when a watch of another node ends; nothing is wrong
+// with the store then. ErrNoResponse comes with it when the node did not answer at all,
+// ErrRevisionUnavailable when it does not keep changes from as far back as is asked for.
 var (
-	ErrBroken    = errors.New("the watch of another node has ended")
-	ErrSilent    = errors.New("the other node does not answer")
-	ErrForgotten = errors.New("the other node does not keep these changes")
+	ErrWatchEnded    = errors.New("the watch of another node has ended")
+	ErrNoResponse    = errors.New("the other node does not answer")
+	ErrRevisionUnavailable = errors.New("the other node does not keep these changes")
 )
 
 const (
@@ -54,8 +54,8 @@
 	Revision int64 `msgpack:"r"`
 	// Events are in the order in which the node heard of them.
 	Events []store.Event `msgpack:"e"`
-	// Suspected are the recorded nodes that do not answer.
-	Suspected []Suspicion `msgpack:"u"`
+	// Suspicions are the recorded nodes that do not answer.
+	Suspicions []Suspicion `msgpack:"u"`
 }
 
 // Suspicion says that a recorded node does not answer. It counts for a time, which
@@ -64,21 +64,21 @@
 type Suspicion struct {
 	// ID is the node's.
 	ID string `msgpack:"i"`
-	// Milliseconds is the time for which the suspicion still counts.
-	Milliseconds int64 `msgpack:"m"`
+	// TTLMilliseconds is the time for which the suspicion still counts.
+	TTLMilliseconds int64 `msgpack:"m"`
 }
 
-// For returns the time for which the suspicion still counts.
-func (s Suspicion) For() time.Duration { return time.Duration(s.Milliseconds) * time.Millisecond }
+// TTL returns the time for which the suspicion still counts.
+func (s Suspicion) TTL() time.Duration { return time.Duration(s.TTLMilliseconds) * time.Millisecond }
 
 // Feed keeps the latest changes that a node knows, and serves them to others.
 // Its zero value knows nothing. It is safe for concurrent use.
 //
 // Invariant: events holds every change after revision from, up to revision.
 type Feed struct {
-	// Suspected returns the nodes that do not answer now; nil means none. It must be
+	// Suspicions returns the nodes that do not answer now; nil means none. It must be
 	// set before the feed is served.
-	Suspected func() []Suspicion
+	Suspicions func() []Suspicion
 
 	mu       sync.Mutex
 	started  bool
@@ -208,10 +208,10 @@
 
 // answer writes what was found after a revision.
 func (f *Feed) answer(w http.ResponseWriter, after int64, found *Changes) {
-	if f.Suspected != nil {
-		found.Suspected = f.Suspected()
+	if f.Suspicions != nil {
+		found.Suspicions = f.Suspicions()
 	}
-	if len(found.Events) == 0 && len(found.Suspected) == 0 {
+	if len(found.Events) == 0 && len(found.Suspicions) == 0 {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -285,11 +285,11 @@
 // Config is what a Client is made of.
 type Config struct {
 	HTTP *http.Client
-	// Wait is how long one question waits for a change, Slack how much longer the
+	// Wait is how long one question waits for a change, ResponseMargin how much longer the
 	// answer may take. A node that has not answered by then is silent.
-	Wait, Slack time.Duration
-	// Suspected is told which nodes do not answer; nil means nobody.
-	Suspected func(found []Suspicion)
+	Wait, ResponseMargin time.Duration
+	// OnSuspicions is told which nodes do not answer; nil means nobody.
+	OnSuspicions func(found []Suspicion)
 }
 
 // Client watches other nodes.
@@ -316,16 +316,16 @@
 }
 
 func (c *Client) ask(ctx context.Context, node netip.AddrPort, after int64) (store.WatchBatch, error) {
-	bounded, cancel := context.WithTimeout(ctx, c.config.Wait+c.config.Slack)
+	bounded, cancel := context.WithTimeout(ctx, c.config.Wait+c.config.ResponseMargin)
 	defer cancel()
 	query := url.Values{"after": {strconv.FormatInt(after, 10)}, "wait": {c.config.Wait.String()}}
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+node.String()+Path+"?"+query.Encode(), nil)
 	if err != nil {
-		return store.WatchBatch{}, fmt.Errorf("%w: %v", ErrBroken, err)
+		return store.WatchBatch{}, fmt.Errorf("%w: %v", ErrWatchEnded, err)
 	}
 	response, err := c.config.HTTP.Do(request)
 	if err != nil {
-		return store.WatchBatch{}, fmt.Errorf("%w: %w: %v", ErrBroken, ErrSilent, err)
+		return store.WatchBatch{}, fmt.Errorf("%w: %w: %v", ErrWatchEnded, ErrNoResponse, err)
 	}
 	defer func() { _ = response.Body.Close() }() // what matters was read
 	switch response.StatusCode {
@@ -333,16 +333,16 @@
 		return store.WatchBatch{Revision: after, Relayed: true}, nil
 	case http.StatusOK:
 	case http.StatusGone:
-		return store.WatchBatch{}, fmt.Errorf("%w: %w", ErrBroken, ErrForgotten)
+		return store.WatchBatch{}, fmt.Errorf("%w: %w", ErrWatchEnded, ErrRevisionUnavailable)
 	default:
-		return store.WatchBatch{}, fmt.Errorf("%w: status %d", ErrBroken, response.StatusCode)
+		return store.WatchBatch{}, fmt.Errorf("%w: status %d", ErrWatchEnded, response.StatusCode)
 	}
 	found, err := decode(response.Body)
 	if err != nil {
-		return store.WatchBatch{}, fmt.Errorf("%w: %v", ErrBroken, err)
+		return store.WatchBatch{}, fmt.Errorf("%w: %v", ErrWatchEnded, err)
 	}
-	if len(found.Suspected) > 0 && c.config.Suspected != nil {
-		c.config.Suspected(found.Suspected)
+	if len(found.Suspicions) > 0 && c.config.OnSuspicions != nil {
+		c.config.OnSuspicions(found.Suspicions)
 	}
 	return store.WatchBatch{Revision: found.Revision, Events: found.Events, Relayed: true}, nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -98,7 +98,7 @@
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	var batches []store.WatchBatch
-	client := New(Config{HTTP: server.Client(), Wait: 50 * time.Millisecond, Slack: 10 * time.Second})
+	client := New(Config{HTTP: server.Client(), Wait: 50 * time.Millisecond, ResponseMargin: 10 * time.Second})
 	err := client.Watch(t.Context(), netip.MustParseAddrPort(server.Listener.Addr().String()), from, func(batch store.WatchBatch) error {
 		batches = append(batches, batch)
 		if events -= len(batch.Events); events <= 0 {
@@ -152,7 +152,7 @@
 		"changes not kept": &began, "another service": http.NotFoundHandler(), "no changes": garbage,
 	} {
 		_, err := watch(t, handler, 5, 1)
-		if !errors.Is(err, ErrBroken) || errors.Is(err, ErrForgotten) != (name == "changes not kept") {
+		if !errors.Is(err, ErrWatchEnded) || errors.Is(err, ErrRevisionUnavailable) != (name == "changes not kept") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -161,7 +161,7 @@
 // TestANodeThatHasJustStartedIsWaitedFor: it answers without changes until it knows
 // some, and says when it does not keep those from as far back as is asked for.
 func TestANodeThatHasJustStartedIsWaitedFor(t *testing.T) {
-	for began, want := range map[int64]error{4: errEnough, 5: ErrForgotten} {
+	for began, want := range map[int64]error{4: errEnough, 5: ErrRevisionUnavailable} {
 		var feed Feed
 		starting := atQuestion(3, &feed, func() {
 			feed.Publish(began, nil)
@@ -179,9 +179,9 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	defer server.Close()
 	defer close(hold)
-	client := New(Config{HTTP: server.Client(), Wait: 10 * time.Millisecond, Slack: 10 * time.Millisecond})
+	client := New(Config{HTTP: server.Client(), Wait: 10 * time.Millisecond, ResponseMargin: 10 * time.Millisecond})
 	err := client.Watch(context.Background(), netip.MustParseAddrPort(server.Listener.Addr().String()), 1, nil)
-	if !errors.Is(err, ErrBroken) {
+	if !errors.Is(err, ErrWatchEnded) {
 		t.Error(err)
 	}
 }
@@ -199,12 +199,12 @@
 // TestAHeartbeatTellsWhoIsSuspected: an answer without changes has the nodes that do
 // not answer.
 func TestAHeartbeatTellsWhoIsSuspected(t *testing.T) {
-	feed := &Feed{Suspected: func() []Suspicion { return []Suspicion{{ID: "gone", Milliseconds: 1500}} }}
+	feed := &Feed{Suspicions: func() []Suspicion { return []Suspicion{{ID: "gone", TTLMilliseconds: 1500}} }}
 	feed.Publish(7, nil)
 	server := httptest.NewServer(feed)
 	defer server.Close()
 	told := make(chan []Suspicion, 1)
-	client := New(Config{HTTP: server.Client(), Wait: time.Millisecond, Slack: time.Minute, Suspected: func(found []Suspicion) { told <- found }})
+	client := New(Config{HTTP: server.Client(), Wait: time.Millisecond, ResponseMargin: time.Minute, OnSuspicions: func(found []Suspicion) { told <- found }})
 	stop := errors.New("enough")
 	err := client.Watch(t.Context(), netip.MustParseAddrPort(server.Listener.Addr().String()), 8, func(batch store.WatchBatch) error {
 		if batch.Revision != 7 || len(batch.Events) != 0 || !batch.Relayed {
@@ -215,7 +215,7 @@
 	if !errors.Is(err, stop) {
 		t.Fatal(err)
 	}
-	if found := <-told; len(found) != 1 || found[0].ID != "gone" || found[0].For() != 1500*time.Millisecond {
+	if found := <-told; len(found) != 1 || found[0].ID != "gone" || found[0].TTL() != 1500*time.Millisecond {
 		t.Errorf("told %v", found)
 	}
 }
@@ -234,9 +234,9 @@
 		// slack is short where its end is awaited, and long where the answer is.
 		slack time.Duration
 	}{{hanging, true, 100 * time.Millisecond}, {refusing, false, time.Minute}} {
-		client := New(Config{HTTP: &http.Client{Transport: &http.Transport{}}, Wait: time.Millisecond, Slack: test.slack})
+		client := New(Config{HTTP: &http.Client{Transport: &http.Transport{}}, Wait: time.Millisecond, ResponseMargin: test.slack})
 		err := client.Watch(t.Context(), netip.MustParseAddrPort(test.server.Listener.Addr().String()), 8, nil)
-		if !errors.Is(err, ErrBroken) || errors.Is(err, ErrSilent) != test.silent {
+		if !errors.Is(err, ErrWatchEnded) || errors.Is(err, ErrNoResponse) != test.silent {
 			t.Errorf("error %v, silent should be %v", err, test.silent)
 		}
 	}
@@ -297,7 +297,7 @@
 			t.Fatal(err)
 		}
 		again, err := decode(bytes.NewReader(passedOn))
-		if err != nil || again.Revision != found.Revision || len(again.Events) != len(found.Events) || len(again.Suspected) != len(found.Suspected) {
+		if err != nil || again.Revision != found.Revision || len(again.Events) != len(found.Events) || len(again.Suspicions) != len(found.Suspicions) {
 			t.Errorf("%+v passed on is %+v, error %v", found, again, err)
 		}
 	})
