--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -108,11 +108,11 @@
 // Members returns the live members (alive, suspect or leaving), this daemon
 // included, sorted by ID.
 func (c *Core) Members() []topology.Member {
-	return c.registry.members(func(member topology.Member) bool { return Live(member.State) })
+	return c.registry.members(func(member topology.Member) bool { return IsLive(member.State) })
 }
 
-// Live returns the number of live members, this daemon included.
-func (c *Core) Live() int { return c.registry.live }
+// LiveCount returns the number of live members, this daemon included.
+func (c *Core) LiveCount() int { return c.registry.live }
 
 // AppendMembers appends the live members in no order.
 func (c *Core) AppendMembers(to []topology.Member) []topology.Member {
@@ -134,14 +134,14 @@
 // Records returns the number of records held.
 func (c *Core) Records() int { return c.registry.records }
 
-// Spreading tells whether there is news that few members were told of.
-func (c *Core) Spreading() bool {
+// HasPendingRumors tells whether there is news that few members were told of.
+func (c *Core) HasPendingRumors() bool {
 	limit := transmitLimit(c.registry.live)
 	return c.registry.live > 1 && (c.news.fresh(limit) || c.rumors.fresh(limit))
 }
 
-// Wake returns when the next Tick is due.
-func (c *Core) Wake() time.Duration {
+// NextTick returns when the next Tick is due.
+func (c *Core) NextTick() time.Duration {
 	if !c.started {
 		return c.now
 	}
@@ -149,7 +149,7 @@
 	if c.probe != nil && !c.probe.indirect && !c.probe.resolved {
 		wake = min(wake, c.probe.sentAt+c.timing.ProbeTimeout)
 	}
-	if c.Spreading() {
+	if c.HasPendingRumors() {
 		wake = min(wake, c.nextGossip)
 	}
 	return wake
@@ -168,7 +168,7 @@
 		c.nextProbe = c.now + c.timing.Period
 	}
 	c.probeIndirectly()
-	if c.now >= c.nextGossip && c.Spreading() {
+	if c.now >= c.nextGossip && c.HasPendingRumors() {
 		c.nextGossip = c.now + c.timing.GossipInterval
 		c.gossip()
 	}
@@ -293,7 +293,7 @@
 	for i := 0; i < len(c.order) && len(found) < number; i++ {
 		id := c.order[(start+i*stride)%len(c.order)]
 		member, known := c.registry.member(id)
-		if known && id != except && id != c.self.ID && Live(member.State) {
+		if known && id != except && id != c.self.ID && IsLive(member.State) {
 			found = append(found, member)
 		}
 	}
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -306,8 +306,8 @@
 			core := coreOfMany(100)
 			asked := Message{Kind: MessageSync, From: topology.Member{ID: "b", PeerAddress: "b:1"}, Digest: test.digest(core.registry.digest())}
 			core.Step(test.at, Received{asked})
-			if core.Spreading() != test.want {
-				t.Errorf("spreading %v, want %v", core.Spreading(), test.want)
+			if core.HasPendingRumors() != test.want {
+				t.Errorf("spreading %v, want %v", core.HasPendingRumors(), test.want)
 			}
 		})
 	}
@@ -331,7 +331,7 @@
 	if most := allowanceMessages*core.timing.RumorBytes + rounds*core.timing.RumorRate; members > most || members == 0 {
 		t.Errorf("%d bytes of rumors were sent in %d s, want at most %d", members, rounds, most)
 	}
-	if want := newsLimit(core.Live()); records != want {
+	if want := newsLimit(core.LiveCount()); records != want {
 		t.Errorf("the document was told of %d times, want %d", records, want)
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -18,7 +18,7 @@
 		reply = c.answerSync(message.Digest)
 	case MessagePingRequest:
 		c.sendFor(message.From, message.Target.PeerAddress, message.Target.ID, c.ping(message.Target))
-	case MessageReached:
+	case MessageIndirectAck:
 		c.reached(message.Target.ID)
 	}
 	c.contradict(&reply, message.From)
@@ -73,7 +73,7 @@
 		c.mergeAll(reply, false)
 	}
 	if done.origin.ID != "" && reply.From.ID == done.id {
-		c.send(done.origin.PeerAddress, done.origin.ID, Message{Kind: MessageReached, Target: reply.From})
+		c.send(done.origin.PeerAddress, done.origin.ID, Message{Kind: MessageIndirectAck, Target: reply.From})
 	}
 	c.warn(reply.From, done.address)
 }
@@ -90,7 +90,7 @@
 // replaced marks a member dead whose address answers as another process.
 func (c *Core) replaced(id string) {
 	member, known := c.registry.member(id)
-	if known && Live(member.State) {
+	if known && IsLive(member.State) {
 		member.State = topology.MemberDead
 		c.store(member)
 	}
@@ -156,7 +156,7 @@
 // welcome takes a member that was not known. The tombstones of others are not
 // taken over, or they would never be forgotten.
 func (c *Core) welcome(member topology.Member) {
-	if !Live(member.State) {
+	if !IsLive(member.State) {
 		return
 	}
 	c.retireNamesake(member)
@@ -207,7 +207,7 @@
 
 // follow keeps the round of probes and the suspicion timers in step.
 func (c *Core) follow(member topology.Member) {
-	if Live(member.State) {
+	if IsLive(member.State) {
 		c.joinRound(member.ID)
 		c.occupants[member.PeerAddress] = member.ID
 	} else if c.occupants[member.PeerAddress] == member.ID {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -47,8 +47,8 @@
 	MessagePing MessageKind = iota + 1
 	// MessagePingRequest asks the receiver to ping Target for the sender.
 	MessagePingRequest
-	// MessageReached says that Target has answered the sender.
-	MessageReached
+	// MessageIndirectAck says that Target has answered the sender.
+	MessageIndirectAck
 	// MessageGossip carries rumors only.
 	MessageGossip
 	// MessageSync carries a Digest and asks for what differs.
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -56,7 +56,7 @@
 		return "ping"
 	case MessagePingRequest:
 		return "ping_request"
-	case MessageReached:
+	case MessageIndirectAck:
 		return "reached"
 	case MessageGossip:
 		return "gossip"
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -132,7 +132,7 @@
 func (n *Node) spreading() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.core.Spreading()
+	return n.core.HasPendingRumors()
 }
 
 // Run keeps the membership until ctx ends, and returns nil then.
@@ -157,7 +157,7 @@
 		case <-n.wake:
 		}
 		if now := n.options.Now(); now >= nextSeeds {
-			n.step(SeedsKnown{Addresses: n.options.Seeds()})
+			n.step(SeedsUpdated{Addresses: n.options.Seeds()})
 			nextSeeds = now + seedsInterval
 		}
 		n.step(Tick{})
@@ -246,7 +246,7 @@
 func (n *Node) untilWake() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	wake := n.core.Wake()
+	wake := n.core.NextTick()
 	if n.unpublished {
 		wake = min(wake, n.publishedAt+publishInterval)
 	}
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -38,7 +38,7 @@
 		}
 		member, known := c.registry.member(c.order[c.cursor])
 		c.cursor++
-		if known && Live(member.State) {
+		if known && IsLive(member.State) {
 			return member, true
 		}
 	}
@@ -48,7 +48,7 @@
 func (c *Core) shuffle() {
 	c.order = slices.DeleteFunc(c.order, func(id string) bool {
 		member, known := c.registry.member(id)
-		gone := !known || !Live(member.State)
+		gone := !known || !IsLive(member.State)
 		if gone {
 			delete(c.inRound, id)
 		}
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -53,7 +53,7 @@
 
 // digested tells whether the entry counts in the digest. Tombstones do not,
 // as daemons forget them at different times.
-func (e *entry) digested() bool { return !e.isMember() || Live(e.member.State) }
+func (e *entry) digested() bool { return !e.isMember() || IsLive(e.member.State) }
 
 func (e *entry) versionHash(keyHash uint64) uint64 {
 	var version [24]byte
@@ -67,8 +67,8 @@
 	return xxhash.Sum64(version[:])
 }
 
-// Live tells whether a member in this state still runs, as far as is known.
-func Live(state topology.MemberState) bool { return state <= topology.MemberLeaving }
+// IsLive tells whether a member in this state still runs, as far as is known.
+func IsLive(state topology.MemberState) bool { return state <= topology.MemberLeaving }
 
 type bucket struct {
 	digest  uint64
@@ -147,7 +147,7 @@
 	switch {
 	case !changed.isMember():
 		r.records += by
-	case Live(changed.member.State):
+	case IsLive(changed.member.State):
 		r.live += by
 	}
 }
@@ -184,7 +184,7 @@
 func (r *registry) appendLive(to []topology.Member) []topology.Member {
 	for i := range r.buckets {
 		for _, held := range r.buckets[i].entries {
-			if held.isMember() && Live(held.member.State) {
+			if held.isMember() && IsLive(held.member.State) {
 				to = append(to, held.member)
 			}
 		}
@@ -205,7 +205,7 @@
 
 func expired(held *entry, age time.Duration, timing Timing) bool {
 	if held.isMember() {
-		return !Live(held.member.State) && age >= timing.TombstoneRetention
+		return !IsLive(held.member.State) && age >= timing.TombstoneRetention
 	}
 	return held.key.kind == RecordReplicaLeaving && age >= timing.RecordRetention
 }
--- a/internal/membership/simulated_test.go
+++ b/internal/membership/simulated_test.go
@@ -64,7 +64,7 @@
 	core := NewCore(CoreOptions{Self: topology.Member{ID: id, PeerAddress: at}, Seed: w.random.Uint64()})
 	w.cores[at] = core
 	w.frozen[at] = false
-	w.step(at, SeedsKnown{Addresses: seeds})
+	w.step(at, SeedsUpdated{Addresses: seeds})
 	return core
 }
 
@@ -98,7 +98,7 @@
 }
 
 func (w *network) schedule(at string, core *Core) {
-	wake := max(core.Wake(), w.now)
+	wake := max(core.NextTick(), w.now)
 	if planned, is := w.woken[at]; is && planned > w.now && planned <= wake {
 		return
 	}
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -27,8 +27,8 @@
 // Announced is a record that starts at this daemon.
 type Announced struct{ Record Record }
 
-// SeedsKnown replaces the addresses at which daemons may be found.
-type SeedsKnown struct{ Addresses []string }
+// SeedsUpdated replaces the addresses at which daemons may be found.
+type SeedsUpdated struct{ Addresses []string }
 
 // LeaveRequested starts the planned leave; LeaveCompleted ends it.
 type LeaveRequested struct{}
@@ -41,7 +41,7 @@
 func (Replied) input()        {}
 func (Failed) input()         {}
 func (Announced) input()      {}
-func (SeedsKnown) input()     {}
+func (SeedsUpdated) input()   {}
 func (LeaveRequested) input() {}
 func (LeaveCompleted) input() {}
 
@@ -100,7 +100,7 @@
 		c.failed(typed.Exchange)
 	case Announced:
 		c.announce(typed.Record)
-	case SeedsKnown:
+	case SeedsUpdated:
 		c.seeds = typed.Addresses
 	case LeaveRequested:
 		c.changeSelf(topology.MemberLeaving)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,8 +31,8 @@
 // with the store then. ErrNoResponse comes with it when the node did not answer at all,
 // ErrRevisionUnavailable when it does not keep changes from as far back as is asked for.
 var (
-	ErrWatchEnded    = errors.New("the watch of another node has ended")
-	ErrNoResponse    = errors.New("the other node does not answer")
+	ErrWatchEnded          = errors.New("the watch of another node has ended")
+	ErrNoResponse          = errors.New("the other node does not answer")
 	ErrRevisionUnavailable = errors.New("the other node does not keep these changes")
 )
 
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -82,7 +82,7 @@
 	on.daemon = created
 	created.build()
 	w.tracef("start %s", id)
-	created.step(membership.SeedsKnown{Addresses: w.list.daemons()})
+	created.step(membership.SeedsUpdated{Addresses: w.list.daemons()})
 	created.readList()
 	created.probe()
 	created.follow()
@@ -180,7 +180,7 @@
 }
 
 func (d *daemon) scheduleTick() {
-	wake := max(d.core.Wake(), d.world.engine.Now())
+	wake := max(d.core.NextTick(), d.world.engine.Now())
 	if d.wake != nil && d.wakeAt <= wake {
 		return
 	}
@@ -252,7 +252,7 @@
 	refresh := func(readable bool) {
 		d.readable = readable
 		d.tracker.Refresh(context.Background())
-		d.step(membership.SeedsKnown{Addresses: d.reading.Daemons})
+		d.step(membership.SeedsUpdated{Addresses: d.reading.Daemons})
 	}
 	d.world.request(d.process, list.process, time.Second, func() { refresh(false) }, func(answer func(func())) {
 		read := list.read()
