--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -1,8 +1,8 @@
-// Package announce lets nodes tell each other how far the store has come. One
-// node that asks the store saves the others from asking: what it learned
-// spreads in datagrams, each node passing it on to a few others. A datagram
-// may be lost, late or repeated; whoever hears nothing asks the store itself. Notices of
-// other kinds travel the same way.
+// Package announce exchanges the latest known store revision between nodes by
+// UDP, so that not every node has to poll the store. Each node forwards an
+// announcement to a few random peers. Delivery is unreliable and unordered; a
+// node that receives nothing polls the store itself. Opaque notices are sent
+// over the same socket.
 package announce
 
 import (
@@ -21,81 +21,79 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The constants of spreading.
 const (
-	// fanout is the number of nodes that are told by each that has news.
+	// fanout is the number of peers that a node sends each datagram to.
 	fanout = 8
-	// maxDatagramBytes bounds a datagram that is read.
+	// maxDatagramBytes is the maximum size of a received datagram.
 	maxDatagramBytes = 512
-	// waiting is the number of announcements that may wait to be taken.
-	waiting = 64
+	// receiveQueueSize is the capacity of the channel of received announcements.
+	receiveQueueSize = 64
 )
 
-// Announcement says that the store was at a revision some time ago.
+// Announcement reports the revision of the store at a moment in the past.
 type Announcement struct {
-	// Revision is the store's (store.RevisionIn).
+	// Revision combines the store's era and revision number (store.RevisionIn).
 	Revision int64
-	// Age is the time since the store said so, in milliseconds.
+	// AgeMilliseconds is the time since the store reported the revision.
 	AgeMilliseconds int64
 }
 
-// datagram is an announcement as it is sent. A node of a version without eras reads the number
-// alone, as it does of the store; one that it sends is of era 0.
+// datagram is the wire format of an Announcement. Versions without eras read and write only the
+// number, which implies era 0.
 type datagram struct {
 	Number          int64 `msgpack:"r"`
 	AgeMilliseconds int64 `msgpack:"a"`
 	Era             int64 `msgpack:"e,omitempty"`
 }
 
-// errUnusable refuses a datagram that no node sends.
-var errUnusable = eris.New("the announcement cannot be of a node")
+// errOutOfRange is returned for a datagram with a negative or too large field.
+var errOutOfRange = eris.New("announcement has a field out of range")
 
-// encode returns an announcement as it is sent.
-func encode(news Announcement) ([]byte, error) {
+func encode(announcement Announcement) ([]byte, error) {
 	return msgpack.Marshal(&datagram{
-		Number: store.NumberOf(news.Revision), Era: store.EraOf(news.Revision), AgeMilliseconds: news.AgeMilliseconds,
+		Number: store.NumberOf(announcement.Revision), Era: store.EraOf(announcement.Revision), AgeMilliseconds: announcement.AgeMilliseconds,
 	})
 }
 
-// decode reads an announcement as it was sent.
 func decode(content []byte) (Announcement, error) {
-	var read datagram
-	if err := msgpack.Unmarshal(content, &read); err != nil {
-		return Announcement{}, eris.Wrap(err, "decode an announcement")
+	var decoded datagram
+	if err := msgpack.Unmarshal(content, &decoded); err != nil {
+		return Announcement{}, eris.Wrap(err, "decode announcement")
 	}
-	if read.AgeMilliseconds < 0 || read.Number < 0 || read.Number > store.MostNumber || read.Era < 0 || read.Era > store.MostEra {
-		return Announcement{}, errUnusable
+	if decoded.AgeMilliseconds < 0 || decoded.Number < 0 || decoded.Number > store.MostNumber || decoded.Era < 0 || decoded.Era > store.MostEra {
+		return Announcement{}, errOutOfRange
 	}
-	return Announcement{Revision: store.RevisionIn(read.Era, read.Number), AgeMilliseconds: read.AgeMilliseconds}, nil
+	return Announcement{Revision: store.RevisionIn(decoded.Era, decoded.Number), AgeMilliseconds: decoded.AgeMilliseconds}, nil
 }
 
-// Age returns the time since the store said so.
+// Age returns the time since the store reported the revision.
 func (a Announcement) Age() time.Duration { return time.Duration(a.AgeMilliseconds) * time.Millisecond }
 
-// Options are what an Announcer needs.
+// Options configure an Announcer.
 type Options struct {
-	// Address is IP:port of this node's datagrams.
+	// Address is the IP:port to listen on.
 	Address string
-	// OnNotice takes what other nodes spread with Spread; nil means that it is dropped. The
-	// bytes are its own. It must not block.
+	// OnNotice is called with each notice received from another node. It owns the slice and
+	// must not block. If nil, notices are dropped.
 	OnNotice func(content []byte)
-	// Nodes returns the nodes known now; this one is left out by its address.
+	// Nodes returns the currently known nodes. The node with the Announcer's own address is
+	// skipped when sending.
 	Nodes  func() *topology.Nodes
 	Logger *slog.Logger
 }
 
-// Announcer sends and receives announcements; Run receives.
+// Announcer sends announcements and notices, and receives them while Run is running.
 type Announcer struct {
 	options  Options
 	socket   *net.UDPConn
 	received chan Announcement
 }
 
-// New opens the socket.
+// New returns an Announcer listening on options.Address.
 func New(options Options) (*Announcer, error) {
 	address, err := net.ResolveUDPAddr("udp4", options.Address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "read the address %s", options.Address)
+		return nil, eris.Wrapf(err, "resolve address %q", options.Address)
 	}
 	socket, err := net.ListenUDP("udp4", address)
 	if err != nil {
@@ -104,16 +102,16 @@
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Announcer{options: options, socket: socket, received: make(chan Announcement, waiting)}, nil
+	return &Announcer{options: options, socket: socket, received: make(chan Announcement, receiveQueueSize)}, nil
 }
 
-// Address returns IP:port of this node's datagrams.
+// Address returns the IP:port that the Announcer listens on.
 func (a *Announcer) Address() string { return a.socket.LocalAddr().String() }
 
-// Received gives the announcements of other nodes.
+// Received returns the channel of announcements from other nodes.
 func (a *Announcer) Received() <-chan Announcement { return a.received }
 
-// Run receives until ctx ends, and returns nil then.
+// Run receives datagrams until ctx is done, then closes the socket and returns nil.
 func (a *Announcer) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = a.socket.Close() })
 	defer stop()
@@ -124,66 +122,65 @@
 		case ctx.Err() != nil, errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			a.options.Logger.Debug("an announcement was not read", "error", err.Error())
+			a.options.Logger.Debug("receive announcement failed", "error", err.Error())
 			continue
 		}
-		if size > 1 && buffer[0] == noticeMark {
-			a.notice(buffer[1:size])
+		if size > 1 && buffer[0] == noticePrefix {
+			a.deliverNotice(buffer[1:size])
 			continue
 		}
-		heard, err := decode(buffer[:size])
+		announcement, err := decode(buffer[:size])
 		if err != nil {
-			a.options.Logger.Debug("an announcement was not read", "error", err.Error())
+			a.options.Logger.Debug("dropped invalid announcement", "error", err.Error())
 			continue
 		}
 		select {
-		case a.received <- heard:
-		default: // the follower is busy; more will come
+		case a.received <- announcement:
+		default: // queue full: drop it, later announcements supersede it
 		}
 	}
 }
 
-// noticeMark begins a datagram with a notice. No msgpack begins with it, so that it is not
-// taken for an announcement.
-const noticeMark = 0xc1
+// noticePrefix is the first byte of a notice datagram. It is never used in msgpack, so a
+// notice cannot be mistaken for an announcement.
+const noticePrefix = 0xc1
 
-// notice hands a notice over.
-func (a *Announcer) notice(content []byte) {
+func (a *Announcer) deliverNotice(content []byte) {
 	if a.options.OnNotice != nil {
 		a.options.OnNotice(bytes.Clone(content))
 	}
 }
 
-// SendNotice sends a notice to some other nodes, chosen by chance. One that is longer than a
-// datagram may be is refused.
+// SendNotice sends a notice to some random nodes. It returns an error if the notice does not
+// fit into a datagram.
 func (a *Announcer) SendNotice(content []byte) error {
 	if len(content) >= maxDatagramBytes {
-		return eris.Errorf("a notice of %d bytes is too long", len(content))
+		return eris.Errorf("notice of %d bytes does not fit into a datagram", len(content))
 	}
-	a.send(append([]byte{noticeMark}, content...))
+	a.send(append([]byte{noticePrefix}, content...))
 	return nil
 }
 
-// Send tells some other nodes, chosen by chance.
-func (a *Announcer) Send(news Announcement) {
-	encoded, err := encode(news)
+// Send sends an announcement to some random nodes.
+func (a *Announcer) Send(announcement Announcement) {
+	encoded, err := encode(announcement)
 	if err != nil {
-		return // three numbers always encode
+		return // cannot happen: a struct of integers always encodes
 	}
 	a.send(encoded)
 }
 
-// send sends a datagram to some other nodes, chosen by chance.
 func (a *Announcer) send(content []byte) {
 	nodes := a.options.Nodes()
 	if nodes == nil {
 		return
 	}
 	for _, address := range a.targets(nodes) {
-		_, _ = a.socket.WriteToUDP(content, address) // may be lost as well on its way
+		_, _ = a.socket.WriteToUDP(content, address) // delivery is best effort
 	}
 }
 
+// targets returns the addresses of up to fanout random nodes other than this one.
 func (a *Announcer) targets(nodes *topology.Nodes) []*net.UDPAddr {
 	own := a.Address()
 	var targets []*net.UDPAddr
@@ -202,5 +199,5 @@
 	return targets
 }
 
-// Close closes the socket of an Announcer that was not run.
+// Close closes the socket. It is only needed if Run was not called.
 func (a *Announcer) Close() { _ = a.socket.Close() }
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// network is a number of announcers that know each other.
+// network is a set of running announcers that know each other's addresses.
 type network struct {
 	mutex      sync.Mutex
 	nodes      topology.Nodes
@@ -21,73 +21,73 @@
 	notices    chan string
 }
 
-func (n *network) notice(content []byte) { n.notices <- string(content) }
+func (n *network) onNotice(content []byte) { n.notices <- string(content) }
 
 func newNetwork(t *testing.T, size int) *network {
 	t.Helper()
-	made := &network{notices: make(chan string, 8)}
+	n := &network{notices: make(chan string, 8)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for range size {
-		one, err := New(Options{Address: "127.0.0.1:0", Nodes: made.known, OnNotice: made.notice})
+		announcer, err := New(Options{Address: "127.0.0.1:0", Nodes: n.currentNodes, OnNotice: n.onNotice})
 		if err != nil {
 			t.Fatal(err)
 		}
-		made.mutex.Lock()
-		made.announcers = append(made.announcers, one)
-		made.nodes.Nodes = append(made.nodes.Nodes, topology.Node{ID: one.Address(), PeerAddress: one.Address()})
-		made.mutex.Unlock()
-		ended := make(chan error, 1)
-		go func() { ended <- one.Run(ctx) }()
+		n.mutex.Lock()
+		n.announcers = append(n.announcers, announcer)
+		n.nodes.Nodes = append(n.nodes.Nodes, topology.Node{ID: announcer.Address(), PeerAddress: announcer.Address()})
+		n.mutex.Unlock()
+		done := make(chan error, 1)
+		go func() { done <- announcer.Run(ctx) }()
 		t.Cleanup(func() {
 			cancel()
-			if err := <-ended; err != nil {
+			if err := <-done; err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	return made
+	return n
 }
 
-func (n *network) known() *topology.Nodes {
+func (n *network) currentNodes() *topology.Nodes {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	copied := n.nodes
 	return &copied
 }
 
-// TestAnAnnouncementNamesTheEra: a node of a version without eras reads the store's own number, and
-// what it sends is of era 0.
-func TestAnAnnouncementNamesTheEra(t *testing.T) {
-	news := Announcement{Revision: store.RevisionIn(3, 42), AgeMilliseconds: 7}
-	sent, err := encode(news)
+// TestEncodingWithEra checks the round trip and the compatibility with versions without eras:
+// they read the number alone, and what they send decodes as era 0.
+func TestEncodingWithEra(t *testing.T) {
+	announcement := Announcement{Revision: store.RevisionIn(3, 42), AgeMilliseconds: 7}
+	sent, err := encode(announcement)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := decode(sent); got != news || err != nil {
-		t.Errorf("%+v, error %v", got, err)
+	if got, err := decode(sent); got != announcement || err != nil {
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 	type withoutEra struct {
 		Revision        int64 `msgpack:"r"`
 		AgeMilliseconds int64 `msgpack:"a"`
 	}
-	var before withoutEra
-	if err := msgpack.Unmarshal(sent, &before); err != nil || before.Revision != 42 || before.AgeMilliseconds != 7 {
-		t.Errorf("read as %+v, error %v", before, err)
+	var old withoutEra
+	if err := msgpack.Unmarshal(sent, &old); err != nil || old.Revision != 42 || old.AgeMilliseconds != 7 {
+		t.Errorf("version without eras decoded %+v, error %v", old, err)
 	}
 	sent, err = msgpack.Marshal(&withoutEra{Revision: 90})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := decode(sent); got.Revision != 90 || err != nil {
-		t.Errorf("%+v, error %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 }
 
-// FuzzDecode: no datagram makes a node panic, or brings a revision that no store has.
+// FuzzDecode checks that no datagram causes a panic or decodes to a negative revision or age.
 func FuzzDecode(f *testing.F) {
-	for _, news := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.RevisionIn(store.MostEra, store.MostNumber)}} {
-		sent, err := encode(news)
+	for _, announcement := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.RevisionIn(store.MostEra, store.MostNumber)}} {
+		sent, err := encode(announcement)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -95,67 +95,67 @@
 	}
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, content []byte) {
-		if read, err := decode(content); err == nil && (read.Revision < 0 || read.AgeMilliseconds < 0) {
-			t.Errorf("%x is %+v", content, read)
+		if decoded, err := decode(content); err == nil && (decoded.Revision < 0 || decoded.AgeMilliseconds < 0) {
+			t.Errorf("%x decoded to %+v", content, decoded)
 		}
 	})
 }
 
-func TestAnAnnouncementReachesTheOthers(t *testing.T) {
-	made := newNetwork(t, 4)
-	made.announcers[0].Send(Announcement{Revision: 42, AgeMilliseconds: 7})
-	for i, one := range made.announcers[1:] {
+func TestSendReachesOtherNodes(t *testing.T) {
+	n := newNetwork(t, 4)
+	n.announcers[0].Send(Announcement{Revision: 42, AgeMilliseconds: 7})
+	for i, announcer := range n.announcers[1:] {
 		select {
-		case got := <-one.Received():
+		case got := <-announcer.Received():
 			if got.Revision != 42 || got.Age() != 7*time.Millisecond {
-				t.Errorf("node %d heard %+v", i+1, got)
+				t.Errorf("node %d received %+v", i+1, got)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("node %d heard nothing", i+1)
+			t.Fatalf("node %d received nothing", i+1)
 		}
 	}
 	select {
-	case got := <-made.announcers[0].Received():
-		t.Errorf("a node told itself %+v", got)
+	case got := <-n.announcers[0].Received():
+		t.Errorf("node received its own announcement %+v", got)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// TestANoticeReachesTheOthers: and is no announcement.
-func TestANoticeReachesTheOthers(t *testing.T) {
-	made := newNetwork(t, 2)
-	if err := made.announcers[0].SendNotice([]byte("notice")); err != nil {
+// TestSendNoticeReachesOtherNodes checks delivery, and that a notice is not taken for an announcement.
+func TestSendNoticeReachesOtherNodes(t *testing.T) {
+	n := newNetwork(t, 2)
+	if err := n.announcers[0].SendNotice([]byte("notice")); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case got := <-made.notices:
+	case got := <-n.notices:
 		if got != "notice" {
-			t.Errorf("heard %q", got)
+			t.Errorf("received %q", got)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("heard nothing")
+		t.Fatal("received nothing")
 	}
-	if waiting := len(made.announcers[1].Received()); waiting != 0 {
-		t.Errorf("%d announcements", waiting)
+	if queued := len(n.announcers[1].Received()); queued != 0 {
+		t.Errorf("notice was received as %d announcements", queued)
 	}
-	if err := made.announcers[0].SendNotice(make([]byte, maxDatagramBytes)); err == nil {
-		t.Error("a notice that is too long is sent")
+	if err := n.announcers[0].SendNotice(make([]byte, maxDatagramBytes)); err == nil {
+		t.Error("no error for an oversized notice")
 	}
 }
 
-func TestNoMoreThanAFewAreTold(t *testing.T) {
-	made := newNetwork(t, 3)
+func TestTargetsLimitedToFanout(t *testing.T) {
+	n := newNetwork(t, 3)
 	for range 50 {
-		made.nodes.Nodes = append(made.nodes.Nodes, topology.Node{PeerAddress: "127.0.0.1:9"})
+		n.nodes.Nodes = append(n.nodes.Nodes, topology.Node{PeerAddress: "127.0.0.1:9"})
 	}
-	if got := len(made.announcers[0].targets(made.known())); got != fanout {
-		t.Errorf("%d nodes are told, want %d", got, fanout)
+	if got := len(n.announcers[0].targets(n.currentNodes())); got != fanout {
+		t.Errorf("%d targets, want %d", got, fanout)
 	}
 }
 
-func TestForeignDatagramsAreIgnored(t *testing.T) {
-	made := newNetwork(t, 2)
-	sender, err := net.Dial("udp4", made.announcers[1].Address())
+func TestRunIgnoresInvalidDatagrams(t *testing.T) {
+	n := newNetwork(t, 2)
+	sender, err := net.Dial("udp4", n.announcers[1].Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,33 +165,33 @@
 			t.Fatal(err)
 		}
 	}
-	made.announcers[0].Send(Announcement{Revision: 1})
+	n.announcers[0].Send(Announcement{Revision: 1})
 	select {
-	case got := <-made.announcers[1].Received():
+	case got := <-n.announcers[1].Received():
 		if got.Revision != 1 {
-			t.Errorf("heard %+v", got)
+			t.Errorf("received %+v", got)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("heard nothing")
+		t.Fatal("received nothing")
 	}
 }
 
-// TestAFullQueueDoesNotBlock: nobody takes the announcements.
-func TestAFullQueueDoesNotBlock(t *testing.T) {
-	made := newNetwork(t, 2)
-	for revision := range int64(3 * waiting) {
-		made.announcers[0].Send(Announcement{Revision: revision})
+// TestRunDropsWhenQueueFull checks that Run does not block when announcements are not consumed.
+func TestRunDropsWhenQueueFull(t *testing.T) {
+	n := newNetwork(t, 2)
+	for revision := range int64(3 * receiveQueueSize) {
+		n.announcers[0].Send(Announcement{Revision: revision})
 	}
 	deadline := time.Now().Add(10 * time.Second)
-	for len(made.announcers[1].received) < waiting/2 {
+	for len(n.announcers[1].received) < receiveQueueSize/2 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d announcements wait", len(made.announcers[1].received))
+			t.Fatalf("%d announcements queued", len(n.announcers[1].received))
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestABadAddressIsRefused(t *testing.T) {
+func TestNewRejectsInvalidAddress(t *testing.T) {
 	if _, err := New(Options{Address: "nowhere"}); err == nil {
 		t.Error("no error")
 	}
