--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay lets nodes hear the store's changes from another node. A watch
-// of the store is priced and counted against its rate, so that a few nodes watch
-// it and the others watch those.
+// Package relay lets a node watch the store's changes through another node.
+// Watches of the store are billed and rate-limited, so only a few nodes watch it
+// directly; the others long-poll one of those over HTTP.
 package relay
 
 import (
@@ -23,126 +23,129 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// Path is where a node serves changes. Its version changes with what a revision means: a node
-// of another version is not answered, and watches the store.
+// Path is the HTTP path at which a node serves changes. Its version changes with the meaning of
+// a revision: a node of another version gets no answer and watches the store instead.
 const Path = "/v2/changes"
 
-// ErrWatchEnded is returned when a watch of another node ends; nothing is wrong
-// with the store then. ErrNoResponse comes with it when the node did not answer at all,
-// ErrRevisionUnavailable when it does not keep changes from as far back as is asked for.
 var (
-	ErrWatchEnded          = errors.New("the watch of another node has ended")
-	ErrNoResponse          = errors.New("the other node does not answer")
-	ErrRevisionUnavailable = errors.New("the other node does not keep these changes")
+	// ErrWatchEnded is returned by Client.Watch for any failure of the watched node. It says
+	// nothing about the store.
+	ErrWatchEnded = errors.New("watch of another node ended")
+	// ErrNoResponse is returned with ErrWatchEnded if the node sent no response.
+	ErrNoResponse = errors.New("no response from the node")
+	// ErrRevisionUnavailable is returned with ErrWatchEnded if the node cannot serve the changes
+	// from the requested revision on.
+	ErrRevisionUnavailable = errors.New("node does not have the changes since the requested revision")
 )
 
 const (
-	// mostEvents is the number of changes that are kept for those who come late.
-	mostEvents = 4096
-	// mostAnswerBytes bounds an answer, decompressed: some tens of thousands of entries.
-	mostAnswerBytes = 64 << 20
-	// longestWait bounds the time for which a question waits.
-	longestWait = 30 * time.Second
+	// maxEvents is the number of recent events that a Feed retains.
+	maxEvents = 4096
+	// maxResponseBytes is the maximum size of a decompressed response.
+	maxResponseBytes = 64 << 20
+	// maxWait is the maximum time for which a request is held open.
+	maxWait     = 30 * time.Second
 	contentType = "application/msgpack"
-	// contentEncoding is raw DEFLATE, as package flate writes it.
+	// contentEncoding is raw DEFLATE, as written by package flate.
 	contentEncoding = "deflate"
 )
 
-// Changes is the answer to one question.
+// Changes is the response to one request.
 type Changes struct {
-	// Revision is the store's revision up to which all changes are in.
+	// Revision is the store revision up to which the response is complete.
 	Revision int64 `msgpack:"r"`
-	// Events are in the order in which the node heard of them.
+	// Events are in the order in which the node received them.
 	Events []store.Event `msgpack:"e"`
-	// Suspicions are the recorded nodes that do not answer.
+	// Suspicions are about registered nodes that do not respond.
 	Suspicions []Suspicion `msgpack:"u"`
 }
 
-// Suspicion says that a recorded node does not answer. It counts for a time, which
-// goes down as it is passed on, so that nodes that hear from each other do not keep
-// it up.
+// Suspicion reports that a registered node does not respond. Its TTL decreases as it is passed
+// on, so that nodes cannot keep a suspicion alive by repeating it to each other.
 type Suspicion struct {
-	// ID is the node's.
+	// ID identifies the suspected node.
 	ID string `msgpack:"i"`
-	// TTLMilliseconds is the time for which the suspicion still counts.
+	// TTLMilliseconds is the remaining time to live.
 	TTLMilliseconds int64 `msgpack:"m"`
 }
 
-// TTL returns the time for which the suspicion still counts.
+// TTL returns the remaining time to live.
 func (s Suspicion) TTL() time.Duration { return time.Duration(s.TTLMilliseconds) * time.Millisecond }
 
-// Feed keeps the latest changes that a node knows, and serves them to others.
-// Its zero value knows nothing. It is safe for concurrent use.
+// Feed retains a node's recent changes and serves them to other nodes. The zero
+// value is an empty feed. It is safe for concurrent use.
 //
-// Invariant: events holds every change after revision from, up to revision.
+// Invariant: events holds every change after baseRevision, up to and including
+// revision.
 type Feed struct {
-	// Suspicions returns the nodes that do not answer now; nil means none. It must be
-	// set before the feed is served.
+	// Suspicions returns the current suspicions; nil means none. It must be set
+	// before the feed is served.
 	Suspicions func() []Suspicion
 
-	mu       sync.Mutex
-	started  bool
-	from     int64
-	revision int64
-	// entered is the revision at which a later era of the store was entered by what had
-	// changed since the one before; zero when none was.
-	entered int64
-	events  []numbered
-	changed chan struct{} // closed when revision rises
+	mu           sync.Mutex
+	started      bool
+	baseRevision int64
+	revision     int64
+	// eraEntryRevision is the revision at which the feed continued from one era of the store
+	// into the next; zero if it has not.
+	eraEntryRevision int64
+	events           []publishedEvent
+	changed          chan struct{} // closed when revision increases
 
-	// encoding guards last, the last answer with changes.
-	encoding sync.Mutex
-	last     encodedAnswer
+	// responseMu guards lastResponse.
+	responseMu   sync.Mutex
+	lastResponse cachedResponse
 }
 
-// numbered is an event with the revision at which it was published, which may
-// be later than its own.
-type numbered struct {
-	at    int64
-	event store.Event
+// publishedEvent is an event and the revision with which it was published, which
+// may be later than the event's own revision.
+type publishedEvent struct {
+	publishRevision int64
+	event           store.Event
 }
 
-// Publish adds the changes that lead to a revision. The first call only begins
-// the feed: nobody can have seen a part of what was before.
+// Publish appends the events that lead up to a revision. The first call only sets the
+// base revision and ignores the events: no request can have been served from before it.
 func (f *Feed) Publish(revision int64, events []store.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.started {
-		f.started, f.from, f.revision = true, revision, revision
-		f.wake()
+		f.started, f.baseRevision, f.revision = true, revision, revision
+		f.notifyLocked()
 		return
 	}
 	for _, event := range events {
-		f.events = append(f.events, numbered{at: revision, event: event})
+		f.events = append(f.events, publishedEvent{publishRevision: revision, event: event})
 	}
-	if extra := len(f.events) - mostEvents; extra > 0 {
-		f.from = f.events[extra-1].at
-		f.events = append([]numbered(nil), f.events[extra:]...)
+	if extra := len(f.events) - maxEvents; extra > 0 {
+		f.baseRevision = f.events[extra-1].publishRevision
+		f.events = append([]publishedEvent(nil), f.events[extra:]...)
 	}
 	if revision <= f.revision {
 		return
 	}
 	if store.EraOf(revision) > store.EraOf(f.revision) {
-		f.entered = revision
+		f.eraEntryRevision = revision
 	}
 	f.revision = revision
-	f.wake()
+	f.notifyLocked()
 }
 
-// wake must be called with the mutex held.
-func (f *Feed) wake() {
+// notifyLocked wakes the waiting requests. f.mu must be held.
+func (f *Feed) notifyLocked() {
 	if f.changed != nil {
 		close(f.changed)
 		f.changed = nil
 	}
 }
 
-// since returns the changes after a revision; when there are none yet, changed
-// is closed with the next. known is false when some of them are not kept.
-func (f *Feed) since(after int64) (found Changes, changed <-chan struct{}, known bool) {
+// since returns the changes after a revision. If there are none yet, changed is
+// non-nil and is closed on the next one. available is false if the feed does not
+// have all of them.
+func (f *Feed) since(after int64) (changes Changes, changed <-chan struct{}, available bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.started && (after < f.from || f.isBesideEntry(after)) {
+	if f.started && (after < f.baseRevision || f.missedEraEntry(after)) {
 		return Changes{}, nil, false
 	}
 	if !f.started || after >= f.revision {
@@ -151,27 +154,27 @@
 		}
 		return Changes{}, f.changed, true
 	}
-	found.Revision = f.revision
-	for _, one := range f.events {
-		if one.at > after {
-			found.Events = append(found.Events, one.event)
+	changes.Revision = f.revision
+	for _, published := range f.events {
+		if published.publishRevision > after {
+			changes.Events = append(changes.Events, published.event)
 		}
 	}
-	return found, nil, true
+	return changes, nil, true
 }
 
-// isBesideEntry tells whether a node at a revision has come into the present era of the store in
-// another way than this feed, as one does that reads the copy itself when it starts. What has
-// changed since the era before says nothing of what that node knows: replicas that had ended
-// before, and are in the copy, would stay in use there for good.
-func (f *Feed) isBesideEntry(after int64) bool {
-	return after < f.entered && store.EraOf(after) == store.EraOf(f.entered)
+// missedEraEntry reports whether a node at a revision entered the current era of the store
+// before or without the events published at eraEntryRevision, for example by reading a restored
+// store at startup. Those events are relative to the previous era: the node would miss deletions
+// and keep using replicas that no longer exist.
+func (f *Feed) missedEraEntry(after int64) bool {
+	return after < f.eraEntryRevision && store.EraOf(after) == store.EraOf(f.eraEntryRevision)
 }
 
-// ServeHTTP answers with the changes after a revision as soon as there are
-// some (a node that has just started knows none yet), and with 410 when some of them
-// are not kept. When there are none in time, it answers with the nodes that do not
-// answer, or with 204 when there are none of those either.
+// ServeHTTP responds with the changes after a revision as soon as there are some, or
+// with 410 if they are not all available. A feed that has not started has none yet. If
+// there are none in time, it responds with the current suspicions, or with 204 if
+// there are none of those either.
 func (f *Feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -183,22 +186,22 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	timer := time.NewTimer(min(wait, longestWait))
+	timer := time.NewTimer(min(wait, maxWait))
 	defer timer.Stop()
 	for {
-		found, changed, known := f.since(after)
+		changes, changed, available := f.since(after)
 		switch {
-		case !known:
+		case !available:
 			w.WriteHeader(http.StatusGone)
 			return
 		case changed == nil:
-			f.answer(w, after, &found)
+			f.writeResponse(w, after, &changes)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			f.answer(w, after, &Changes{Revision: after})
+			f.writeResponse(w, after, &Changes{Revision: after})
 			return
 		case <-r.Context().Done():
 			return
@@ -206,68 +209,69 @@
 	}
 }
 
-// answer writes what was found after a revision.
-func (f *Feed) answer(w http.ResponseWriter, after int64, found *Changes) {
+// writeResponse writes the changes after a revision.
+func (f *Feed) writeResponse(w http.ResponseWriter, after int64, changes *Changes) {
 	if f.Suspicions != nil {
-		found.Suspicions = f.Suspicions()
+		changes.Suspicions = f.Suspicions()
 	}
-	if len(found.Events) == 0 && len(found.Suspicions) == 0 {
+	if len(changes.Events) == 0 && len(changes.Suspicions) == 0 {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	encoded, err := f.encoded(after, found)
+	encoded, err := f.encodeCached(after, changes)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Encoding", contentEncoding)
-	_, _ = w.Write(encoded) // the other node is gone if this fails
+	_, _ = w.Write(encoded) // fails only if the client disconnected
 }
 
-// encoded returns an answer as it is sent. All nodes of a zone ask for the changes
-// after the same revision, so the last answer with changes is kept and encoded once.
-func (f *Feed) encoded(after int64, found *Changes) ([]byte, error) {
-	if len(found.Events) == 0 {
-		return encode(found)
+// encodeCached encodes a response, or returns the last one if it matches. All nodes of
+// a zone request the changes after the same revision at about the same time.
+func (f *Feed) encodeCached(after int64, changes *Changes) ([]byte, error) {
+	if len(changes.Events) == 0 {
+		return encode(changes)
 	}
-	f.encoding.Lock()
-	defer f.encoding.Unlock()
+	f.responseMu.Lock()
+	defer f.responseMu.Unlock()
 	now := time.Now()
-	if f.last.serves(after, found.Revision, now) {
-		return f.last.content, nil
+	if f.lastResponse.matches(after, changes.Revision, now) {
+		return f.lastResponse.content, nil
 	}
-	content, err := encode(found)
+	content, err := encode(changes)
 	if err == nil {
-		f.last = encodedAnswer{after: after, revision: found.Revision, at: now, content: content}
+		f.lastResponse = cachedResponse{after: after, revision: changes.Revision, encodedAt: now, content: content}
 	}
 	return content, err
 }
 
-// encodedAnswer is an answer as it was sent, and what it was an answer to.
-type encodedAnswer struct {
+// cachedResponse is an encoded response and the revisions it spans.
+type cachedResponse struct {
 	after, revision int64
-	at              time.Time
+	encodedAt       time.Time
 	content         []byte
 }
 
-// answerLife is how long an encoded answer is used: the nodes of a zone ask within
-// milliseconds of each other, and the times of its suspicions run on.
-const answerLife = 200 * time.Millisecond
+// responseCacheTTL is the time for which an encoded response is reused. It is short
+// because the TTLs of the suspicions in the response keep decreasing.
+const responseCacheTTL = 200 * time.Millisecond
 
-func (a *encodedAnswer) serves(after, revision int64, now time.Time) bool {
-	return a.after == after && a.revision == revision && a.content != nil && now.Sub(a.at) < answerLife
+func (r *cachedResponse) matches(after, revision int64, now time.Time) bool {
+	return r.after == after && r.revision == revision && r.content != nil && now.Sub(r.encodedAt) < responseCacheTTL
 }
 
-// encode compresses: entries are much alike, and while many replicas come and go at
-// once, what a small node tells its zone would fill its link for seconds.
-func encode(found *Changes) ([]byte, error) {
+// encode returns the changes as compressed msgpack. Entries are similar to each other
+// and compress well, which keeps a small node's link from saturating when many
+// replicas change at once.
+func encode(changes *Changes) ([]byte, error) {
 	var compressed bytes.Buffer
 	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, eris.Wrap(err, "compress changes")
 	}
-	if err := msgpack.NewEncoder(writer).Encode(found); err != nil {
+	if err := msgpack.NewEncoder(writer).Encode(changes); err != nil {
 		return nil, eris.Wrap(err, "encode changes")
 	}
 	if err := writer.Close(); err != nil {
@@ -277,34 +281,35 @@
 }
 
 func decode(compressed io.Reader) (Changes, error) {
-	var found Changes
-	err := msgpack.NewDecoder(io.LimitReader(flate.NewReader(compressed), mostAnswerBytes)).Decode(&found)
-	return found, eris.Wrap(err, "decode changes")
+	var changes Changes
+	err := msgpack.NewDecoder(io.LimitReader(flate.NewReader(compressed), maxResponseBytes)).Decode(&changes)
+	return changes, eris.Wrap(err, "decode changes")
 }
 
-// Config is what a Client is made of.
+// Config configures a Client.
 type Config struct {
 	HTTP *http.Client
-	// Wait is how long one question waits for a change, ResponseMargin how much longer the
-	// answer may take. A node that has not answered by then is silent.
+	// Wait is the time for which one request waits for a change. The response
+	// must arrive within Wait plus ResponseMargin.
 	Wait, ResponseMargin time.Duration
-	// OnSuspicions is told which nodes do not answer; nil means nobody.
-	OnSuspicions func(found []Suspicion)
+	// OnSuspicions is called with the suspicions in a response, if there are any;
+	// it may be nil.
+	OnSuspicions func(suspicions []Suspicion)
 }
 
-// Client watches other nodes.
+// Client watches the store's changes through other nodes.
 type Client struct{ config Config }
 
-// New makes a Client.
+// New returns a Client.
 func New(config Config) *Client { return &Client{config: config} }
 
-// Watch calls deliver for the changes that a node knows, from a revision on,
-// until ctx ends, deliver returns an error, or the node does not answer. It
-// always returns an error: ErrBroken when the node is to blame.
+// Watch calls deliver with the changes of a node from a revision on, until ctx is
+// done, deliver returns an error, or the node fails. It always returns an error,
+// which is ErrWatchEnded if the node failed.
 func (c *Client) Watch(ctx context.Context, node netip.AddrPort, fromRevision int64, deliver func(store.WatchBatch) error) error {
 	after := fromRevision - 1
 	for {
-		batch, err := c.ask(ctx, node, after)
+		batch, err := c.poll(ctx, node, after)
 		if err != nil {
 			return eris.Wrapf(err, "watch %s", node)
 		}
@@ -315,7 +320,8 @@
 	}
 }
 
-func (c *Client) ask(ctx context.Context, node netip.AddrPort, after int64) (store.WatchBatch, error) {
+// poll makes one request for the changes after a revision.
+func (c *Client) poll(ctx context.Context, node netip.AddrPort, after int64) (store.WatchBatch, error) {
 	bounded, cancel := context.WithTimeout(ctx, c.config.Wait+c.config.ResponseMargin)
 	defer cancel()
 	query := url.Values{"after": {strconv.FormatInt(after, 10)}, "wait": {c.config.Wait.String()}}
@@ -327,7 +333,7 @@
 	if err != nil {
 		return store.WatchBatch{}, fmt.Errorf("%w: %w: %v", ErrWatchEnded, ErrNoResponse, err)
 	}
-	defer func() { _ = response.Body.Close() }() // what matters was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	switch response.StatusCode {
 	case http.StatusNoContent:
 		return store.WatchBatch{Revision: after, Relayed: true}, nil
@@ -337,12 +343,12 @@
 	default:
 		return store.WatchBatch{}, fmt.Errorf("%w: status %d", ErrWatchEnded, response.StatusCode)
 	}
-	found, err := decode(response.Body)
+	changes, err := decode(response.Body)
 	if err != nil {
 		return store.WatchBatch{}, fmt.Errorf("%w: %v", ErrWatchEnded, err)
 	}
-	if len(found.Suspicions) > 0 && c.config.OnSuspicions != nil {
-		c.config.OnSuspicions(found.Suspicions)
+	if len(changes.Suspicions) > 0 && c.config.OnSuspicions != nil {
+		c.config.OnSuspicions(changes.Suspicions)
 	}
-	return store.WatchBatch{Revision: found.Revision, Events: found.Events, Relayed: true}, nil
+	return store.WatchBatch{Revision: changes.Revision, Events: changes.Events, Relayed: true}, nil
 }
