--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,6 @@
-// Package handover lets a node read from another node what it cannot read from
-// the store: the store may refuse, throttle or drop some nodes while it serves
-// the others.
+// Package handover lets a node read a snapshot of the store from another node.
+// It is the fallback for a node that the store rejects, throttles or disconnects
+// while it serves others.
 package handover
 
 import (
@@ -18,37 +18,37 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Path is where a node serves what it knows. Its version changes with what a revision means:
-// a node of another version is not answered.
+// Path is the HTTP path at which a node serves its snapshot. Its version changes with the
+// meaning of a revision, so that nodes of different versions do not exchange snapshots.
 const Path = "/v2/state"
 
 const (
 	contentType = "application/msgpack"
-	// maxBytes bounds a snapshot: some tens of thousands of entries.
-	maxBytes = 64 << 20
-	// mostNodes is the number of nodes that are asked, one after the other.
-	mostNodes = 3
+	// maxSnapshotBytes is the maximum size of an encoded snapshot.
+	maxSnapshotBytes = 64 << 20
+	// maxAttempts is the maximum number of known nodes that one Read tries.
+	maxAttempts = 3
 )
 
-// Snapshot is what a node knows of the store.
+// Snapshot is the contents of the store as a node has replicated them.
 type Snapshot struct {
-	// Revision is the store's revision up to which all is known.
+	// Revision is the store revision up to which the snapshot is complete.
 	Revision int64 `msgpack:"r"`
-	// AgeMilliseconds is the time since that was confirmed.
+	// AgeMilliseconds is the time since the store last confirmed the revision.
 	AgeMilliseconds int64 `msgpack:"a"`
-	// Values are all keys of the store.
+	// Values are all entries of the store.
 	Values []store.KeyValue `msgpack:"v"`
 }
 
-// Age returns the time since the snapshot was confirmed.
+// Age returns the time since the store last confirmed the revision.
 func (s *Snapshot) Age() time.Duration { return time.Duration(s.AgeMilliseconds) * time.Millisecond }
 
-// Handler serves the snapshot that current returns, if there is one.
+// Handler returns a handler that serves the snapshot returned by current, or 503 if there is none.
 func Handler(current func() (Snapshot, bool)) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
-		snapshot, known := current()
-		if !known {
+		snapshot, available := current()
+		if !available {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -58,7 +58,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_, _ = w.Write(encoded) // the other node is gone if this fails
+		_, _ = w.Write(encoded) // fails only if the client disconnected
 	})
 	return mux
 }
@@ -66,41 +66,41 @@
 // Reader reads snapshots from other nodes.
 type Reader struct{ config Config }
 
-// Config is what a Reader is made of.
+// Config configures a Reader.
 type Config struct {
 	HTTP *http.Client
-	// Nodes returns the nodes known now.
+	// Nodes returns the currently known nodes, or nil.
 	Nodes func() *topology.Nodes
-	// Seeds are addresses of nodes, which may be gone, for a node that knows no
-	// other yet.
+	// Seeds are addresses that are tried if no other node is known. They may be
+	// out of date.
 	Seeds []netip.AddrPort
 }
 
-// New makes a Reader.
+// New returns a Reader.
 func New(config Config) *Reader { return &Reader{config: config} }
 
-// Read returns the snapshot of the first of some nodes, chosen by chance, that
-// gives one.
+// Read tries a few random nodes one after the other and returns the first snapshot
+// that it receives.
 func (r *Reader) Read(ctx context.Context) (Snapshot, error) {
-	last := eris.New("no other node is known")
+	lastErr := eris.New("no other node known")
 	for _, address := range r.targets() {
 		snapshot, err := r.readFrom(ctx, address)
 		if err == nil {
 			return snapshot, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return Snapshot{}, last
+	return Snapshot{}, lastErr
 }
 
-// targets are some of the nodes that are known, by chance; the seeds when there
-// are none.
+// targets returns the addresses of up to maxAttempts random nodes, or the seeds if no
+// other node is known.
 func (r *Reader) targets() []string {
 	var targets []string
 	if nodes := r.config.Nodes(); nodes != nil {
 		for _, i := range rand.Perm(len(nodes.Nodes)) {
 			node := nodes.Nodes[i]
-			if node.ID != nodes.Self.ID && node.StateAddress != "" && len(targets) < mostNodes {
+			if node.ID != nodes.Self.ID && node.StateAddress != "" && len(targets) < maxAttempts {
 				targets = append(targets, node.StateAddress)
 			}
 		}
@@ -118,19 +118,19 @@
 	var snapshot Snapshot
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
-		return snapshot, eris.Wrapf(err, "ask %s", address)
+		return snapshot, eris.Wrapf(err, "request snapshot from %s", address)
 	}
 	response, err := r.config.HTTP.Do(request)
 	if err != nil {
-		return snapshot, eris.Wrapf(err, "ask %s", address)
+		return snapshot, eris.Wrapf(err, "request snapshot from %s", address)
 	}
-	defer func() { _ = response.Body.Close() }() // what matters was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	if response.StatusCode != http.StatusOK {
-		return snapshot, eris.Errorf("%s answered %d", address, response.StatusCode)
+		return snapshot, eris.Errorf("request snapshot from %s: status %d", address, response.StatusCode)
 	}
-	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxBytes))
+	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxSnapshotBytes))
 	if err != nil {
-		return snapshot, eris.Wrapf(err, "read from %s", address)
+		return snapshot, eris.Wrapf(err, "read snapshot from %s", address)
 	}
-	return snapshot, eris.Wrapf(msgpack.Unmarshal(encoded, &snapshot), "decode what %s knows", address)
+	return snapshot, eris.Wrapf(msgpack.Unmarshal(encoded, &snapshot), "decode snapshot from %s", address)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,6 +13,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
+// nodeAt starts a server and returns its node.
 func nodeAt(id string, handler http.Handler, t *testing.T) topology.Node {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -20,15 +21,15 @@
 	return topology.Node{ID: id, StateAddress: server.Listener.Addr().String()}
 }
 
-func TestAnotherNodeHandsOver(t *testing.T) {
+func TestRead(t *testing.T) {
 	want := Snapshot{Revision: 7, AgeMilliseconds: 40, Values: []store.KeyValue{{Key: "a", Value: []byte{0, 1}, ModRevision: 5}}}
 	nodes := &topology.Nodes{Self: topology.Node{ID: "self"}, Nodes: []topology.Node{
 		nodeAt("self", http.NotFoundHandler(), t),
-		nodeAt("knows", Handler(func() (Snapshot, bool) { return want, true }), t),
-		nodeAt("starts", Handler(func() (Snapshot, bool) { return Snapshot{}, false }), t),
+		nodeAt("ready", Handler(func() (Snapshot, bool) { return want, true }), t),
+		nodeAt("starting", Handler(func() (Snapshot, bool) { return Snapshot{}, false }), t),
 		{ID: "old version"},
 	}}
-	for range 10 { // in whichever order they are asked
+	for range 10 { // nodes are tried in random order
 		got, err := New(Config{HTTP: http.DefaultClient, Nodes: func() *topology.Nodes { return nodes }}).Read(t.Context())
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
 			t.Fatalf("error %v (-want +got):\n%s", err, diff)
@@ -39,14 +40,14 @@
 	}
 }
 
-func TestNobodyHandsOver(t *testing.T) {
+func TestReadFails(t *testing.T) {
 	garbage := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("garbage")) })
 	cases := map[string]*topology.Nodes{
 		"no nodes":        nil,
-		"only itself":     {Self: topology.Node{ID: "self"}, Nodes: []topology.Node{{ID: "self", StateAddress: "127.0.0.1:1"}}},
-		"not reached":     {Nodes: []topology.Node{{ID: "a", StateAddress: "127.0.0.1:1"}}},
-		"not a snapshot":  {Nodes: []topology.Node{nodeAt("a", garbage, t)}},
-		"knows nothing":   {Nodes: []topology.Node{nodeAt("a", Handler(func() (Snapshot, bool) { return Snapshot{}, false }), t)}},
+		"only self":       {Self: topology.Node{ID: "self"}, Nodes: []topology.Node{{ID: "self", StateAddress: "127.0.0.1:1"}}},
+		"unreachable":     {Nodes: []topology.Node{{ID: "a", StateAddress: "127.0.0.1:1"}}},
+		"invalid body":    {Nodes: []topology.Node{nodeAt("a", garbage, t)}},
+		"no snapshot":     {Nodes: []topology.Node{nodeAt("a", Handler(func() (Snapshot, bool) { return Snapshot{}, false }), t)}},
 		"another service": {Nodes: []topology.Node{nodeAt("a", http.NotFoundHandler(), t)}},
 	}
 	for name, nodes := range cases {
@@ -56,9 +57,9 @@
 	}
 }
 
-// TestASeedHandsOverToANodeThatKnowsNobody: those that are gone are passed over,
-// and a node that knows others asks no seed.
-func TestASeedHandsOverToANodeThatKnowsNobody(t *testing.T) {
+// TestReadFromSeed checks that unreachable seeds are skipped, and that seeds are not used if
+// other nodes are known.
+func TestReadFromSeed(t *testing.T) {
 	seed := nodeAt("seed", Handler(func() (Snapshot, bool) { return Snapshot{Revision: 7}, true }), t)
 	var nodes *topology.Nodes
 	reader := New(Config{
@@ -70,10 +71,10 @@
 	}
 	nodes = &topology.Nodes{Self: topology.Node{ID: "self"}, Nodes: []topology.Node{{ID: "self", StateAddress: "127.0.0.1:1"}}}
 	if got, err := reader.Read(t.Context()); err != nil || got.Revision != 7 {
-		t.Errorf("a node that knows itself alone reads %+v, error %v", got, err)
+		t.Errorf("with only self known: read %+v, error %v", got, err)
 	}
-	nodes.Nodes = append(nodes.Nodes, topology.Node{ID: "gone", StateAddress: "127.0.0.1:1"})
+	nodes.Nodes = append(nodes.Nodes, topology.Node{ID: "unreachable", StateAddress: "127.0.0.1:1"})
 	if _, err := reader.Read(t.Context()); err == nil {
-		t.Error("a seed was asked though the nodes are known")
+		t.Error("seed was used although another node is known")
 	}
 }
