--- a/internal/machines/contract_test.go
+++ b/internal/machines/contract_test.go
@@ -1,5 +1,5 @@
-// Package machines_test holds the contract of machines.Lister, run by the
-// adapter against the stand-in list over loopback.
+// Package machines_test runs the contract tests of machines.Lister: its adapter
+// against the stand-in machine list, over loopback.
 package machines_test
 
 import (
@@ -32,13 +32,13 @@
 	}}}
 }
 
-func TestContractOfTheMachineList(t *testing.T) {
+func TestListerContract(t *testing.T) {
 	const lag = 10 * time.Second
 	cases := []struct {
 		name   string
 		change func(list *machinelist.List)
-		early  machines.List // before the lag is over
-		late   machines.List
+		early  machines.List // before the lag has elapsed
+		late   machines.List // after the lag has elapsed
 	}{
 		{"unchanged", func(*machinelist.List) {}, listed(topology.ReplicaServing), listed(topology.ReplicaServing)},
 		{"leaving shows late", func(list *machinelist.List) { list.SetLeaving("10.0.0.1:9000") },
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestAnOutageIsAnErrorAndNotAnEmptyList(t *testing.T) {
+func TestListerReportsOutage(t *testing.T) {
 	standin := machinelist.New(time.Now)
 	standin.Add(replicaMachine())
 	standin.SetFaults(machinelist.Faults{Outage: true})
@@ -79,6 +79,6 @@
 	t.Cleanup(server.Close)
 	list, err := httpsd.New(server.URL+machinelist.TargetsPath, server.Client()).List(t.Context())
 	if err == nil {
-		t.Errorf("an outage reads as %+v", list)
+		t.Errorf("no error during an outage, list %+v", list)
 	}
 }
--- a/internal/machines/httpsd/fuzz_test.go
+++ b/internal/machines/httpsd/fuzz_test.go
@@ -6,6 +6,7 @@
 	"github.com/doorpond/doorpond/internal/machines/httpsd"
 )
 
+// FuzzDecode checks that no response causes a panic or decodes to an invalid replica.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`[{"targets":["10.0.0.1:9000"],"labels":{"role":"backend","group":"g","slots":"5"}}]`))
 	f.Add([]byte(`[{"targets":null,"labels":null}]`))
@@ -16,7 +17,7 @@
 		}
 		for _, replica := range list.Replicas {
 			if replica.Address == "" || replica.Slots < 0 || replica.ConnectionLimit < 0 {
-				t.Errorf("replica %+v from %q", replica, body)
+				t.Errorf("invalid replica %+v decoded from %q", replica, body)
 			}
 		}
 	})
--- a/internal/machines/httpsd/lister.go
+++ b/internal/machines/httpsd/lister.go
@@ -1,6 +1,6 @@
-// Package httpsd reads the platform's machine list in the HTTP
-// service-discovery JSON format (source: the Prometheus HTTP SD format,
-// https://prometheus.io/docs/prometheus/latest/http_sd/).
+// Package httpsd reads the platform's machine list in the Prometheus HTTP
+// service-discovery JSON format
+// (https://prometheus.io/docs/prometheus/latest/http_sd/).
 package httpsd
 
 import (
@@ -18,17 +18,16 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// maxListBytes bounds one reading: 21,000 replicas of about 300 bytes each
-// fit many times.
+// maxListBytes is the maximum size of a response.
 const maxListBytes = 64 << 20
 
-// targetGroup is one entry of the format.
+// targetGroup is one entry of the list.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// Lister reads the list from one URL.
+// Lister reads the machine list from a URL.
 type Lister struct {
 	url    string
 	client *http.Client
@@ -36,8 +35,8 @@
 
 var _ machines.Lister = (*Lister)(nil)
 
-// New returns a Lister; a nil client means a new one without a time limit,
-// so that ctx alone bounds a reading.
+// New returns a Lister. If client is nil, it uses a client without a timeout, so
+// that only the context of a call limits its duration.
 func New(url string, client *http.Client) *Lister {
 	if client == nil {
 		client = &http.Client{}
@@ -45,36 +44,36 @@
 	return &Lister{url: url, client: client}
 }
 
-// List reads the list once. Entries whose address is not IP:port, and roles
-// that doorpond does not know, are left out.
+// List requests the list. It skips entries with an unknown role or an address
+// that is not IP:port.
 func (l *Lister) List(ctx context.Context) (machines.List, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
-		return machines.List{}, eris.Wrap(err, "make the machine list's request")
+		return machines.List{}, eris.Wrap(err, "create machine list request")
 	}
 	response, err := l.client.Do(request)
 	if err != nil {
-		return machines.List{}, eris.Wrap(err, "ask for the machine list")
+		return machines.List{}, eris.Wrap(err, "request machine list")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return machines.List{}, eris.Errorf("ask for the machine list: status %d", response.StatusCode)
+		return machines.List{}, eris.Errorf("request machine list: status %d", response.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	if err != nil {
-		return machines.List{}, eris.Wrap(err, "read the machine list")
+		return machines.List{}, eris.Wrap(err, "read machine list")
 	}
 	if len(body) > maxListBytes {
-		return machines.List{}, eris.Errorf("read the machine list: over %d bytes", maxListBytes)
+		return machines.List{}, eris.Errorf("read machine list: more than %d bytes", maxListBytes)
 	}
 	return Decode(body)
 }
 
-// Decode reads the format.
+// Decode decodes a response. It skips the same entries as Lister.List.
 func Decode(body []byte) (machines.List, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(body, &groups); err != nil {
-		return machines.List{}, eris.Wrap(err, "decode the machine list")
+		return machines.List{}, eris.Wrap(err, "decode machine list")
 	}
 	var list machines.List
 	for _, group := range groups {
@@ -92,7 +91,7 @@
 		}
 		switch group.Labels[machines.LabelRole] {
 		case machines.RoleBackend:
-			list.Replicas = append(list.Replicas, replica(target, group.Labels))
+			list.Replicas = append(list.Replicas, newReplica(target, group.Labels))
 		case machines.RoleDaemon:
 			if group.Labels[machines.LabelState] != machines.StateLeaving {
 				list.Daemons = append(list.Daemons, target)
@@ -101,7 +100,7 @@
 	}
 }
 
-func replica(address string, labels map[string]string) topology.Replica {
+func newReplica(address string, labels map[string]string) topology.Replica {
 	state := topology.ReplicaServing
 	if labels[machines.LabelState] == machines.StateLeaving {
 		state = topology.ReplicaLeaving
@@ -112,14 +111,14 @@
 		Group:           labels[machines.LabelGroup],
 		Place:           topology.Place{Region: labels[machines.LabelRegion], Zone: labels[machines.LabelZone]},
 		State:           state,
-		Slots:           count(labels[machines.LabelSlots]),
-		ConnectionLimit: count(labels[machines.LabelConnections]),
+		Slots:           parseCount(labels[machines.LabelSlots]),
+		ConnectionLimit: parseCount(labels[machines.LabelConnections]),
 	}
 }
 
-// count reads a label that is a number; a missing, malformed or negative one
-// is 0, which means unknown.
-func count(label string) int {
+// parseCount returns the value of a numeric label, or 0, which means unknown, if it
+// is missing, malformed or negative.
+func parseCount(label string) int {
 	number, err := strconv.Atoi(label)
 	if err != nil || number < 0 {
 		return 0
--- a/internal/machines/httpsd/lister_test.go
+++ b/internal/machines/httpsd/lister_test.go
@@ -30,14 +30,14 @@
 		{"empty", 200, `[]`, machines.List{}, false},
 		{"live", 200, `[` + withState(backend, "live") + `]`, machines.List{Replicas: []topology.Replica{replica}}, false},
 		{"leaving", 200, `[` + withState(backend, "leaving") + `]`, machines.List{Replicas: []topology.Replica{leaving}}, false},
-		{"daemons once, none leaving", 200, `[{"targets":["10.0.0.3:1","10.0.0.2:1"],"labels":{"role":"daemon"}},
+		{"duplicate and leaving daemons", 200, `[{"targets":["10.0.0.3:1","10.0.0.2:1"],"labels":{"role":"daemon"}},
 			{"targets":["10.0.0.2:1"],"labels":{"role":"daemon"}},
 			{"targets":["10.0.0.4:1"],"labels":{"role":"daemon","state":"leaving"}}]`,
 			machines.List{Daemons: []string{"10.0.0.2:1", "10.0.0.3:1"}}, false},
-		{"other roles", 200, `[{"targets":["10.0.0.9:1"],"labels":{"role":"printer"}},{"targets":["10.0.0.9:1"]}]`, machines.List{}, false},
+		{"unknown roles", 200, `[{"targets":["10.0.0.9:1"],"labels":{"role":"printer"}},{"targets":["10.0.0.9:1"]}]`, machines.List{}, false},
 		{"error status", 500, `[]`, machines.List{}, true},
 		{"not JSON", 200, `[`, machines.List{}, true},
-		{"wrong shape", 200, `{"targets":[]}`, machines.List{}, true},
+		{"not an array", 200, `{"targets":[]}`, machines.List{}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,9 +1,10 @@
-// Package machines is the narrow interface to the platform's list of
-// machines, and its adapter for the HTTP service-discovery JSON format:
+// Package machines defines the interface to the platform's machine list. Package
+// httpsd implements it for the HTTP service-discovery JSON format:
 //
 //	[{"targets": ["10.0.0.1:9000"], "labels": {"role": "backend", ...}}]
 //
-// The list lags: it may name machines that have left and miss new ones.
+// The list is eventually consistent: it may contain machines that have left and
+// lack new ones.
 package machines
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The labels that doorpond reads.
+// The labels of a list entry.
 const (
 	LabelRole        = "role"
 	LabelGroup       = "group"
@@ -30,20 +31,20 @@
 	RoleDaemon  = "daemon"
 )
 
-// The values of LabelState; a missing label means live.
+// The values of LabelState; without the label, a machine is live.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-// List is one reading of the machine list.
+// List is the machine list at one moment.
 type List struct {
 	Replicas []topology.Replica
-	// Daemons are the peer addresses of listed daemons, used to join.
+	// Daemons are the peer addresses of daemons, which a new daemon joins through.
 	Daemons []string
 }
 
-// Lister reads the list.
+// Lister reads the machine list.
 type Lister interface {
 	List(ctx context.Context) (List, error)
 }
