--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -1,11 +1,11 @@
-// Package membership keeps the set of daemons that run, in the manner of SWIM
+// Package membership maintains the set of running daemons with a variant of SWIM
 // over request and response: randomized round-robin probes, indirect probes,
-// suspicion that a member refutes by raising its incarnation, rumors carried
-// on every exchange, and a periodic exchange of digests. It also spreads
-// small versioned records.
+// suspicions that a member refutes by raising its incarnation, rumors piggybacked
+// on every message, and periodic anti-entropy by exchange of digests. It also
+// disseminates small versioned records.
 //
-// Core is pure: no I/O, clock, goroutine or global randomness. Node runs a
-// Core with timers and a Transport.
+// Core is deterministic: it uses no I/O, clock, goroutine or global randomness.
+// Node runs a Core with timers and a Transport.
 package membership
 
 import (
@@ -22,14 +22,14 @@
 	Seed   uint64
 }
 
-// exchange is a request whose outcome is awaited.
+// exchange is a request without an outcome yet.
 type exchange struct {
 	kind    MessageKind
 	address string
-	// id of the member asked, empty where only an address was known.
+	// id of the receiver, empty if only its address is known.
 	id string
-	// origin is who asked for an indirect probe; its address is empty for the
-	// daemon's own exchanges.
+	// origin is the member that requested an indirect probe; it is the zero
+	// Member for the daemon's own exchanges.
 	origin topology.Member
 }
 
@@ -41,31 +41,32 @@
 	resolved bool
 }
 
-// Core is the pure part of one daemon's membership.
+// Core is the deterministic state machine of one daemon's membership.
 type Core struct {
 	timing   Timing
 	random   *rand.Rand
 	self     topology.Member
 	registry *registry
-	// news has the changed records and goes first; rumors has the members.
-	news   *rumors
-	rumors *rumors
-	// allowance has the bytes of rumors about members that may be sent now.
-	allowance   float64
-	allowanceAt time.Duration
-	seeds       []string
-	// order is the shuffled round of probes; inRound has the same IDs.
-	order   []string
-	inRound map[string]bool
-	cursor  int
-	// occupants has the ID of the live member at each address.
-	occupants map[string]string
-	probe     *probe
-	suspected map[string]time.Duration
-	exchanges map[uint64]exchange
-	sequence  uint64
-	// oldest is the lowest exchange that may still be open.
-	oldest uint64
+	// recordRumors take precedence over memberRumors.
+	recordRumors *rumorQueue
+	memberRumors *rumorQueue
+	// rumorBudget is a token bucket: the bytes of member rumors that may be sent now.
+	rumorBudget          float64
+	rumorBudgetUpdatedAt time.Duration
+	seeds                []string
+	// probeOrder is the shuffled order of probes; inProbeOrder contains the same IDs.
+	probeOrder   []string
+	inProbeOrder map[string]bool
+	probeIndex   int
+	// idsByAddress maps an address to the ID of the live member there.
+	idsByAddress map[string]string
+	probe        *probe
+	// suspicionDeadlines maps a suspect's ID to the time at which it is declared dead.
+	suspicionDeadlines map[string]time.Duration
+	exchanges          map[uint64]exchange
+	sequence           uint64
+	// oldestExchange is the lowest number that exchanges may contain.
+	oldestExchange uint64
 
 	started       bool
 	lastTick      time.Duration
@@ -73,36 +74,36 @@
 	nextGossip    time.Duration
 	nextSync      time.Duration
 	nextReconnect time.Duration
-	// syncAddress continues a long synchronization; empty means none.
+	// syncAddress is the peer of an unfinished synchronization; empty if there is none.
 	syncAddress string
 	syncID      string
 
 	now   time.Duration
 	ready Ready
-	// synchronizing is true while entries of a synchronization are merged.
-	synchronizing bool
+	// mergingSync is true while entries from a digest exchange are merged.
+	mergingSync bool
 }
 
-// NewCore makes the core of a daemon that knows only itself.
+// NewCore returns a Core that knows only its own daemon.
 func NewCore(options CoreOptions) *Core {
 	c := &Core{
-		timing:    options.Timing.withDefaults(),
-		random:    rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)),
-		registry:  newRegistry(),
-		news:      newRumors(),
-		rumors:    newRumors(),
-		suspected: make(map[string]time.Duration),
-		exchanges: make(map[uint64]exchange),
-		inRound:   make(map[string]bool),
-		occupants: make(map[string]string),
+		timing:             options.Timing.withDefaults(),
+		random:             rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)),
+		registry:           newRegistry(),
+		recordRumors:       newRumorQueue(),
+		memberRumors:       newRumorQueue(),
+		suspicionDeadlines: make(map[string]time.Duration),
+		exchanges:          make(map[uint64]exchange),
+		inProbeOrder:       make(map[string]bool),
+		idsByAddress:       make(map[string]string),
 	}
 	c.self = options.Self
-	c.allowance = float64(allowanceMessages * c.timing.RumorBytes)
-	c.store(options.Self)
+	c.rumorBudget = float64(rumorBudgetMessages * c.timing.RumorBytes)
+	c.updateMember(options.Self)
 	return c
 }
 
-// Self returns this daemon as it describes itself.
+// Self returns this daemon's own description.
 func (c *Core) Self() topology.Member { return c.self }
 
 // Members returns the live members (alive, suspect or leaving), this daemon
@@ -114,52 +115,53 @@
 // LiveCount returns the number of live members, this daemon included.
 func (c *Core) LiveCount() int { return c.registry.live }
 
-// AppendMembers appends the live members in no order.
+// AppendMembers appends the live members in no particular order.
 func (c *Core) AppendMembers(to []topology.Member) []topology.Member {
 	return c.registry.appendLive(to)
 }
 
-// Member returns what is believed of one member, dead ones included.
+// Member returns the current description of a member, which may be dead.
 func (c *Core) Member(id string) (topology.Member, bool) { return c.registry.member(id) }
 
-// Record returns a record that is held.
+// Record returns a stored record.
 func (c *Core) Record(kind RecordKind, key string) (Record, bool) {
-	held := c.registry.get(entryKey{kind: kind, key: key})
-	if held == nil {
+	stored := c.registry.get(entryKey{kind: kind, key: key})
+	if stored == nil {
 		return Record{}, false
 	}
-	return *held.record, true
+	return *stored.record, true
 }
 
-// Records returns the number of records held.
+// Records returns the number of stored records.
 func (c *Core) Records() int { return c.registry.records }
 
-// HasPendingRumors tells whether there is news that few members were told of.
+// HasPendingRumors reports whether there are rumors that have been sent less often
+// than the transmit limit.
 func (c *Core) HasPendingRumors() bool {
 	limit := transmitLimit(c.registry.live)
-	return c.registry.live > 1 && (c.news.fresh(limit) || c.rumors.fresh(limit))
+	return c.registry.live > 1 && (c.recordRumors.hasBelow(limit) || c.memberRumors.hasBelow(limit))
 }
 
-// NextTick returns when the next Tick is due.
+// NextTick returns the time at which the next Tick is due.
 func (c *Core) NextTick() time.Duration {
 	if !c.started {
 		return c.now
 	}
-	wake := min(c.nextProbe, c.nextSync, c.nextReconnect)
+	next := min(c.nextProbe, c.nextSync, c.nextReconnect)
 	if c.probe != nil && !c.probe.indirect && !c.probe.resolved {
-		wake = min(wake, c.probe.sentAt+c.timing.ProbeTimeout)
+		next = min(next, c.probe.sentAt+c.timing.ProbeTimeout)
 	}
 	if c.HasPendingRumors() {
-		wake = min(wake, c.nextGossip)
+		next = min(next, c.nextGossip)
 	}
-	return wake
+	return next
 }
 
 func (c *Core) tick() {
 	if !c.started {
 		c.start()
 	}
-	c.noticeResume()
+	c.detectResume()
 	c.lastTick = c.now
 	c.expireSuspicions()
 	if c.now >= c.nextProbe {
@@ -167,7 +169,7 @@
 		c.startProbe()
 		c.nextProbe = c.now + c.timing.Period
 	}
-	c.probeIndirectly()
+	c.checkProbeTimeout()
 	if c.now >= c.nextGossip && c.HasPendingRumors() {
 		c.nextGossip = c.now + c.timing.GossipInterval
 		c.gossip()
@@ -181,7 +183,7 @@
 	}
 }
 
-// start spreads the timers of daemons that start together.
+// start sets the timers, with jitter for daemons that start at the same time.
 func (c *Core) start() {
 	c.started = true
 	c.lastTick = c.now
@@ -194,104 +196,106 @@
 	return time.Duration(c.random.Int64N(int64(interval)) + 1)
 }
 
-// noticeResume handles a gap between ticks that only a frozen process or a
-// machine asleep explains: what was awaited meanwhile says nothing about the
-// others, and this daemon may have been declared dead.
-func (c *Core) noticeResume() {
+// detectResume handles a gap between ticks that indicates a suspended process or
+// machine. Timeouts that elapsed meanwhile say nothing about the peers, and the
+// peers may have declared this daemon dead.
+func (c *Core) detectResume() {
 	gap := c.now - c.lastTick
 	if gap < resumePeriods*c.timing.Period {
 		return
 	}
 	c.ready.Resumed = true
 	c.probe = nil
-	for id := range c.suspected {
-		c.suspected[id] += gap
+	for id := range c.suspicionDeadlines {
+		c.suspicionDeadlines[id] += gap
 	}
 	for _, peer := range c.randomPeers(joinFanout, "") {
 		c.sendSync(peer.PeerAddress, peer.ID)
 	}
 }
 
-// send queues a request with this daemon's description and rumors.
+// send queues a request and adds this daemon's description and rumors to it.
 func (c *Core) send(address, id string, message Message) {
 	c.sendFor(topology.Member{}, address, id, message)
 }
 
+// sendFor is like send, on behalf of the origin of an indirect probe.
 func (c *Core) sendFor(origin topology.Member, address, id string, message Message) {
 	c.sequence++
-	c.forgetOldExchanges()
+	c.dropOldExchanges()
 	c.exchanges[c.sequence] = exchange{kind: message.Kind, address: address, id: id, origin: origin}
 	message.From = c.self
 	c.addRumors(&message)
 	c.ready.Sends = append(c.ready.Sends, Send{Exchange: c.sequence, Address: address, Message: message})
 }
 
-// forgetOldExchanges bounds the exchanges that a stuck shell leaves open.
-func (c *Core) forgetOldExchanges() {
-	for c.sequence-c.oldest > maximumExchangesOpen {
-		delete(c.exchanges, c.oldest)
-		c.oldest++
+// dropOldExchanges limits the number of open exchanges in case the caller does not
+// report their outcomes.
+func (c *Core) dropOldExchanges() {
+	for c.sequence-c.oldestExchange > maxOpenExchanges {
+		delete(c.exchanges, c.oldestExchange)
+		c.oldestExchange++
 	}
 }
 
-// addRumors fills the message up to the bound for rumors.
+// addRumors adds rumors to a message, up to RumorBytes and the budget.
 func (c *Core) addRumors(message *Message) {
-	left := c.timing.RumorBytes
-	left -= c.addFrom(c.news, message, left*newsPart/newsWhole, newsLimit(c.registry.live))
-	c.refillAllowance()
-	if c.allowance >= leastRumorBytes {
-		left = min(left, int(c.allowance))
-		c.allowance -= float64(c.addFrom(c.rumors, message, left, transmitLimit(c.registry.live)))
+	remaining := c.timing.RumorBytes
+	remaining -= c.addFromQueue(c.recordRumors, message, remaining*recordShareNumerator/recordShareDenominator, recordTransmitLimit(c.registry.live))
+	c.refillRumorBudget()
+	if c.rumorBudget >= minRumorBudget {
+		remaining = min(remaining, int(c.rumorBudget))
+		c.rumorBudget -= float64(c.addFromQueue(c.memberRumors, message, remaining, transmitLimit(c.registry.live)))
 	}
 }
 
-// refillAllowance lets the allowance grow with time, up to a few messages.
-func (c *Core) refillAllowance() {
-	grown := float64(c.timing.RumorRate) * (c.now - c.allowanceAt).Seconds()
-	c.allowance = min(c.allowance+grown, float64(allowanceMessages*c.timing.RumorBytes))
-	c.allowanceAt = c.now
+// refillRumorBudget adds the tokens accrued since the last call.
+func (c *Core) refillRumorBudget() {
+	accrued := float64(c.timing.RumorRate) * (c.now - c.rumorBudgetUpdatedAt).Seconds()
+	c.rumorBudget = min(c.rumorBudget+accrued, float64(rumorBudgetMessages*c.timing.RumorBytes))
+	c.rumorBudgetUpdatedAt = c.now
 }
 
-// addFrom adds rumors of one queue and returns their size.
-func (c *Core) addFrom(queue *rumors, message *Message, bytes, limit int) int {
+// addFromQueue adds rumors from a queue to a message and returns their size.
+func (c *Core) addFromQueue(queue *rumorQueue, message *Message, bytes, limit int) int {
 	added := 0
-	for _, held := range queue.take(bytes, limit) {
-		added += entrySize(held)
-		c.addEntry(message, held)
+	for _, stored := range queue.take(bytes, limit) {
+		added += entrySize(stored)
+		c.addEntry(message, stored)
 	}
 	return added
 }
 
-func entrySize(held *entry) int {
-	if held.isMember() {
-		return memberSize(held.member)
+func entrySize(stored *entry) int {
+	if stored.isMember() {
+		return memberSize(stored.member)
 	}
-	return recordSize(*held.record)
+	return recordSize(*stored.record)
 }
 
-func (c *Core) addEntry(message *Message, held *entry) {
-	if held.isMember() {
-		message.Members = append(message.Members, held.member)
+func (c *Core) addEntry(message *Message, stored *entry) {
+	if stored.isMember() {
+		message.Members = append(message.Members, stored.member)
 		return
 	}
-	record := *held.record
+	record := *stored.record
 	if record.Kind == RecordReplicaLeaving {
-		record.AgeSeconds = uint32((c.now - held.since) / time.Second)
+		record.AgeSeconds = uint32((c.now - stored.since) / time.Second)
 	}
 	message.Records = append(message.Records, record)
 }
 
-// randomPeers returns up to a number of live members other than this daemon
-// and one more.
-func (c *Core) randomPeers(number int, except string) []topology.Member {
+// randomPeers returns up to count random live members other than this daemon and
+// the member with the ID except.
+func (c *Core) randomPeers(count int, except string) []topology.Member {
 	var found []topology.Member
-	if len(c.order) == 0 {
+	if len(c.probeOrder) == 0 {
 		return nil
 	}
-	start := c.random.IntN(len(c.order))
-	stride := c.coprimeStride(len(c.order))
-	for i := 0; i < len(c.order) && len(found) < number; i++ {
-		id := c.order[(start+i*stride)%len(c.order)]
+	start := c.random.IntN(len(c.probeOrder))
+	stride := c.coprimeStride(len(c.probeOrder))
+	for i := 0; i < len(c.probeOrder) && len(found) < count; i++ {
+		id := c.probeOrder[(start+i*stride)%len(c.probeOrder)]
 		member, known := c.registry.member(id)
 		if known && id != except && id != c.self.ID && IsLive(member.State) {
 			found = append(found, member)
@@ -300,7 +304,7 @@
 	return found
 }
 
-// coprimeStride returns a random step that visits every index of a list once.
+// coprimeStride returns a random stride that visits every index of a list once.
 func (c *Core) coprimeStride(length int) int {
 	for {
 		stride := c.random.IntN(length) + 1
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-const sizeOfCases = 12
+const clusterSize = 12
 
 func TestCoreFaults(t *testing.T) {
 	cases := []struct {
@@ -19,26 +19,26 @@
 		alive int
 		limit time.Duration
 	}{
-		{"join", func(*testing.T, *network) {}, sizeOfCases, 0},
-		{"dead member is found out", func(_ *testing.T, w *network) { w.kill(address(5)) }, sizeOfCases - 1, 20 * time.Second},
+		{"join", func(*testing.T, *network) {}, clusterSize, 0},
+		{"dead member is detected", func(_ *testing.T, w *network) { w.kill(address(5)) }, clusterSize - 1, 20 * time.Second},
 		{"planned leave", func(t *testing.T, w *network) {
 			w.step(address(5), LeaveRequested{})
-			took := w.until(5*time.Second, func() bool { return w.stateEverywhere("node-0005", topology.MemberLeaving) })
+			took := w.runUntil(5*time.Second, func() bool { return w.stateEverywhere("node-0005", topology.MemberLeaving) })
 			if took >= 5*time.Second {
 				t.Error("leaving did not spread")
 			}
 			w.step(address(5), LeaveCompleted{})
 			w.run(10 * time.Millisecond)
 			w.kill(address(5))
-		}, sizeOfCases - 1, 5 * time.Second},
-		{"short freeze is refuted", func(_ *testing.T, w *network) {
+		}, clusterSize - 1, 5 * time.Second},
+		{"short suspension is refuted", func(_ *testing.T, w *network) {
 			w.frozen[address(5)] = true
 			w.run(3 * time.Second)
 			w.resume(address(5))
-		}, sizeOfCases, 20 * time.Second},
+		}, clusterSize, 20 * time.Second},
 		{"dead member resumes", func(t *testing.T, w *network) {
 			w.frozen[address(5)] = true
-			w.until(30*time.Second, func() bool { return w.agree(sizeOfCases - 1) })
+			w.runUntil(30*time.Second, func() bool { return w.converged(clusterSize - 1) })
 			before := w.cores[address(5)].Self().Incarnation
 			w.resume(address(5))
 			w.run(3 * time.Second)
@@ -46,48 +46,48 @@
 				t.Errorf("incarnation %d was not raised", after)
 			}
 			if w.resumed[address(5)] != 1 {
-				t.Errorf("freeze noticed %d times", w.resumed[address(5)])
+				t.Errorf("suspension detected %d times", w.resumed[address(5)])
 			}
-		}, sizeOfCases, 20 * time.Second},
-		{"cut and healed", func(t *testing.T, w *network) {
-			for i := range sizeOfCases / 2 {
+		}, clusterSize, 20 * time.Second},
+		{"partition heals", func(t *testing.T, w *network) {
+			for i := range clusterSize / 2 {
 				w.side[address(i)] = 1
 			}
-			if w.until(60*time.Second, func() bool { return w.agree(sizeOfCases / 2) }) >= 60*time.Second {
-				t.Error("the halves did not settle")
+			if w.runUntil(60*time.Second, func() bool { return w.converged(clusterSize / 2) }) >= 60*time.Second {
+				t.Error("the sides did not converge")
 			}
 			clear(w.side)
-		}, sizeOfCases, 60 * time.Second},
-		{"long cut, seeds on one side only, tombstones forgotten", func(_ *testing.T, w *network) {
-			for i := range sizeOfCases / 2 {
+		}, clusterSize, 60 * time.Second},
+		{"long partition with seeds on one side, tombstones expired", func(_ *testing.T, w *network) {
+			for i := range clusterSize / 2 {
 				w.side[address(i)] = 1
 			}
 			w.run(30 * time.Minute)
 			clear(w.side)
-		}, sizeOfCases, 60 * time.Second},
+		}, clusterSize, 60 * time.Second},
 		{"mass restart", func(_ *testing.T, w *network) {
-			for i := range sizeOfCases {
+			for i := range clusterSize {
 				w.add(fmt.Sprintf("again-%04d", i), address(i), address(0), address(1))
 			}
-		}, sizeOfCases, 30 * time.Second},
+		}, clusterSize, 30 * time.Second},
 		{"restart on the same address", func(_ *testing.T, w *network) {
 			w.add("again", address(5), address(0), address(1))
-		}, sizeOfCases, 5 * time.Second},
+		}, clusterSize, 5 * time.Second},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			w := newNetwork(7)
-			w.addMany(sizeOfCases)
-			if w.until(20*time.Second, func() bool { return w.agree(sizeOfCases) }) >= 20*time.Second {
-				t.Fatal("the members did not find each other")
+			w.addMany(clusterSize)
+			if w.runUntil(20*time.Second, func() bool { return w.converged(clusterSize) }) >= 20*time.Second {
+				t.Fatal("initial join did not converge")
 			}
 			test.fault(t, w)
-			if took := w.until(test.limit, func() bool { return w.agree(test.alive) }); took > test.limit || !w.agree(test.alive) {
-				t.Errorf("members did not agree on %d within %v", test.alive, test.limit)
+			if took := w.runUntil(test.limit, func() bool { return w.converged(test.alive) }); took > test.limit || !w.converged(test.alive) {
+				t.Errorf("no convergence on %d members within %v", test.alive, test.limit)
 			}
 			w.run(30 * time.Second)
-			if !w.agree(test.alive) {
-				t.Errorf("members did not stay agreed on %d", test.alive)
+			if !w.converged(test.alive) {
+				t.Errorf("convergence on %d members did not last", test.alive)
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 	return true
 }
 
-func TestLossAloneKillsNobody(t *testing.T) {
+func TestPacketLossCausesNoFalseDeaths(t *testing.T) {
 	w := newNetwork(3)
 	w.loss = 0.1
 	w.addMany(20)
@@ -119,72 +119,72 @@
 
 func TestRecords(t *testing.T) {
 	w := newNetwork(5)
-	w.addMany(sizeOfCases)
+	w.addMany(clusterSize)
 	w.run(15 * time.Second)
 	w.step(address(3), Announced{Record{Kind: RecordDocument, Key: "table", Version: 4}})
 	w.step(address(4), Announced{Record{Kind: RecordDocument, Key: "table", Version: 3}})
 	w.run(3 * time.Second)
-	if got := w.holding(RecordDocument, "table", 4); got != sizeOfCases {
-		t.Errorf("%d of %d hold the higher version", got, sizeOfCases)
+	if got := w.holders(RecordDocument, "table", 4); got != clusterSize {
+		t.Errorf("%d of %d have the higher version", got, clusterSize)
 	}
 	w.step(address(3), Announced{Record{Kind: RecordReplicaLeaving, Key: "10.9.9.9:1|a", Version: 1}})
 	w.add("late", address(100), address(0))
 	w.run(15 * time.Second)
-	if got := w.holding(RecordReplicaLeaving, "10.9.9.9:1|a", 1); got != sizeOfCases+1 {
-		t.Errorf("%d of %d hold the record", got, sizeOfCases+1)
+	if got := w.holders(RecordReplicaLeaving, "10.9.9.9:1|a", 1); got != clusterSize+1 {
+		t.Errorf("%d of %d have the record", got, clusterSize+1)
 	}
 	w.run(2 * time.Hour)
-	if got := w.holding(RecordReplicaLeaving, "10.9.9.9:1|a", 1); got != 0 {
-		t.Errorf("%d still hold the expired record", got)
+	if got := w.holders(RecordReplicaLeaving, "10.9.9.9:1|a", 1); got != 0 {
+		t.Errorf("%d still have the expired record", got)
 	}
-	if got := w.holding(RecordDocument, "table", 4); got != sizeOfCases+1 {
-		t.Errorf("%d of %d still hold the document", got, sizeOfCases+1)
+	if got := w.holders(RecordDocument, "table", 4); got != clusterSize+1 {
+		t.Errorf("%d of %d still have the document record", got, clusterSize+1)
 	}
 }
 
-func TestTheHighestStoreMarkSpreads(t *testing.T) {
+func TestHighestStoreMarkWins(t *testing.T) {
 	w := newNetwork(5)
-	w.addMany(sizeOfCases)
+	w.addMany(clusterSize)
 	w.run(15 * time.Second)
-	for number := range sizeOfCases {
+	for number := range clusterSize {
 		mark := Record{Kind: RecordStoreMark, Key: StoreMarkKey, Version: uint64(100 + number)}
 		w.step(address(number), Announced{mark})
 	}
 	w.run(3 * time.Second)
-	if got := w.holding(RecordStoreMark, StoreMarkKey, 100+sizeOfCases-1); got != sizeOfCases {
-		t.Errorf("%d of %d hold the highest mark", got, sizeOfCases)
+	if got := w.holders(RecordStoreMark, StoreMarkKey, 100+clusterSize-1); got != clusterSize {
+		t.Errorf("%d of %d have the highest mark", got, clusterSize)
 	}
 }
 
-func TestTombstonesAreForgotten(t *testing.T) {
+func TestTombstonesExpire(t *testing.T) {
 	w := newNetwork(9)
-	w.addMany(sizeOfCases)
+	w.addMany(clusterSize)
 	w.run(20 * time.Second)
 	w.kill(address(5))
 	w.run(40 * time.Minute)
 	for at, core := range w.cores {
 		if member, known := core.Member("node-0005"); known {
-			t.Errorf("%s still holds %+v", at, member)
+			t.Errorf("%s still has %+v", at, member)
 		}
 	}
 }
 
-func TestTombstonesOfTheUnknownAreNotTakenOver(t *testing.T) {
+func TestUnknownTombstoneIgnored(t *testing.T) {
 	core := NewCore(CoreOptions{Self: topology.Member{ID: "a", PeerAddress: "a:1"}})
 	dead := topology.Member{ID: "b", PeerAddress: "b:1", State: topology.MemberDead}
 	core.Step(0, Received{Message{Kind: MessagePush, From: topology.Member{ID: "c", PeerAddress: "c:1"}, Members: []topology.Member{dead}}})
 	if member, known := core.Member("b"); known {
-		t.Errorf("holds %+v", member)
+		t.Errorf("member was added: %+v", member)
 	}
 }
 
-func TestWhatOneCoreMakesOfOneMessage(t *testing.T) {
+func TestMergeMessage(t *testing.T) {
 	const suspect, dead, alive = topology.MemberSuspect, topology.MemberDead, topology.MemberAlive
 	b := func(incarnation uint64, state topology.MemberState) topology.Member {
 		return topology.Member{ID: "b", PeerAddress: "b:1", Incarnation: incarnation, State: state}
 	}
 	other := topology.Member{ID: "c", PeerAddress: "c:1"}
-	namesake := topology.Member{ID: "b2", PeerAddress: "b:1"}
+	successor := topology.Member{ID: "b2", PeerAddress: "b:1"}
 	gossip := func(members ...topology.Member) Message {
 		return Message{Kind: MessageGossip, From: other, Members: members}
 	}
@@ -195,10 +195,10 @@
 	}{
 		{"suspicion at the same incarnation", gossip(b(3, suspect)), b(3, suspect)},
 		{"suspicion of an older incarnation", gossip(b(2, suspect)), b(3, alive)},
-		{"death by gossip", gossip(b(3, dead)), b(3, dead)},
-		{"death by a digest exchange is only suspicion", Message{Kind: MessagePush, From: other, Members: []topology.Member{b(3, dead)}}, b(3, suspect)},
+		{"dead by gossip", gossip(b(3, dead)), b(3, dead)},
+		{"dead by digest exchange becomes suspect", Message{Kind: MessagePush, From: other, Members: []topology.Member{b(3, dead)}}, b(3, suspect)},
 		{"refutation", gossip(b(3, suspect), b(4, alive)), b(4, alive)},
-		{"another process at its address", gossip(namesake), b(3, dead)},
+		{"another process at its address", gossip(successor), b(3, dead)},
 		{"state out of range", gossip(b(9, 77)), b(3, alive)},
 	}
 	for _, test := range cases {
@@ -210,15 +210,15 @@
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
-			for range 50 { // until the rumors are spent
+			for range 50 { // until all rumors have reached the transmit limit
 				core.Step(0, Received{gossip()})
 			}
 			reply := core.Step(0, Received{Message{Kind: MessagePing, From: b(3, alive)}}).Reply
-			worse := supersedes(got, b(3, alive))
-			if told := len(reply.Members) > 0 && cmp.Equal(reply.Members[0], got); told && !worse {
-				t.Errorf("told of %+v without need", got)
-			} else if worse && !told {
-				t.Errorf("not told of %+v", got)
+			superseding := supersedes(got, b(3, alive))
+			if sent := len(reply.Members) > 0 && cmp.Equal(reply.Members[0], got); sent && !superseding {
+				t.Errorf("reply contains %+v, which does not supersede the sender's", got)
+			} else if superseding && !sent {
+				t.Errorf("reply lacks %+v, which supersedes the sender's", got)
 			}
 		})
 	}
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestSameSeedSameRun(t *testing.T) {
+func TestDeterminism(t *testing.T) {
 	run := func() (int, int) {
 		w := newNetwork(11)
 		w.addMany(30)
@@ -252,44 +252,44 @@
 	for range 3 {
 		againMessages, againBytes := run()
 		if diff := cmp.Diff([]int{messages, bytes}, []int{againMessages, againBytes}); diff != "" {
-			t.Errorf("runs differ:\n%s", diff)
+			t.Errorf("runs with the same seed differ (-first +again):\n%s", diff)
 		}
 	}
 }
 
-// TestScale shows dissemination and detection times at 250 nodes.
+// TestScale checks dissemination and failure detection times with 250 nodes.
 func TestScale(t *testing.T) {
 	const nodes = 250
 	w := newNetwork(1)
 	w.addMany(nodes)
-	joined := w.until(60*time.Second, func() bool { return w.agree(nodes) })
+	joined := w.runUntil(60*time.Second, func() bool { return w.converged(nodes) })
 	w.run(20 * time.Second)
 	w.bytes, w.messages = 0, 0
 	w.run(20 * time.Second)
-	quietBytes, quietMessages := w.bytes/nodes/20, float64(w.messages)/nodes/20
+	idleBytes, idleMessages := w.bytes/nodes/20, float64(w.messages)/nodes/20
 	w.step(address(17), Announced{Record{Kind: RecordDocument, Key: "table", Version: 2}})
-	spread := w.until(10*time.Second, func() bool { return w.holding(RecordDocument, "table", 2) == nodes })
+	disseminated := w.runUntil(10*time.Second, func() bool { return w.holders(RecordDocument, "table", 2) == nodes })
 	w.kill(address(42))
-	detected := w.until(60*time.Second, func() bool { return w.agree(nodes - 1) })
-	t.Logf("join %v, record on all %v, failure known by all %v, quiet %d B/s %.1f messages/s a node",
-		joined, spread, detected, quietBytes, quietMessages)
-	if joined >= 60*time.Second || spread > 3*time.Second || detected > 30*time.Second {
-		t.Errorf("too slow: join %v, record %v, failure %v", joined, spread, detected)
+	detected := w.runUntil(60*time.Second, func() bool { return w.converged(nodes - 1) })
+	t.Logf("join %v, dissemination %v, failure detection %v, idle %d B/s and %.1f messages/s per node",
+		joined, disseminated, detected, idleBytes, idleMessages)
+	if joined >= 60*time.Second || disseminated > 3*time.Second || detected > 30*time.Second {
+		t.Errorf("too slow: join %v, dissemination %v, failure detection %v", joined, disseminated, detected)
 	}
 }
 
-// coreOfMany makes a core that has just been told of many members.
-func coreOfMany(members int) *Core {
+// coreWithMembers returns a core that has just received many members by gossip.
+func coreWithMembers(members int) *Core {
 	core := NewCore(CoreOptions{Self: topology.Member{ID: "self", PeerAddress: "self:1"}})
-	told := Message{Kind: MessageGossip, From: topology.Member{ID: "b", PeerAddress: "b:1"}}
+	gossip := Message{Kind: MessageGossip, From: topology.Member{ID: "b", PeerAddress: "b:1"}}
 	for i := range members {
-		told.Members = append(told.Members, topology.Member{ID: fmt.Sprintf("node-%04d", i), PeerAddress: address(i)})
+		gossip.Members = append(gossip.Members, topology.Member{ID: fmt.Sprintf("node-%04d", i), PeerAddress: address(i)})
 	}
-	core.Step(0, Received{told})
+	core.Step(0, Received{gossip})
 	return core
 }
 
-func TestNewsEndsWhereARandomPeerKnowsAll(t *testing.T) {
+func TestEqualDigestDropsOldRumors(t *testing.T) {
 	const old = 20 * time.Second
 	cases := []struct {
 		name   string
@@ -297,56 +297,56 @@
 		digest func(own []uint64) []uint64
 		want   bool
 	}{
-		{"old news, and the peer knows all", old, func(own []uint64) []uint64 { return own }, false},
-		{"old news, and the peer does not know all", old, func(own []uint64) []uint64 { return make([]uint64, len(own)) }, true},
-		{"fresh news, and the peer knows all", time.Second, func(own []uint64) []uint64 { return own }, true},
+		{"old rumors, equal digest", old, func(own []uint64) []uint64 { return own }, false},
+		{"old rumors, different digest", old, func(own []uint64) []uint64 { return make([]uint64, len(own)) }, true},
+		{"fresh rumors, equal digest", time.Second, func(own []uint64) []uint64 { return own }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			core := coreOfMany(100)
-			asked := Message{Kind: MessageSync, From: topology.Member{ID: "b", PeerAddress: "b:1"}, Digest: test.digest(core.registry.digest())}
-			core.Step(test.at, Received{asked})
+			core := coreWithMembers(100)
+			request := Message{Kind: MessageSync, From: topology.Member{ID: "b", PeerAddress: "b:1"}, Digest: test.digest(core.registry.digest())}
+			core.Step(test.at, Received{request})
 			if core.HasPendingRumors() != test.want {
-				t.Errorf("spreading %v, want %v", core.HasPendingRumors(), test.want)
+				t.Errorf("pending rumors %v, want %v", core.HasPendingRumors(), test.want)
 			}
 		})
 	}
 }
 
-func TestRumorRateDoesNotHoldUpDocuments(t *testing.T) {
+func TestRumorRateExemptsRecords(t *testing.T) {
 	const rounds, messages = 5, 100
-	core := coreOfMany(1000)
+	core := coreWithMembers(1000)
 	core.Step(0, Announced{Record{Kind: RecordDocument, Key: "table", Version: 4}})
 	members, records := 0, 0
 	for round := range rounds {
 		for range messages {
-			asked := Received{Message{Kind: MessagePing, From: topology.Member{ID: "b", PeerAddress: "b:1"}}}
-			reply := core.Step(time.Duration(round)*time.Second, asked).Reply
+			request := Received{Message{Kind: MessagePing, From: topology.Member{ID: "b", PeerAddress: "b:1"}}}
+			reply := core.Step(time.Duration(round)*time.Second, request).Reply
 			records += len(reply.Records)
 			for _, member := range reply.Members {
 				members += memberSize(member)
 			}
 		}
 	}
-	if most := allowanceMessages*core.timing.RumorBytes + rounds*core.timing.RumorRate; members > most || members == 0 {
-		t.Errorf("%d bytes of rumors were sent in %d s, want at most %d", members, rounds, most)
+	if most := rumorBudgetMessages*core.timing.RumorBytes + rounds*core.timing.RumorRate; members > most || members == 0 {
+		t.Errorf("%d bytes of member rumors sent in %d s, want at most %d", members, rounds, most)
 	}
-	if want := newsLimit(core.LiveCount()); records != want {
-		t.Errorf("the document was told of %d times, want %d", records, want)
+	if want := recordTransmitLimit(core.LiveCount()); records != want {
+		t.Errorf("document record sent %d times, want %d", records, want)
 	}
 }
 
-func TestDocumentIsAnnouncedByThoseWhoHaveIt(t *testing.T) {
+func TestDocumentRecordNotRelayedBeforeFetch(t *testing.T) {
 	core := NewCore(CoreOptions{Self: topology.Member{ID: "a", PeerAddress: "a:1"}})
 	record := Record{Kind: RecordDocument, Key: "table", Version: 4}
-	told := Received{Message{Kind: MessageGossip, From: topology.Member{ID: "b", PeerAddress: "b:1"}, Records: []Record{record}}}
-	for range 2 { // reported until the document is had
-		if ready := core.Step(0, told); len(ready.Learned) != 1 || len(ready.Reply.Records) != 0 {
-			t.Errorf("learned %v and passed on %v before the document was fetched", ready.Learned, ready.Reply.Records)
+	gossip := Received{Message{Kind: MessageGossip, From: topology.Member{ID: "b", PeerAddress: "b:1"}, Records: []Record{record}}}
+	for range 2 { // reported until the document has been fetched
+		if ready := core.Step(0, gossip); len(ready.Learned) != 1 || len(ready.Reply.Records) != 0 {
+			t.Errorf("learned %v, sent %v before the document was fetched", ready.Learned, ready.Reply.Records)
 		}
 	}
 	core.Step(0, Announced{record})
-	if ready := core.Step(0, told); len(ready.Learned) != 0 || len(ready.Reply.Records) != 1 {
-		t.Errorf("learned %v and passed on %v after it was announced", ready.Learned, ready.Reply.Records)
+	if ready := core.Step(0, gossip); len(ready.Learned) != 0 || len(ready.Reply.Records) != 1 {
+		t.Errorf("learned %v, sent %v after it was announced", ready.Learned, ready.Reply.Records)
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -4,14 +4,14 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// receive handles a request and makes its reply.
+// receive handles a request and returns the reply.
 func (c *Core) receive(message Message) Message {
 	reply := Message{Kind: MessageReply, From: c.self}
 	if message.From.ID == "" || message.From.ID == c.self.ID {
 		return reply
 	}
 	c.merge(message.From, false)
-	c.reached(message.From.ID)
+	c.resolveProbe(message.From.ID)
 	c.mergeRequest(message)
 	switch message.Kind {
 	case MessageSync:
@@ -19,9 +19,9 @@
 	case MessagePingRequest:
 		c.sendFor(message.From, message.Target.PeerAddress, message.Target.ID, c.ping(message.Target))
 	case MessageIndirectAck:
-		c.reached(message.Target.ID)
+		c.resolveProbe(message.Target.ID)
 	}
-	c.contradict(&reply, message.From)
+	c.addSuperseding(&reply, message.From)
 	c.addRumors(&reply)
 	reply.From = c.self
 	return reply
@@ -29,31 +29,32 @@
 
 func (c *Core) mergeRequest(message Message) {
 	if message.Kind == MessagePush {
-		c.mergeSynchronized(message)
+		c.mergeSync(message)
 		return
 	}
 	c.mergeAll(message, false)
 }
 
-// mergeSynchronized takes entries of a digest exchange.
-func (c *Core) mergeSynchronized(message Message) {
-	c.synchronizing = true
+// mergeSync merges the entries from a digest exchange.
+func (c *Core) mergeSync(message Message) {
+	c.mergingSync = true
 	c.mergeAll(message, true)
-	c.synchronizing = false
+	c.mergingSync = false
 }
 
-// contradict tells a member what is believed of it where that is worse than
-// what it says, so that it can refute.
-func (c *Core) contradict(reply *Message, claimed topology.Member) bool {
-	believed, known := c.registry.member(claimed.ID)
-	if !known || !supersedes(believed, claimed) {
+// addSuperseding adds the current description of a member to a message to it if
+// that supersedes the one it sent, so that it can refute it.
+func (c *Core) addSuperseding(message *Message, claimed topology.Member) bool {
+	current, known := c.registry.member(claimed.ID)
+	if !known || !supersedes(current, claimed) {
 		return false
 	}
-	reply.Members = append(reply.Members, believed)
+	message.Members = append(message.Members, current)
 	return true
 }
 
-func (c *Core) replied(id uint64, reply Message) {
+// handleReply handles the reply to an open exchange.
+func (c *Core) handleReply(id uint64, reply Message) {
 	done, open := c.exchanges[id]
 	if !open {
 		return
@@ -63,10 +64,10 @@
 		return
 	}
 	if done.id != "" && reply.From.ID != done.id {
-		c.replaced(done.id)
+		c.markReplaced(done.id)
 	}
 	c.merge(reply.From, false)
-	c.reached(reply.From.ID)
+	c.resolveProbe(reply.From.ID)
 	if done.kind == MessageSync {
 		c.finishSync(done, reply)
 	} else {
@@ -75,28 +76,30 @@
 	if done.origin.ID != "" && reply.From.ID == done.id {
 		c.send(done.origin.PeerAddress, done.origin.ID, Message{Kind: MessageIndirectAck, Target: reply.From})
 	}
-	c.warn(reply.From, done.address)
+	c.sendSuperseding(reply.From, done.address)
 }
 
-// warn tells a member that answered that it is believed to be worse off than
-// it says.
-func (c *Core) warn(claimed topology.Member, address string) {
-	warning := Message{Kind: MessageGossip}
-	if c.contradict(&warning, claimed) {
-		c.send(address, claimed.ID, warning)
+// sendSuperseding notifies a member that replied if the current description of it
+// supersedes the one it sent.
+func (c *Core) sendSuperseding(claimed topology.Member, address string) {
+	message := Message{Kind: MessageGossip}
+	if c.addSuperseding(&message, claimed) {
+		c.send(address, claimed.ID, message)
 	}
 }
 
-// replaced marks a member dead whose address answers as another process.
-func (c *Core) replaced(id string) {
+// markReplaced marks a member dead because another process uses its address.
+func (c *Core) markReplaced(id string) {
 	member, known := c.registry.member(id)
 	if known && IsLive(member.State) {
 		member.State = topology.MemberDead
-		c.store(member)
+		c.updateMember(member)
 	}
 }
 
-func (c *Core) failed(id uint64) {
+// handleFailure handles a request without a reply. A failed ping is followed by
+// indirect probes at once.
+func (c *Core) handleFailure(id uint64) {
 	done, open := c.exchanges[id]
 	if !open {
 		return
@@ -107,21 +110,20 @@
 	}
 	own := done.kind == MessagePing && done.origin.ID == ""
 	if own && c.probe != nil && c.probe.target.ID == done.id && !c.probe.resolved && !c.probe.indirect {
-		c.askOthers()
+		c.sendIndirectProbes()
 	}
 }
 
-func (c *Core) mergeAll(message Message, doubtful bool) {
+func (c *Core) mergeAll(message Message, fromSync bool) {
 	for _, member := range message.Members {
-		c.merge(member, doubtful)
+		c.merge(member, fromSync)
 	}
 	for _, record := range message.Records {
 		c.mergeRecord(record, message.From.PeerAddress)
 	}
 }
 
-// supersedes tells whether the first description of a member replaces the
-// second.
+// supersedes reports whether description a of a member takes precedence over b.
 func supersedes(a, b topology.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -129,10 +131,10 @@
 	return a.State > b.State
 }
 
-// merge takes a description of a member. A doubtful one comes out of a
-// digest exchange, perhaps over a healed cut, where "dead" may only mean
-// "was cut off": it counts as suspicion, which the member can refute.
-func (c *Core) merge(member topology.Member, doubtful bool) {
+// merge applies a description of a member received from a peer. In one from a
+// digest exchange, a dead member counts as suspect: after a network partition, it
+// may have been unreachable only, and can still refute.
+func (c *Core) merge(member topology.Member, fromSync bool) {
 	if member.ID == "" || member.State > topology.MemberLeft {
 		return
 	}
@@ -140,139 +142,139 @@
 		c.refute(member)
 		return
 	}
-	believed, known := c.registry.member(member.ID)
+	current, known := c.registry.member(member.ID)
 	if !known {
-		c.welcome(member)
+		c.addMember(member)
 		return
 	}
-	if doubtful && member.State == topology.MemberDead && believed.State <= topology.MemberSuspect {
+	if fromSync && member.State == topology.MemberDead && current.State <= topology.MemberSuspect {
 		member.State = topology.MemberSuspect
 	}
-	if supersedes(member, believed) {
-		c.store(member)
+	if supersedes(member, current) {
+		c.updateMember(member)
 	}
 }
 
-// welcome takes a member that was not known. The tombstones of others are not
-// taken over, or they would never be forgotten.
-func (c *Core) welcome(member topology.Member) {
+// addMember adds an unknown member. It ignores tombstones, which would otherwise
+// circulate between daemons forever.
+func (c *Core) addMember(member topology.Member) {
 	if !IsLive(member.State) {
 		return
 	}
-	c.retireNamesake(member)
-	c.store(member)
+	c.markPreviousReplaced(member)
+	c.updateMember(member)
 }
 
-// retireNamesake marks an earlier process at a new member's address dead.
-func (c *Core) retireNamesake(member topology.Member) {
-	id, occupied := c.occupants[member.PeerAddress]
+// markPreviousReplaced marks the previous process at a new member's address dead.
+func (c *Core) markPreviousReplaced(member topology.Member) {
+	id, occupied := c.idsByAddress[member.PeerAddress]
 	if occupied && id != member.ID {
-		c.replaced(id)
+		c.markReplaced(id)
 	}
 }
 
-// refute raises this daemon's incarnation over what is said of it.
+// refute raises this daemon's incarnation above that of a claim that supersedes it.
 func (c *Core) refute(claimed topology.Member) {
 	if !supersedes(claimed, c.self) || c.self.State == topology.MemberLeft {
 		return
 	}
 	changed := c.self
 	changed.Incarnation = claimed.Incarnation + 1
-	c.store(changed)
+	c.updateMember(changed)
 }
 
-// store replaces what is believed of a member and starts to spread it.
-func (c *Core) store(member topology.Member) {
-	before, known := c.registry.member(member.ID)
+// updateMember stores a member's description and queues it as a rumor.
+func (c *Core) updateMember(member topology.Member) {
+	previous, known := c.registry.member(member.ID)
 	changed := &entry{key: entryKey{key: member.ID}, member: member, since: c.now}
 	c.registry.put(changed)
-	c.rumors.add(changed, c.alreadySent())
+	c.memberRumors.add(changed, c.initialTransmits())
 	if member.ID == c.self.ID {
 		c.self = member
 	} else {
-		c.follow(member)
+		c.updateProbing(member)
 	}
-	if !known || before.State != member.State || before.PeerAddress != member.PeerAddress {
-		c.ready.Transitions = append(c.ready.Transitions, Transition{Member: member, Before: before.State, New: !known})
+	if !known || previous.State != member.State || previous.PeerAddress != member.PeerAddress {
+		c.ready.Transitions = append(c.ready.Transitions, Transition{Member: member, Before: previous.State, New: !known})
 	}
 }
 
-// alreadySent is how often a changed member counts as sent.
-func (c *Core) alreadySent() int {
-	if c.synchronizing {
-		return transmitLimit(c.registry.live) - oldNewsTransmits
+// initialTransmits returns the transmit count with which a changed member is queued.
+// One learned by synchronization is rarely new to others, so it has few left.
+func (c *Core) initialTransmits() int {
+	if c.mergingSync {
+		return transmitLimit(c.registry.live) - syncedMemberTransmits
 	}
 	return 0
 }
 
-// follow keeps the round of probes and the suspicion timers in step.
-func (c *Core) follow(member topology.Member) {
+// updateProbing updates the probe order and suspicion deadlines for a changed member.
+func (c *Core) updateProbing(member topology.Member) {
 	if IsLive(member.State) {
-		c.joinRound(member.ID)
-		c.occupants[member.PeerAddress] = member.ID
-	} else if c.occupants[member.PeerAddress] == member.ID {
-		delete(c.occupants, member.PeerAddress)
+		c.addToProbeOrder(member.ID)
+		c.idsByAddress[member.PeerAddress] = member.ID
+	} else if c.idsByAddress[member.PeerAddress] == member.ID {
+		delete(c.idsByAddress, member.PeerAddress)
 	}
 	if member.State == topology.MemberSuspect {
-		c.suspected[member.ID] = c.now + c.timing.suspicionTimeout(c.registry.live)
+		c.suspicionDeadlines[member.ID] = c.now + c.timing.suspicionTimeout(c.registry.live)
 	} else {
-		delete(c.suspected, member.ID)
+		delete(c.suspicionDeadlines, member.ID)
 	}
 }
 
-// announce spreads a record that starts here.
+// announce stores and disseminates a record that originates at this daemon.
 func (c *Core) announce(record Record) {
 	record.AgeSeconds = 0
-	c.keepRecord(record)
+	c.storeRecord(record)
 }
 
-// mergeRecord takes a record that a peer tells of. One of a document is only
-// reported: this daemon announces it itself once it has the document, so that
-// who announces a revision can always give it. Until then each message that
-// tells of it reports it again.
+// mergeRecord applies a record received from a peer. A document's record is only
+// reported, on each receipt, until the caller has fetched the document and announces
+// the record: a daemon that announces a revision must be able to serve it.
 func (c *Core) mergeRecord(record Record, from string) {
 	isNew := false
 	if record.Kind == RecordDocument {
-		isNew = c.acceptable(record)
+		isNew = c.acceptsRecord(record)
 	} else {
-		isNew = c.keepRecord(record)
+		isNew = c.storeRecord(record)
 	}
 	if isNew {
 		c.ready.Learned = append(c.ready.Learned, Learned{Record: record, From: from})
 	}
 }
 
-// acceptable tells whether a record is valid, newer than the one held, and
-// not expired.
-func (c *Core) acceptable(record Record) bool {
+// acceptsRecord reports whether a record is valid, not expired and newer than the
+// stored one.
+func (c *Core) acceptsRecord(record Record) bool {
 	if record.Kind < RecordDocument || record.Kind > RecordStoreMark {
 		return false
 	}
-	if recordSize(record) > maximumRecordBytes {
+	if recordSize(record) > maxRecordBytes {
 		return false
 	}
-	held := c.registry.get(entryKey{kind: record.Kind, key: record.Key})
+	stored := c.registry.get(entryKey{kind: record.Kind, key: record.Key})
 	switch {
-	case held != nil && held.record.Version >= record.Version:
+	case stored != nil && stored.record.Version >= record.Version:
 		return false
-	case held == nil && c.registry.records >= maximumRecords:
+	case stored == nil && c.registry.records >= maxRecords:
 		return false
 	default:
-		return !expired(c.entryOf(record), record.age(), c.timing)
+		return !expired(c.newRecordEntry(record), record.age(), c.timing)
 	}
 }
 
-func (c *Core) entryOf(record Record) *entry {
+func (c *Core) newRecordEntry(record Record) *entry {
 	return &entry{key: entryKey{kind: record.Kind, key: record.Key}, record: &record, since: c.now - record.age()}
 }
 
-// keepRecord stores a record that is newer than the one held.
-func (c *Core) keepRecord(record Record) bool {
-	if !c.acceptable(record) {
+// storeRecord stores and queues a record, and reports whether it was accepted.
+func (c *Core) storeRecord(record Record) bool {
+	if !c.acceptsRecord(record) {
 		return false
 	}
-	kept := c.entryOf(record)
+	kept := c.newRecordEntry(record)
 	c.registry.put(kept)
-	c.news.add(kept, 0)
+	c.recordRumors.add(kept, 0)
 	return true
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -6,77 +6,77 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// RecordKind says what a Record is about.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
-// The kinds of record.
+// The kinds of records.
 const (
 	// RecordDocument: Key is a document's name, Version its revision.
 	RecordDocument RecordKind = iota + 1
 	// RecordReplicaLeaving: Key is "address|incarnation" of a replica.
 	RecordReplicaLeaving
-	// RecordStoreMark: Key is StoreMarkKey, Version a packed once.Mark, which
-	// says how new the store must be.
+	// RecordStoreMark: Key is StoreMarkKey, Version a packed once.Mark, the
+	// minimum state that the store must have reached.
 	RecordStoreMark
 )
 
-// StoreMarkKey is the one key of RecordStoreMark.
+// StoreMarkKey is the only key of RecordStoreMark.
 const StoreMarkKey = "store"
 
-// Record is a small versioned fact that every daemon should know. Of two
-// records of the same kind and key the higher version wins.
+// Record is a small versioned value that is replicated to every daemon. Of two
+// records with the same kind and key, the one with the higher version wins.
 type Record struct {
 	Kind    RecordKind `msgpack:"k"`
 	Key     string     `msgpack:"y"`
 	Version uint64     `msgpack:"v"`
 	Value   []byte     `msgpack:"b,omitempty"`
-	// AgeSeconds travels with the record, so that an expired record is not
-	// brought back by a daemon that learned of it late.
+	// AgeSeconds is sent with the record, so that a daemon that received it late
+	// does not reintroduce it after it has expired elsewhere.
 	AgeSeconds uint32 `msgpack:"g,omitempty"`
 }
 
 func (r Record) age() time.Duration { return time.Duration(r.AgeSeconds) * time.Second }
 
-// MessageKind says what a Message asks or answers.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
-// The kinds of message. Each but MessageReply is a request and is answered by
-// a MessageReply.
+// The kinds of messages. All but MessageReply are requests, to which the receiver
+// responds with a MessageReply.
 const (
-	// MessagePing asks whether the receiver lives, and carries rumors.
+	// MessagePing probes the receiver.
 	MessagePing MessageKind = iota + 1
-	// MessagePingRequest asks the receiver to ping Target for the sender.
+	// MessagePingRequest asks the receiver to ping Target on behalf of the sender.
 	MessagePingRequest
-	// MessageIndirectAck says that Target has answered the sender.
+	// MessageIndirectAck reports that Target replied to the sender's ping.
 	MessageIndirectAck
-	// MessageGossip carries rumors only.
+	// MessageGossip carries only rumors.
 	MessageGossip
-	// MessageSync carries a Digest and asks for what differs.
+	// MessageSync carries a Digest and requests the entries that differ.
 	MessageSync
-	// MessagePush carries what the sender of a MessageSync knows better.
+	// MessagePush carries the entries that the peer of a MessageSync lacks.
 	MessagePush
-	// MessageReply answers any of the others.
+	// MessageReply is the response to a request.
 	MessageReply
 )
 
 // DigestBuckets is the number of buckets in a digest.
 const DigestBuckets = 64
 
-// Message is what two daemons exchange; it travels as msgpack.
+// Message is a request or reply between daemons, encoded as msgpack.
 type Message struct {
 	Kind MessageKind     `msgpack:"k"`
 	From topology.Member `msgpack:"f"`
-	// Target is the member asked about, for MessagePingRequest and
+	// Target is the probed member, for MessagePingRequest and
 	// MessageReached.
 	Target topology.Member `msgpack:"t"`
-	// Members and Records are rumors, or the entries of Buckets.
+	// Members and Records are rumors, and the entries of Buckets.
 	Members []topology.Member `msgpack:"m,omitempty"`
 	Records []Record          `msgpack:"r,omitempty"`
-	// Digest has DigestBuckets hashes, one a bucket.
+	// Digest contains one hash for each of the DigestBuckets buckets.
 	Digest []uint64 `msgpack:"d,omitempty"`
-	// Buckets names the buckets whose entries are all in the message.
+	// Buckets lists the buckets whose entries are all in the message.
 	Buckets []int `msgpack:"u,omitempty"`
-	// More is true when further buckets differ.
+	// More is true if more buckets differ.
 	More bool `msgpack:"o,omitempty"`
 }
 
@@ -92,7 +92,7 @@
 	return size
 }
 
-// fieldOverhead covers the msgpack field names and headers of one entry.
+// fieldOverhead is the estimated size of the msgpack field names and headers of an entry.
 const fieldOverhead = 36
 
 func memberSize(member topology.Member) int {
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -12,7 +12,7 @@
 	outcomeSkipped = "skipped"
 )
 
-// metrics are the counters of one node.
+// metrics are the metrics of a Node.
 type metrics struct {
 	exchanges   *prometheus.CounterVec
 	transitions *prometheus.CounterVec
@@ -45,11 +45,11 @@
 	return m
 }
 
-func (m *metrics) exchanged(kind MessageKind, outcome string) {
+func (m *metrics) countExchange(kind MessageKind, outcome string) {
 	m.exchanges.WithLabelValues(kind.String(), outcome).Inc()
 }
 
-// String returns the kind's name in metrics.
+// String returns the kind's label value in metrics.
 func (k MessageKind) String() string {
 	switch k {
 	case MessagePing:
@@ -71,7 +71,7 @@
 	}
 }
 
-// StateName returns a member state's name in logs, metrics and pages.
+// StateName returns a member state's name in logs, metrics and status pages.
 func StateName(state topology.MemberState) string {
 	switch state {
 	case topology.MemberAlive:
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -13,22 +13,22 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Transport makes one request of the internal protocol. The error says that
-// no reply came; the receiver may still have had the message.
+// Transport sends a request to a peer and returns the reply. On an error, the
+// receiver may still have handled the request.
 type Transport interface {
 	Exchange(ctx context.Context, address string, message Message) (Message, error)
 }
 
-// NodeOptions configure a Node. Self, Transport and Board are needed.
+// NodeOptions configure a Node. Self, Transport and Board are required.
 type NodeOptions struct {
 	Self topology.Member
-	// Seeds returns the addresses at which other daemons may be found; it is
-	// asked now and then and must not block. Nil means none.
+	// Seeds returns addresses at which other daemons may be running. It is called
+	// periodically and must not block. Nil means none.
 	Seeds     func() []string
 	Transport Transport
-	// Board's section Members is written on each change.
+	// Board is where changes of the members are published, in its section Members.
 	Board *blackboard.Board
-	// Now is the monotonic time; nil means time.Since the start.
+	// Now returns the monotonic time; nil means the time since NewNode was called.
 	Now        func() time.Duration
 	Timing     Timing
 	RandomSeed uint64
@@ -37,16 +37,16 @@
 }
 
 const (
-	// maximumConcurrentExchanges bounds the requests under way.
-	maximumConcurrentExchanges = 16
-	// seedsInterval between two looks at the seeds.
+	// maxConcurrentExchanges is the maximum number of concurrent requests.
+	maxConcurrentExchanges = 16
+	// seedsInterval is the interval between calls of Seeds.
 	seedsInterval = 5 * time.Second
-	// publishInterval is the least time between two publications.
+	// publishInterval is the minimum interval between publications.
 	publishInterval = 100 * time.Millisecond
-	// leavePoll is how often Leave looks whether the news has spread.
-	leavePoll = 50 * time.Millisecond
-	// farewellTimeout bounds the last messages of a node that has left.
-	farewellTimeout = time.Second
+	// leavePollInterval is the interval at which Leave checks for pending rumors.
+	leavePollInterval = 50 * time.Millisecond
+	// leaveMessageTimeout limits the last messages of a node that has left.
+	leaveMessageTimeout = time.Second
 )
 
 // Node runs a Core with timers and a Transport.
@@ -56,17 +56,17 @@
 	logger  *slog.Logger
 	wake    chan struct{}
 
-	mutex  sync.Mutex
-	core   *Core
-	notify []func(Record, string)
-	// unpublished is true while changes wait for the next publication.
+	mutex          sync.Mutex
+	core           *Core
+	recordHandlers []func(Record, string)
+	// unpublished is true while changes are to be published.
 	unpublished bool
 	publishedAt time.Duration
-	// outbox holds sends of steps made outside Run.
+	// outbox contains the requests that the loop has not started yet.
 	outbox []Send
 }
 
-// NewNode makes a node that knows only itself, and publishes that.
+// NewNode returns a Node that knows only itself, and publishes that.
 func NewNode(options NodeOptions) *Node {
 	if options.Now == nil {
 		start := time.Now()
@@ -89,37 +89,37 @@
 	return n
 }
 
-// OnRecord adds a function that is called for each record newly learned from
-// a peer, with the peer's address, outside any lock. Call it before Run and
-// before the peer server starts.
-func (n *Node) OnRecord(notify func(record Record, fromPeerAddress string)) {
-	n.notify = append(n.notify, notify)
+// OnRecord registers a handler that is called, without locks held, for each new
+// record received from a peer. It must be called before Run and before the peer
+// server starts.
+func (n *Node) OnRecord(handler func(record Record, fromPeerAddress string)) {
+	n.recordHandlers = append(n.recordHandlers, handler)
 }
 
-// Receive handles a peer's request and returns the reply.
+// Receive handles a request from a peer and returns the reply.
 func (n *Node) Receive(message Message) Message {
 	return n.step(Received{Message: message}).Reply
 }
 
-// Announce spreads a record. One that is not newer than the record known is
-// ignored.
+// Announce disseminates a record. It ignores one that is not newer than the stored
+// record.
 func (n *Node) Announce(record Record) { n.step(Announced{Record: record}) }
 
-// Self returns this daemon as it describes itself now.
+// Self returns this daemon's own description.
 func (n *Node) Self() topology.Member {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core.Self()
 }
 
-// Leave tells the others that this daemon is leaving and returns when a few
-// were told, or when ctx ends. Run must still be running; when it is stopped
-// afterwards, it says goodbye.
+// Leave marks this daemon as leaving and returns when the rumor has been sent to
+// some members, or when ctx is done. Run must be running; when it is stopped after
+// that, it notifies some members that the daemon has left.
 func (n *Node) Leave(ctx context.Context) error {
 	n.step(LeaveRequested{})
-	ticker := time.NewTicker(leavePoll)
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
-	for n.spreading() {
+	for n.hasPendingRumors() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -129,19 +129,19 @@
 	return nil
 }
 
-func (n *Node) spreading() bool {
+func (n *Node) hasPendingRumors() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.core.HasPendingRumors()
 }
 
-// Run keeps the membership until ctx ends, and returns nil then.
+// Run maintains the membership until ctx is done, and then returns nil.
 func (n *Node) Run(ctx context.Context) error {
 	exchanges, exchangeContext := errgroup.WithContext(ctx)
-	exchanges.SetLimit(maximumConcurrentExchanges)
+	exchanges.SetLimit(maxConcurrentExchanges)
 	n.loop(ctx, exchanges, exchangeContext)
-	_ = exchanges.Wait() // the exchanges return no errors
-	n.farewell(ctx)
+	_ = exchanges.Wait() // exchanges return no errors
+	n.completeLeave(ctx)
 	return nil
 }
 
@@ -162,21 +162,21 @@
 		}
 		n.step(Tick{})
 		for _, send := range n.takeOutbox() {
-			n.start(exchanges, exchangeContext, send)
+			n.startExchange(exchanges, exchangeContext, send)
 		}
-		timer.Reset(n.untilWake())
+		timer.Reset(n.untilNextTick())
 	}
 }
 
-// start makes a request in the background, or fails it at once where too many
-// are under way.
-func (n *Node) start(exchanges *errgroup.Group, ctx context.Context, send Send) {
+// startExchange makes a request in the background. If too many are running, the
+// request fails immediately.
+func (n *Node) startExchange(exchanges *errgroup.Group, ctx context.Context, send Send) {
 	started := exchanges.TryGo(func() error {
 		n.exchange(ctx, send)
 		return nil
 	})
 	if !started {
-		n.metrics.exchanged(send.Message.Kind, outcomeSkipped)
+		n.metrics.countExchange(send.Message.Kind, outcomeSkipped)
 		n.step(Failed{Exchange: send.Exchange})
 	}
 }
@@ -186,22 +186,22 @@
 	defer cancel()
 	reply, err := n.options.Transport.Exchange(bounded, send.Address, send.Message)
 	if err != nil {
-		n.metrics.exchanged(send.Message.Kind, outcomeFailed)
+		n.metrics.countExchange(send.Message.Kind, outcomeFailed)
 		n.step(Failed{Exchange: send.Exchange})
 		return
 	}
-	n.metrics.exchanged(send.Message.Kind, outcomeReplied)
+	n.metrics.countExchange(send.Message.Kind, outcomeReplied)
 	n.step(Replied{Exchange: send.Exchange, Message: reply})
 }
 
-// farewell sends the last messages of a node that was told to leave.
-func (n *Node) farewell(ctx context.Context) {
+// completeLeave sends the last messages of a node that is leaving.
+func (n *Node) completeLeave(ctx context.Context) {
 	if n.Self().State != topology.MemberLeaving {
 		return
 	}
 	n.takeOutbox()
 	n.step(LeaveCompleted{})
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), farewellTimeout)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveMessageTimeout)
 	defer cancel()
 	var group errgroup.Group
 	for _, send := range n.takeOutbox() {
@@ -210,10 +210,10 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the exchanges return no errors
+	_ = group.Wait() // exchanges return no errors
 }
 
-// step runs the core and carries out what it asks.
+// step runs one step of the core and handles its result.
 func (n *Node) step(input Input) Ready {
 	n.mutex.Lock()
 	ready := n.core.Step(n.options.Now(), input)
@@ -227,7 +227,7 @@
 	return ready
 }
 
-// signal wakes the loop, which sends the outbox and sets its timer anew.
+// signal wakes the loop, which then sends the outbox and resets its timer.
 func (n *Node) signal() {
 	select {
 	case n.wake <- struct{}{}:
@@ -243,19 +243,19 @@
 	return sends
 }
 
-func (n *Node) untilWake() time.Duration {
+func (n *Node) untilNextTick() time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	wake := n.core.NextTick()
+	next := n.core.NextTick()
 	if n.unpublished {
-		wake = min(wake, n.publishedAt+publishInterval)
+		next = min(next, n.publishedAt+publishInterval)
 	}
-	return max(wake-n.options.Now(), 0)
+	return max(next-n.options.Now(), 0)
 }
 
-// publishIfDueLocked publishes changes at once, but a storm of them, as when
-// all daemons start, once an interval: making the sorted list of thousands of
-// members takes a good part of a millisecond.
+// publishIfDueLocked publishes changes immediately, but at most once per
+// publishInterval, as sorting thousands of members for each of many changes is
+// expensive. n.mutex must be held.
 func (n *Node) publishIfDueLocked(ready Ready) {
 	n.unpublished = n.unpublished || ready.Changed()
 	now := n.options.Now()
@@ -278,18 +278,19 @@
 	n.metrics.members.Set(float64(len(members.Members)))
 }
 
+// report passes on, counts and logs the results of a step.
 func (n *Node) report(ready Ready) {
 	for _, learned := range ready.Learned {
 		n.metrics.records.Inc()
-		for _, notify := range n.notify {
-			notify(learned.Record, learned.From)
+		for _, handler := range n.recordHandlers {
+			handler(learned.Record, learned.From)
 		}
 	}
 	for _, transition := range ready.Transitions {
 		n.logTransition(transition)
 	}
 	if ready.Resumed {
-		n.logger.Warn("process was frozen; asking the peers what has changed")
+		n.logger.Warn("process was suspended; synchronizing with peers")
 	}
 }
 
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -5,65 +5,73 @@
 	"time"
 )
 
-// Timing bounds the protocol in time and bytes. A zero field takes the
-// default.
+// Timing configures the intervals and size limits of the protocol. A zero field
+// means the default.
 type Timing struct {
-	// Period between two probes by one daemon; 1 s.
+	// Period is the interval between probes; default 1 s.
 	Period time.Duration
-	// ProbeTimeout is when indirect probes are sent; half of Period.
+	// ProbeTimeout is the time after which indirect probes are sent; default half
+	// of Period.
 	ProbeTimeout time.Duration
-	// GossipInterval between rounds while there is fresh news; 200 ms.
+	// GossipInterval is the interval between gossip rounds while rumors are
+	// pending; default 200 ms.
 	GossipInterval time.Duration
-	// SyncInterval between digest exchanges; 10 s.
+	// SyncInterval is the interval between digest exchanges; default 10 s.
 	SyncInterval time.Duration
-	// SyncChunkInterval between the parts of a long synchronization; 500 ms.
+	// SyncChunkInterval is the interval between the parts of a synchronization
+	// that exceeds SyncBytes; default 500 ms.
 	SyncChunkInterval time.Duration
-	// ReconnectInterval between attempts to reach addresses that are not
-	// live members; 10 s.
+	// ReconnectInterval is the interval between attempts to reach seeds and dead
+	// members; default 10 s.
 	ReconnectInterval time.Duration
-	// TombstoneRetention is how long dead members are remembered; 10 min.
+	// TombstoneRetention is the time for which members that are dead or have left
+	// are kept; default 10 min.
 	TombstoneRetention time.Duration
-	// RecordRetention is the age at which a record of a leaving replica is
-	// forgotten; 1 h.
+	// RecordRetention is the time for which the record of a leaving replica is
+	// kept; default 1 h.
 	RecordRetention time.Duration
-	// RumorBytes bounds the rumors in one message; 1200.
+	// RumorBytes is the maximum size of the rumors in a message; default 1200.
 	RumorBytes int
-	// RumorRate bounds the bytes of rumors about members that a daemon sends in
-	// a second; 6144. What does not fit comes by synchronization.
+	// RumorRate is the maximum rate of member rumors in bytes per second; default
+	// 6144. Changes in excess of it reach the other daemons by synchronization.
 	RumorRate int
-	// SyncBytes bounds the entries in one synchronization message; 16384.
+	// SyncBytes is the size of entries after which a synchronization message is
+	// split; default 16384.
 	SyncBytes int
 }
 
 const (
-	indirectProbes       = 3
-	gossipFanout         = 3
-	leastTransmits       = 6
-	newsMultiplier       = 3
-	suspicionMultiplier  = 4
-	resumePeriods        = 5
-	joinFanout           = 3
-	maximumRecords       = 1 << 16
-	maximumRecordBytes   = 1 << 10
-	maximumExchangesOpen = 256
+	indirectProbes           = 3
+	gossipFanout             = 3
+	minTransmits             = 6
+	recordTransmitMultiplier = 3
+	suspicionMultiplier      = 4
+	// resumePeriods is the gap between ticks, in periods, from which on the process
+	// is taken to have been suspended.
+	resumePeriods    = 5
+	joinFanout       = 3
+	maxRecords       = 1 << 16
+	maxRecordBytes   = 1 << 10
+	maxOpenExchanges = 256
 
-	// allowanceMessages full messages of rumors may be saved up.
-	allowanceMessages = 8
-	// leastRumorBytes of the allowance are needed for a rumor.
-	leastRumorBytes = 150
-	// gossipWorth bytes of allowance are worth a round without news.
-	gossipWorth = 600
-	// busySyncChanges members that a synchronization changed make another one
-	// worth while at once.
-	busySyncChanges = 4
+	// rumorBudgetMessages is the capacity of the rumor budget, in full messages.
+	rumorBudgetMessages = 8
+	// minRumorBudget is the minimum budget in bytes to add member rumors to a message.
+	minRumorBudget = 150
+	// minGossipBudget is the minimum budget in bytes for a gossip round without
+	// record rumors.
+	minGossipBudget = 600
+	// earlySyncChanges is the number of member changes in a synchronization from
+	// which on the next one is brought forward.
+	earlySyncChanges = 4
 
-	// oldNewsTransmits is how often a member is told of that was learned by
-	// synchronization, which is rarely news to others.
-	oldNewsTransmits = 2
+	// syncedMemberTransmits is how often a member change learned by synchronization
+	// is sent. Most other daemons already know it.
+	syncedMemberTransmits = 2
 
-	// records take up to newsPart/newsWhole of the rumors of a message
-	newsPart  = 3
-	newsWhole = 4
+	// Records may use recordShareNumerator/recordShareDenominator of RumorBytes.
+	recordShareNumerator   = 3
+	recordShareDenominator = 4
 )
 
 func (t Timing) withDefaults() Timing {
@@ -87,26 +95,27 @@
 	return t
 }
 
+// setDuration sets a zero field to a default value.
 func setDuration(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-// suspicionTimeout grows with the logarithm of the number of members, as the
-// refutation needs that long to reach everyone.
+// suspicionTimeout returns the time in which a suspect can refute. It grows with the
+// logarithm of the number of members, like the time for rumors to reach all of them.
 func (t Timing) suspicionTimeout(members int) time.Duration {
 	scale := math.Max(1, math.Log10(float64(members)))
 	return time.Duration(suspicionMultiplier * scale * float64(t.Period))
 }
 
-// newsLimit is how often one daemon sends a record: first in quick rounds, up
-// to transmitLimit, then on the messages that go out anyhow.
-func newsLimit(members int) int { return newsMultiplier * transmitLimit(members) }
+// recordTransmitLimit returns how often a daemon sends a record rumor: in gossip
+// rounds up to transmitLimit, and after that only piggybacked on other messages.
+func recordTransmitLimit(members int) int { return recordTransmitMultiplier * transmitLimit(members) }
 
-// transmitLimit is how often one rumor about a member is sent by one daemon.
-// A rumor that each of n daemons sends k times to random others misses about
-// n/e^k; these learn of it by synchronization.
+// transmitLimit returns how often a daemon sends a member rumor. If each of n daemons
+// sends it k times to random peers, about n/e^k do not receive it and learn of the
+// change by synchronization.
 func transmitLimit(members int) int {
-	return max(leastTransmits, int(math.Ceil(math.Log2(float64(members+1)))))
+	return max(minTransmits, int(math.Ceil(math.Log2(float64(members+1)))))
 }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -6,7 +6,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// startProbe pings the next member of the shuffled round.
+// startProbe pings the next member in the probe order.
 func (c *Core) startProbe() {
 	target, found := c.nextTarget()
 	if !found {
@@ -17,7 +17,8 @@
 	c.send(target.PeerAddress, target.ID, c.ping(target))
 }
 
-// ping makes a ping that tells the target of any doubt about it.
+// ping returns a ping for a member, with its description if that is not alive, so
+// that it can refute.
 func (c *Core) ping(target topology.Member) Message {
 	message := Message{Kind: MessagePing}
 	if target.State != topology.MemberAlive {
@@ -26,18 +27,18 @@
 	return message
 }
 
-// nextTarget walks the round, shuffling again at its end and dropping those
-// that no longer live.
+// nextTarget returns the next live member in the probe order, which is shuffled
+// again at its end.
 func (c *Core) nextTarget() (topology.Member, bool) {
-	for range len(c.order) + 1 {
-		if c.cursor >= len(c.order) {
-			c.shuffle()
+	for range len(c.probeOrder) + 1 {
+		if c.probeIndex >= len(c.probeOrder) {
+			c.shuffleProbeOrder()
 		}
-		if len(c.order) == 0 {
+		if len(c.probeOrder) == 0 {
 			return topology.Member{}, false
 		}
-		member, known := c.registry.member(c.order[c.cursor])
-		c.cursor++
+		member, known := c.registry.member(c.probeOrder[c.probeIndex])
+		c.probeIndex++
 		if known && IsLive(member.State) {
 			return member, true
 		}
@@ -45,52 +46,55 @@
 	return topology.Member{}, false
 }
 
-func (c *Core) shuffle() {
-	c.order = slices.DeleteFunc(c.order, func(id string) bool {
+// shuffleProbeOrder removes members that are no longer live and shuffles the rest.
+func (c *Core) shuffleProbeOrder() {
+	c.probeOrder = slices.DeleteFunc(c.probeOrder, func(id string) bool {
 		member, known := c.registry.member(id)
-		gone := !known || !IsLive(member.State)
-		if gone {
-			delete(c.inRound, id)
+		remove := !known || !IsLive(member.State)
+		if remove {
+			delete(c.inProbeOrder, id)
 		}
-		return gone
+		return remove
 	})
-	c.random.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
-	c.cursor = 0
+	c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
+	c.probeIndex = 0
 }
 
-// joinRound puts a new member at a random place of the round.
-func (c *Core) joinRound(id string) {
-	if c.inRound[id] {
+// addToProbeOrder inserts a new member at a random index of the probe order.
+func (c *Core) addToProbeOrder(id string) {
+	if c.inProbeOrder[id] {
 		return
 	}
-	c.inRound[id] = true
-	at := c.random.IntN(len(c.order) + 1)
-	c.order = slices.Insert(c.order, at, id)
-	if at < c.cursor {
-		c.cursor++
+	c.inProbeOrder[id] = true
+	at := c.random.IntN(len(c.probeOrder) + 1)
+	c.probeOrder = slices.Insert(c.probeOrder, at, id)
+	if at < c.probeIndex {
+		c.probeIndex++
 	}
 }
 
-// probeIndirectly asks others to ping the target once the direct ping failed
-// or took too long.
-func (c *Core) probeIndirectly() {
+// checkProbeTimeout sends indirect probes if the ping has not been answered within
+// ProbeTimeout.
+func (c *Core) checkProbeTimeout() {
 	if c.probe == nil || c.probe.resolved || c.probe.indirect {
 		return
 	}
 	if c.now-c.probe.sentAt < c.timing.ProbeTimeout {
 		return
 	}
-	c.askOthers()
+	c.sendIndirectProbes()
 }
 
-func (c *Core) askOthers() {
+// sendIndirectProbes requests random peers to ping the target.
+func (c *Core) sendIndirectProbes() {
 	c.probe.indirect = true
 	for _, helper := range c.randomPeers(indirectProbes, c.probe.target.ID) {
 		c.send(helper.PeerAddress, helper.ID, Message{Kind: MessagePingRequest, Target: c.probe.target})
 	}
 }
 
-// endProbe suspects the target of a probe that nobody answered.
+// endProbe changes the state of the target of an unanswered probe: an alive member
+// becomes suspect, a leaving one dead.
 func (c *Core) endProbe() {
 	if c.probe == nil || c.probe.resolved {
 		return
@@ -102,44 +106,44 @@
 	switch member.State {
 	case topology.MemberAlive:
 		member.State = topology.MemberSuspect
-		c.store(member)
+		c.updateMember(member)
 	case topology.MemberLeaving:
 		member.State = topology.MemberDead
-		c.store(member)
+		c.updateMember(member)
 	}
 }
 
-// expireSuspicions declares dead those who did not refute in time.
+// expireSuspicions declares suspects dead that have not refuted in time.
 func (c *Core) expireSuspicions() {
 	var due []string
-	for id, deadline := range c.suspected {
+	for id, deadline := range c.suspicionDeadlines {
 		if c.now >= deadline {
 			due = append(due, id)
 		}
 	}
 	slices.Sort(due)
 	for _, id := range due {
-		delete(c.suspected, id)
+		delete(c.suspicionDeadlines, id)
 		member, known := c.registry.member(id)
 		if known && member.State == topology.MemberSuspect {
 			member.State = topology.MemberDead
-			c.store(member)
+			c.updateMember(member)
 		}
 	}
 }
 
-// reached resolves the probe of a member that answered somebody.
-func (c *Core) reached(id string) {
+// resolveProbe resolves the current probe if the member is its target.
+func (c *Core) resolveProbe(id string) {
 	if c.probe != nil && c.probe.target.ID == id {
 		c.probe.resolved = true
 	}
 }
 
-// gossip tells a few members the fresh news. While the allowance is spent,
-// rumors about members wait for other messages.
+// gossip sends rumors to a few random members. It skips the round if there are no
+// record rumors to send and too little budget for member rumors.
 func (c *Core) gossip() {
-	c.refillAllowance()
-	if c.allowance < gossipWorth && !c.news.fresh(transmitLimit(c.registry.live)) {
+	c.refillRumorBudget()
+	if c.rumorBudget < minGossipBudget && !c.recordRumors.hasBelow(transmitLimit(c.registry.live)) {
 		return
 	}
 	for _, peer := range c.randomPeers(gossipFanout, "") {
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -11,17 +11,17 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// entryKey names a member (kind 0) or a record.
+// entryKey identifies a member (kind 0) or a record.
 type entryKey struct {
 	kind RecordKind
 	key  string
 }
 
-// kindSpread sets the hashes of the kinds apart.
-const kindSpread = 0x9e3779b97f4a7c15
+// kindHashFactor makes the hashes of equal keys of different kinds differ.
+const kindHashFactor = 0x9e3779b97f4a7c15
 
 func (k entryKey) hash() uint64 {
-	return xxhash.Sum64String(k.key) ^ uint64(k.kind)*kindSpread
+	return xxhash.Sum64String(k.key) ^ uint64(k.kind)*kindHashFactor
 }
 
 func compareKeys(a, b entryKey) int {
@@ -31,29 +31,30 @@
 	return strings.Compare(a.key, b.key)
 }
 
-// entry is a member or a record with the time since which it is so.
+// entry is a member or a record.
 type entry struct {
 	key    entryKey
 	member topology.Member
-	record *Record // nil for a member
-	since  time.Duration
-	// rumor is the newest rumor of the entry, nil once it was passed on often.
+	record *Record       // nil for a member
+	since  time.Duration // time of the last change
+	// rumor is the entry's latest rumor, nil after it has reached the transmit limit.
 	rumor *rumor
-	// hash covers key and version; it is kept by the registry, as are bucket
-	// and position, which is negative for an entry that is not held any more.
+	// The registry maintains the following fields. hash covers the key and the
+	// version; position is the index in the bucket, or removed.
 	hash             uint64
 	bucket, position int32
 }
 
-const notHeld = -1
+// removed is the position of an entry that is no longer in the registry.
+const removed = -1
 
 func (e *entry) isMember() bool { return e.record == nil }
 
-func (e *entry) held() bool { return e.position != notHeld }
+func (e *entry) stored() bool { return e.position != removed }
 
-// digested tells whether the entry counts in the digest. Tombstones do not,
-// as daemons forget them at different times.
-func (e *entry) digested() bool { return !e.isMember() || IsLive(e.member.State) }
+// inDigest reports whether the digest includes the entry. It excludes tombstones, as
+// daemons remove them at different times.
+func (e *entry) inDigest() bool { return !e.isMember() || IsLive(e.member.State) }
 
 func (e *entry) versionHash(keyHash uint64) uint64 {
 	var version [24]byte
@@ -67,7 +68,7 @@
 	return xxhash.Sum64(version[:])
 }
 
-// IsLive tells whether a member in this state still runs, as far as is known.
+// IsLive reports whether a member in this state is considered running.
 func IsLive(state topology.MemberState) bool { return state <= topology.MemberLeaving }
 
 type bucket struct {
@@ -75,7 +76,7 @@
 	entries []*entry
 }
 
-// registry holds all members and records, in the buckets of the digest.
+// registry stores the members and records, partitioned into the buckets of the digest.
 type registry struct {
 	memberEntries map[string]*entry
 	recordEntries map[entryKey]*entry
@@ -103,7 +104,7 @@
 	return found.member, true
 }
 
-// put replaces an entry and keeps the digest and the counts.
+// put adds or replaces an entry and updates the digest and the counts.
 func (r *registry) put(changed *entry) {
 	r.remove(changed.key)
 	keyHash := changed.key.hash()
@@ -131,7 +132,7 @@
 	from.entries[old.position].position = old.position
 	from.entries[last] = nil
 	from.entries = from.entries[:last]
-	old.position = notHeld
+	old.position = removed
 	if old.isMember() {
 		delete(r.memberEntries, key.key)
 	} else {
@@ -140,8 +141,9 @@
 	r.count(old, -1)
 }
 
+// count adds an entry to the digest and the counts, or with by = -1 removes it.
 func (r *registry) count(changed *entry, by int) {
-	if changed.digested() {
+	if changed.inDigest() {
 		r.buckets[changed.bucket].digest ^= changed.hash
 	}
 	switch {
@@ -160,20 +162,20 @@
 	return hashes
 }
 
-// sorted returns a bucket's entries in the order of their keys.
+// sorted returns the bucket's entries sorted by key.
 func (b *bucket) sorted() []*entry {
 	entries := slices.Clone(b.entries)
 	slices.SortFunc(entries, func(a, b *entry) int { return compareKeys(a.key, b.key) })
 	return entries
 }
 
-// members returns the members that pass a test, sorted by ID.
+// members returns the members for which keep returns true, sorted by ID.
 func (r *registry) members(keep func(topology.Member) bool) []topology.Member {
 	found := make([]topology.Member, 0, r.live)
 	for i := range r.buckets {
-		for _, held := range r.buckets[i].entries {
-			if held.isMember() && keep(held.member) {
-				found = append(found, held.member)
+		for _, stored := range r.buckets[i].entries {
+			if stored.isMember() && keep(stored.member) {
+				found = append(found, stored.member)
 			}
 		}
 	}
@@ -183,29 +185,29 @@
 
 func (r *registry) appendLive(to []topology.Member) []topology.Member {
 	for i := range r.buckets {
-		for _, held := range r.buckets[i].entries {
-			if held.isMember() && IsLive(held.member.State) {
-				to = append(to, held.member)
+		for _, stored := range r.buckets[i].entries {
+			if stored.isMember() && IsLive(stored.member.State) {
+				to = append(to, stored.member)
 			}
 		}
 	}
 	return to
 }
 
-// expire forgets tombstones and records of leaving replicas that are old.
+// expire removes old tombstones and old records of leaving replicas.
 func (r *registry) expire(now time.Duration, timing Timing) {
 	for i := range r.buckets {
-		for _, held := range slices.Clone(r.buckets[i].entries) {
-			if expired(held, now-held.since, timing) {
-				r.remove(held.key)
+		for _, stored := range slices.Clone(r.buckets[i].entries) {
+			if expired(stored, now-stored.since, timing) {
+				r.remove(stored.key)
 			}
 		}
 	}
 }
 
-func expired(held *entry, age time.Duration, timing Timing) bool {
-	if held.isMember() {
-		return !IsLive(held.member.State) && age >= timing.TombstoneRetention
+func expired(stored *entry, age time.Duration, timing Timing) bool {
+	if stored.isMember() {
+		return !IsLive(stored.member.State) && age >= timing.TombstoneRetention
 	}
-	return held.key.kind == RecordReplicaLeaving && age >= timing.RecordRetention
+	return stored.key.kind == RecordReplicaLeaving && age >= timing.RecordRetention
 }
--- a/internal/membership/rumors.go
+++ b/internal/membership/rumors.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// rumor is an entry that is still being passed on.
+// rumor is an entry that is queued for transmission.
 type rumor struct {
 	entry *entry
 }
 
-// current tells whether the entry is held and this is its newest rumor.
-func (r *rumor) current() bool { return r.entry.held() && r.entry.rumor == r }
+// current reports whether the entry is in the registry and this is its latest rumor.
+func (r *rumor) current() bool { return r.entry.stored() && r.entry.rumor == r }
 
-// rumors is the queue of changed entries. Those sent least often go first,
-// and of these the newest.
-type rumors struct {
-	// levels[n] is a stack of the rumors sent n times. A rumor that is no
-	// longer current is dropped when it comes up.
+// rumorQueue is a queue of changed entries, ordered by ascending transmit count and
+// then from newest to oldest.
+type rumorQueue struct {
+	// levels[n] is a stack of the rumors sent n times. Rumors that are no longer
+	// current are removed when they reach the top.
 	levels [][]*rumor
 }
 
-func newRumors() *rumors {
-	return &rumors{levels: make([][]*rumor, 1)}
+func newRumorQueue() *rumorQueue {
+	return &rumorQueue{levels: make([][]*rumor, 1)}
 }
 
-// add queues a changed entry, or starts it afresh, as one that was sent so
-// many times.
-func (q *rumors) add(changed *entry, sent int) {
+// add queues a changed entry with an initial transmit count. It replaces the entry's
+// previous rumor.
+func (q *rumorQueue) add(changed *entry, sent int) {
 	added := &rumor{entry: changed}
 	changed.rumor = added
 	for len(q.levels) <= sent {
@@ -36,9 +36,8 @@
 	q.levels[sent] = append(q.levels[sent], added)
 }
 
-// dropBefore drops the rumors of entries that are as they are since before a
-// time.
-func (q *rumors) dropBefore(limit time.Duration) {
+// dropBefore removes the rumors of entries that last changed before limit.
+func (q *rumorQueue) dropBefore(limit time.Duration) {
 	for level, queued := range q.levels {
 		q.levels[level] = slices.DeleteFunc(queued, func(r *rumor) bool {
 			old := r.entry.since < limit
@@ -50,8 +49,8 @@
 	}
 }
 
-// fresh tells whether some rumor has been sent less often than a limit.
-func (q *rumors) fresh(limit int) bool {
+// hasBelow reports whether a rumor has been sent fewer than limit times.
+func (q *rumorQueue) hasBelow(limit int) bool {
 	for level := range min(limit, len(q.levels)) {
 		if q.top(level) != nil {
 			return true
@@ -60,8 +59,8 @@
 	return false
 }
 
-// top returns the newest rumor of a level, or nil.
-func (q *rumors) top(level int) *rumor {
+// top returns the newest current rumor of a level, or nil.
+func (q *rumorQueue) top(level int) *rumor {
 	for len(q.levels[level]) > 0 {
 		last := q.levels[level][len(q.levels[level])-1]
 		if last.current() {
@@ -72,18 +71,19 @@
 	return nil
 }
 
-func (q *rumors) pop(level int) {
+func (q *rumorQueue) pop(level int) {
 	last := len(q.levels[level]) - 1
 	q.levels[level][last] = nil
 	q.levels[level] = q.levels[level][:last]
 }
 
-// take chooses rumors up to a size, at least one, and counts them as sent;
-// limit is the number of times after which a rumor is dropped.
-func (q *rumors) take(bytes, limit int) []*entry {
+// take returns the entries of the next rumors, at least one if there are any and
+// otherwise up to a size, and counts them as sent. Rumors that have been sent limit
+// times are removed.
+func (q *rumorQueue) take(bytes, limit int) []*entry {
 	var taken []*entry
 	sent := make([][]*rumor, len(q.levels))
-	defer func() { q.raise(sent, limit) }()
+	defer func() { q.promote(sent, limit) }()
 	for level := range q.levels {
 		for next := q.top(level); next != nil; next = q.top(level) {
 			needed := entrySize(next.entry)
@@ -99,15 +99,15 @@
 	return taken
 }
 
-// raise moves the rumors sent to the next level, and drops those sent often
-// enough.
-func (q *rumors) raise(sent [][]*rumor, limit int) {
+// promote moves sent rumors to the next level, and removes those that have been sent
+// limit times.
+func (q *rumorQueue) promote(sent [][]*rumor, limit int) {
 	for level, moved := range sent {
 		if len(moved) == 0 {
 			continue
 		}
 		if level+1 >= limit {
-			q.drop(moved)
+			q.retire(moved)
 			continue
 		}
 		if level+1 == len(q.levels) {
@@ -117,8 +117,8 @@
 	}
 }
 
-func (q *rumors) drop(done []*rumor) {
-	for _, ended := range done {
-		ended.entry.rumor = nil
+func (q *rumorQueue) retire(done []*rumor) {
+	for _, r := range done {
+		r.entry.rumor = nil
 	}
 }
--- a/internal/membership/simulated_test.go
+++ b/internal/membership/simulation_test.go
@@ -9,21 +9,21 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// network drives many cores in virtual time on one goroutine.
+// network simulates many cores in virtual time on one goroutine.
 type network struct {
-	now      time.Duration
-	random   *rand.Rand
-	cores    map[string]*Core
-	woken    map[string]time.Duration
-	frozen   map[string]bool
-	side     map[string]int // nodes on different sides cannot talk
-	queue    eventQueue
-	sequence int
-	delay    time.Duration
-	loss     float64
-	bytes    int
-	messages int
-	resumed  map[string]int
+	now       time.Duration
+	random    *rand.Rand
+	cores     map[string]*Core
+	nextTicks map[string]time.Duration
+	frozen    map[string]bool
+	side      map[string]int // nodes on different sides of a partition
+	queue     eventQueue
+	sequence  int
+	delay     time.Duration
+	loss      float64
+	bytes     int
+	messages  int
+	resumed   map[string]int
 }
 
 type event struct {
@@ -52,14 +52,14 @@
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, woken: map[string]time.Duration{},
+		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, nextTicks: map[string]time.Duration{},
 		frozen: map[string]bool{}, side: map[string]int{}, resumed: map[string]int{}, delay: 5 * time.Millisecond,
 	}
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250) }
 
-// add starts a node at an address; the same address twice is a restart.
+// add starts a node at an address, replacing any node there.
 func (w *network) add(id, at string, seeds ...string) *Core {
 	core := NewCore(CoreOptions{Self: topology.Member{ID: id, PeerAddress: at}, Seed: w.random.Uint64()})
 	w.cores[at] = core
@@ -68,8 +68,8 @@
 	return core
 }
 
-func (w *network) addMany(number int) {
-	for i := range number {
+func (w *network) addMany(count int) {
+	for i := range count {
 		w.add(fmt.Sprintf("node-%04d", i), address(i), address(0), address(1), address(2))
 	}
 }
@@ -86,9 +86,9 @@
 		w.resumed[at]++
 	}
 	for _, send := range ready.Sends {
-		w.carry(at, core, send)
+		w.deliver(at, core, send)
 	}
-	for _, learned := range ready.Learned { // documents are fetched in no time
+	for _, learned := range ready.Learned { // documents are fetched immediately
 		if learned.Record.Kind == RecordDocument {
 			w.step(at, Announced{learned.Record})
 		}
@@ -98,14 +98,14 @@
 }
 
 func (w *network) schedule(at string, core *Core) {
-	wake := max(core.NextTick(), w.now)
-	if planned, is := w.woken[at]; is && planned > w.now && planned <= wake {
+	next := max(core.NextTick(), w.now)
+	if planned, scheduled := w.nextTicks[at]; scheduled && planned > w.now && planned <= next {
 		return
 	}
-	w.woken[at] = wake
-	w.at(wake, func() {
-		if w.cores[at] == core && w.woken[at] == wake && !w.frozen[at] {
-			delete(w.woken, at)
+	w.nextTicks[at] = next
+	w.at(next, func() {
+		if w.cores[at] == core && w.nextTicks[at] == next && !w.frozen[at] {
+			delete(w.nextTicks, at)
 			w.step(at, Tick{})
 		}
 	})
@@ -115,8 +115,8 @@
 	return w.cores[to] != nil && !w.frozen[to] && w.side[from] == w.side[to] && w.random.Float64() >= w.loss
 }
 
-// carry takes a request and its reply over the network.
-func (w *network) carry(from string, sender *Core, send Send) {
+// deliver carries a request and its reply over the network.
+func (w *network) deliver(from string, sender *Core, send Send) {
 	w.messages++
 	w.bytes += send.Message.Size()
 	w.at(w.now+w.delay, func() {
@@ -148,9 +148,9 @@
 	w.now = end
 }
 
-// until runs in small steps and returns the time it took for the condition to
-// hold, or limit.
-func (w *network) until(limit time.Duration, holds func() bool) time.Duration {
+// runUntil runs in small steps until a condition holds, or for limit, and returns
+// the time that has passed.
+func (w *network) runUntil(limit time.Duration, holds func() bool) time.Duration {
 	start := w.now
 	for !holds() && w.now-start < limit {
 		w.run(100 * time.Millisecond)
@@ -160,14 +160,15 @@
 
 func (w *network) resume(at string) {
 	w.frozen[at] = false
-	delete(w.woken, at)
+	delete(w.nextTicks, at)
 	w.step(at, Tick{})
 }
 
 func (w *network) kill(at string) { delete(w.cores, at) }
 
-// agree tells whether every running node sees exactly so many alive.
-func (w *network) agree(alive int) bool {
+// converged reports whether every running node sees exactly the given number of live
+// members, all of them alive.
+func (w *network) converged(alive int) bool {
 	for at, core := range w.cores {
 		if w.frozen[at] {
 			continue
@@ -184,12 +185,13 @@
 	return true
 }
 
-func (w *network) holding(kind RecordKind, key string, version uint64) int {
-	holding := 0
+// holders returns the number of nodes that store the given version of a record.
+func (w *network) holders(kind RecordKind, key string, version uint64) int {
+	count := 0
 	for _, core := range w.cores {
-		if record, has := core.Record(kind, key); has && record.Version == version {
-			holding++
+		if record, found := core.Record(kind, key); found && record.Version == version {
+			count++
 		}
 	}
-	return holding
+	return count
 }
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -6,13 +6,13 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Input is one event that the core reacts to: one of the types below.
+// Input is an event that a Core handles: one of the types below.
 type Input interface{ input() }
 
-// Tick lets due timers run.
+// Tick runs the timers that are due.
 type Tick struct{}
 
-// Received is a request of another daemon; Ready.Reply answers it.
+// Received is a request from another daemon. Ready.Reply is the reply to it.
 type Received struct{ Message Message }
 
 // Replied is the reply to a Send.
@@ -21,19 +21,19 @@
 	Message  Message
 }
 
-// Failed says that a Send brought no reply.
+// Failed reports that there was no reply to a Send.
 type Failed struct{ Exchange uint64 }
 
-// Announced is a record that starts at this daemon.
+// Announced is a record that originates at this daemon.
 type Announced struct{ Record Record }
 
-// SeedsUpdated replaces the addresses at which daemons may be found.
+// SeedsUpdated replaces the addresses at which other daemons may be running.
 type SeedsUpdated struct{ Addresses []string }
 
-// LeaveRequested starts the planned leave; LeaveCompleted ends it.
+// LeaveRequested starts a planned leave, which LeaveCompleted ends.
 type LeaveRequested struct{}
 
-// LeaveCompleted marks this daemon as gone and tells some members.
+// LeaveCompleted marks this daemon as having left and notifies some members.
 type LeaveCompleted struct{}
 
 func (Tick) input()           {}
@@ -45,47 +45,47 @@
 func (LeaveRequested) input() {}
 func (LeaveCompleted) input() {}
 
-// Send is a request for the shell to make. Its outcome comes back as Replied
-// or Failed with the same Exchange.
+// Send is a request that the caller is to make. The caller reports the outcome as
+// Replied or Failed with the same Exchange.
 type Send struct {
 	Exchange uint64
 	Address  string
 	Message  Message
 }
 
-// Learned is a record that a peer told of and that is not held. A record of a
-// document is held once it is Announced.
+// Learned is a new record received from a peer. A document's record is not stored
+// until it is Announced.
 type Learned struct {
 	Record Record
 	// From is the peer's address.
 	From string
 }
 
-// Transition is a change of what is believed of a member.
+// Transition is a change of a member's state or address.
 type Transition struct {
 	Member topology.Member
-	// Before is the earlier state; New is true when the member was unknown.
+	// Before is the previous state; New is true if the member was unknown.
 	Before topology.MemberState
 	New    bool
 }
 
-// Ready is what one step asks of the shell.
+// Ready is the result of a step, for the caller to act on.
 type Ready struct {
 	Sends []Send
-	// Reply answers the input Received.
+	// Reply is the reply to the input Received.
 	Reply       Message
 	Learned     []Learned
 	Transitions []Transition
-	// Resumed is true when the time since the last tick shows that the
-	// process was frozen.
+	// Resumed is true if the time since the last tick indicates that the process
+	// was suspended.
 	Resumed bool
 }
 
-// Changed tells whether the set of members differs from before the step.
+// Changed reports whether the step changed any member's state or address.
 func (r *Ready) Changed() bool { return len(r.Transitions) > 0 }
 
-// Step handles one input at a time since an arbitrary start. It must be
-// called by one goroutine at a time.
+// Step handles an input. now is the monotonic time since an arbitrary start. Step
+// must not be called concurrently.
 func (c *Core) Step(now time.Duration, input Input) Ready {
 	c.now = now
 	c.ready = Ready{}
@@ -95,9 +95,9 @@
 	case Received:
 		c.ready.Reply = c.receive(typed.Message)
 	case Replied:
-		c.replied(typed.Exchange, typed.Message)
+		c.handleReply(typed.Exchange, typed.Message)
 	case Failed:
-		c.failed(typed.Exchange)
+		c.handleFailure(typed.Exchange)
 	case Announced:
 		c.announce(typed.Record)
 	case SeedsUpdated:
@@ -113,7 +113,7 @@
 func (c *Core) changeSelf(state topology.MemberState) {
 	changed := c.self
 	changed.State = state
-	c.store(changed)
+	c.updateMember(changed)
 }
 
 func (c *Core) completeLeave() {
--- a/internal/membership/synchronize.go
+++ b/internal/membership/synchronize.go
@@ -6,8 +6,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// synchronize compares digests with one member, the same one again while a
-// long synchronization goes on.
+// synchronize exchanges digests with a random member, or with the peer of an
+// unfinished synchronization.
 func (c *Core) synchronize() {
 	c.nextSync = c.now + c.timing.SyncInterval
 	if c.syncAddress != "" {
@@ -24,28 +24,28 @@
 	c.send(address, id, Message{Kind: MessageSync, Digest: c.registry.digest()})
 }
 
-// reconnect tries addresses that are not live members, so that the halves of
-// a healed cut find each other, and joins where nobody is known.
+// reconnect synchronizes with addresses that are not live members, so that the
+// sides of a healed partition rejoin. A daemon without peers joins in the same way.
 func (c *Core) reconnect() {
-	number := 1
+	count := 1
 	c.nextReconnect = c.now + c.timing.ReconnectInterval
 	if c.registry.live <= 1 {
-		number = joinFanout
+		count = joinFanout
 		c.nextReconnect = c.now + c.timing.Period
 	}
-	candidates := c.strangers()
+	candidates := c.reconnectAddresses()
 	c.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	for _, address := range candidates[:min(number, len(candidates))] {
+	for _, address := range candidates[:min(count, len(candidates))] {
 		c.sendSync(address, "")
 	}
 }
 
-// strangers returns the addresses of seeds and dead members at which no live
-// member is known, sorted.
-func (c *Core) strangers() []string {
+// reconnectAddresses returns the sorted addresses of seeds and dead members at which
+// there is no live member.
+func (c *Core) reconnectAddresses() []string {
 	var found []string
 	add := func(address string) {
-		_, occupied := c.occupants[address]
+		_, occupied := c.idsByAddress[address]
 		if address != "" && address != c.self.PeerAddress && !occupied {
 			found = append(found, address)
 		}
@@ -60,14 +60,14 @@
 	return slices.Compact(found)
 }
 
-// answerSync sends whole buckets that differ from the asker's digest, from a
-// random one on, up to the bound on bytes but always one.
+// answerSync returns a reply with entire buckets that differ from the requester's
+// digest. It starts at a random bucket and stops once SyncBytes are reached.
 func (c *Core) answerSync(digest []uint64) Message {
 	reply := Message{Kind: MessageReply, From: c.self, Digest: c.registry.digest()}
 	if len(digest) != DigestBuckets {
 		return reply
 	}
-	c.agreed(reply.Digest, digest)
+	c.dropKnownRumors(reply.Digest, digest)
 	start := c.random.IntN(DigestBuckets)
 	size := 0
 	for i := range DigestBuckets {
@@ -86,27 +86,27 @@
 	return reply
 }
 
-// agreed ends the spreading of older news where a peer, which is a random one,
-// knows all that this daemon knows: then most others do too. It matters when
-// many daemons have started at once.
-func (c *Core) agreed(own, other []uint64) {
+// dropKnownRumors drops older member rumors if the digests of this daemon and a random
+// peer are equal: most other daemons then know these changes too. This saves traffic
+// after many daemons have started at the same time.
+func (c *Core) dropKnownRumors(own, other []uint64) {
 	if slices.Equal(own, other) {
-		c.rumors.dropBefore(c.now - c.timing.SyncInterval)
+		c.memberRumors.dropBefore(c.now - c.timing.SyncInterval)
 	}
 }
 
 func (c *Core) addBucket(message *Message, at int) {
 	message.Buckets = append(message.Buckets, at)
-	for _, held := range c.registry.buckets[at].sorted() {
-		c.addEntry(message, held)
+	for _, stored := range c.registry.buckets[at].sorted() {
+		c.addEntry(message, stored)
 	}
 }
 
-// finishSync takes the peer's buckets, sends back what it lacks of them, and
-// goes on later where more differs.
+// finishSync merges the buckets in a reply, pushes back the entries that the peer
+// lacks, and schedules the next synchronization early if more is likely to differ.
 func (c *Core) finishSync(done exchange, reply Message) {
-	c.agreed(c.registry.digest(), reply.Digest)
-	c.mergeSynchronized(reply)
+	c.dropKnownRumors(c.registry.digest(), reply.Digest)
+	c.mergeSync(reply)
 	push := c.missingFrom(reply)
 	if len(push.Members)+len(push.Records) > 0 {
 		c.send(done.address, reply.From.ID, push)
@@ -115,39 +115,40 @@
 		c.syncAddress = done.address
 		c.syncID = reply.From.ID
 		c.nextSync = min(c.nextSync, c.now+c.timing.SyncChunkInterval)
-	} else if len(c.ready.Transitions) >= busySyncChanges {
+	} else if len(c.ready.Transitions) >= earlySyncChanges {
 		c.nextSync = min(c.nextSync, c.now+c.jitter(c.timing.Period))
 	}
 }
 
-// missingFrom collects the entries of the reply's buckets that the peer did
-// not have, or had older.
+// missingFrom returns a push with the entries of the reply's buckets that the peer
+// lacks or has in another version.
 func (c *Core) missingFrom(reply Message) Message {
-	theirs := hashesOf(reply)
+	theirs := versionHashes(reply)
 	push := Message{Kind: MessagePush}
 	for _, at := range reply.Buckets {
 		if at < 0 || at >= DigestBuckets {
 			continue
 		}
-		for _, held := range c.registry.buckets[at].sorted() {
-			hash, has := theirs[held.key]
-			if (!has && held.digested()) || (has && hash != held.hash) {
-				c.addEntry(&push, held)
+		for _, stored := range c.registry.buckets[at].sorted() {
+			hash, has := theirs[stored.key]
+			if (!has && stored.inDigest()) || (has && hash != stored.hash) {
+				c.addEntry(&push, stored)
 			}
 		}
 	}
 	return push
 }
 
-func hashesOf(message Message) map[entryKey]uint64 {
+// versionHashes returns the version hashes of a message's entries.
+func versionHashes(message Message) map[entryKey]uint64 {
 	hashes := make(map[entryKey]uint64, len(message.Members)+len(message.Records))
 	for _, member := range message.Members {
-		held := entry{key: entryKey{key: member.ID}, member: member}
-		hashes[held.key] = held.versionHash(held.key.hash())
+		stored := entry{key: entryKey{key: member.ID}, member: member}
+		hashes[stored.key] = stored.versionHash(stored.key.hash())
 	}
 	for _, record := range message.Records {
-		held := entry{key: entryKey{kind: record.Kind, key: record.Key}, record: &record}
-		hashes[held.key] = held.versionHash(held.key.hash())
+		stored := entry{key: entryKey{kind: record.Kind, key: record.Key}, record: &record}
+		hashes[stored.key] = stored.versionHash(stored.key.hash())
 	}
 	return hashes
 }
