--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -10,83 +10,87 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// coldWindow is the span in which what a cold replica receives is counted.
+// coldWindow is the sliding window over which requests to a cold replica are
+// counted.
 const coldWindow = time.Second
 
-// unbounded is the share of a replica that is not cold, or whose rate is not stated.
-const unbounded = -1
+// unlimited is the limit of a replica that is not cold or declares no rate.
+const unlimited = -1
 
-// coldShare returns how many requests this node may send to a replica in any one second.
-// Cold replicas that are sent more than they bear fall over, and with them the zone that
-// has just come back: with a rate of 8 a second, a day on which two zones came back cold
-// earned 0.65 of its credit without the bound and 0.99 with it (one play of each).
-func (v *view) coldShare(replica topology.Replica) int {
+// coldLimit returns how many requests per second this node may send to a
+// replica. A cold replica that receives more than it can handle fails, and a
+// zone that comes back cold can fail as a whole.
+func (v *view) coldLimit(replica topology.Replica) int {
 	if replica.ColdRate == 0 {
-		return unbounded
+		return unlimited
 	}
 	if v.members == nil {
 		return 0
 	}
-	return decision.ColdRateShare(replica.ColdRate, v.members.Self.ID, v.sharing(), replica.Place.Zone)
+	return decision.ColdRateShare(replica.ColdRate, v.members.Self.ID, v.sharingNodes(), replica.Place.Zone)
 }
 
-// sameSharing tells whether the same nodes divide what cold replicas take.
-func (v *view) sameSharing(other *view) bool { return slices.Equal(v.sharing(), other.sharing()) }
+// sameSharingNodes reports whether the cold rates are divided among the same
+// nodes in both views.
+func (v *view) sameSharingNodes(other *view) bool {
+	return slices.Equal(v.sharingNodes(), other.sharingNodes())
+}
 
-func (v *view) sharing() []string {
+func (v *view) sharingNodes() []string {
 	if v.members == nil {
 		return nil
 	}
 	return v.members.Sharing
 }
 
-// coldGate lets so many requests pass in any one second. Its zero value lets all pass. It
-// is safe for concurrent use.
-type coldGate struct {
-	bounded atomic.Bool
-	share   atomic.Int64
+// coldLimiter is a sliding-window rate limiter for a cold replica. The zero
+// value admits every request. It is safe for concurrent use.
+type coldLimiter struct {
+	limited atomic.Bool
+	limit   atomic.Int64
 	mutex   sync.Mutex
-	// passed are the times of the latest requests, oldest first, no more than share.
-	passed []time.Time
+	// admitted holds the times of the latest requests, oldest first, at most
+	// limit of them.
+	admitted []time.Time
 }
 
-// set takes the number of requests that may pass in any one second, or unbounded.
-func (g *coldGate) set(share int) {
-	g.share.Store(int64(share))
-	g.bounded.Store(share != unbounded)
+// setLimit sets the number of requests admitted per window, or unlimited.
+func (l *coldLimiter) setLimit(limit int) {
+	l.limit.Store(int64(limit))
+	l.limited.Store(limit != unlimited)
 }
 
-// open tells whether a request may pass now.
-func (g *coldGate) open(now time.Time) bool {
-	if !g.bounded.Load() {
+// hasCapacity reports whether a request would be admitted now.
+func (l *coldLimiter) hasCapacity(now time.Time) bool {
+	if !l.limited.Load() {
 		return true
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.forget(now)
-	return int64(len(g.passed)) < g.share.Load()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.prune(now)
+	return int64(len(l.admitted)) < l.limit.Load()
 }
 
-// pass counts a request, if one may pass now.
-func (g *coldGate) pass(now time.Time) bool {
-	if !g.bounded.Load() {
+// admit counts a request and returns true if the limit allows it.
+func (l *coldLimiter) admit(now time.Time) bool {
+	if !l.limited.Load() {
 		return true
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.forget(now)
-	if int64(len(g.passed)) >= g.share.Load() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.prune(now)
+	if int64(len(l.admitted)) >= l.limit.Load() {
 		return false
 	}
-	g.passed = append(g.passed, now)
+	l.admitted = append(l.admitted, now)
 	return true
 }
 
-// forget drops the requests of more than a second ago.
-func (g *coldGate) forget(now time.Time) {
+// prune drops requests that have left the window.
+func (l *coldLimiter) prune(now time.Time) {
 	first := 0
-	for first < len(g.passed) && now.Sub(g.passed[first]) >= coldWindow {
+	for first < len(l.admitted) && now.Sub(l.admitted[first]) >= coldWindow {
 		first++
 	}
-	g.passed = append(g.passed[:0], g.passed[first:]...)
+	l.admitted = append(l.admitted[:0], l.admitted[first:]...)
 }
--- a/internal/replica/leaving.go
+++ b/internal/replica/leaving.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// process names one process of a back end.
-type process struct {
+// processID identifies one backend process.
+type processID struct {
 	address     string
 	incarnation string
 }
 
-// leavingMemory is how long a mark outlives the last sight of its process.
-const leavingMemory = time.Hour
+// leavingRetention is how long a leaving process is remembered after it was
+// last listed.
+const leavingRetention = time.Hour
 
-// leavingMarks remembers which processes are leaving. A mark belongs to one
-// incarnation, so only a new incarnation on the same address is free of it.
-type leavingMarks struct {
-	lastSeen map[process]time.Time
+// leavingSet remembers which processes are leaving. Entries are per
+// incarnation, so a new process at the same address is not affected.
+type leavingSet struct {
+	lastSeen map[processID]time.Time
 }
 
-func newLeavingMarks() leavingMarks {
-	return leavingMarks{lastSeen: make(map[process]time.Time)}
+func newLeavingSet() leavingSet {
+	return leavingSet{lastSeen: make(map[processID]time.Time)}
 }
 
-// add returns true when the mark is new.
-func (m *leavingMarks) add(marked process, now time.Time) bool {
-	_, known := m.lastSeen[marked]
-	m.lastSeen[marked] = now
+// add reports whether the process was not in the set before.
+func (s *leavingSet) add(leaving processID, now time.Time) bool {
+	_, known := s.lastSeen[leaving]
+	s.lastSeen[leaving] = now
 	return !known
 }
 
-func (m *leavingMarks) has(listed process) bool {
-	_, known := m.lastSeen[listed]
+func (s *leavingSet) has(listed processID) bool {
+	_, known := s.lastSeen[listed]
 	return known
 }
 
-// see keeps the mark of a process that is still listed.
-func (m *leavingMarks) see(listed process, now time.Time) {
-	if m.has(listed) {
-		m.lastSeen[listed] = now
+// refresh updates the time of an entry whose process is still listed.
+func (s *leavingSet) refresh(listed processID, now time.Time) {
+	if s.has(listed) {
+		s.lastSeen[listed] = now
 	}
 }
 
-func (m *leavingMarks) forgetOld(now time.Time) {
-	for marked, seen := range m.lastSeen {
-		if now.Sub(seen) > leavingMemory {
-			delete(m.lastSeen, marked)
+func (s *leavingSet) evictExpired(now time.Time) {
+	for leaving, seen := range s.lastSeen {
+		if now.Sub(seen) > leavingRetention {
+			delete(s.lastSeen, leaving)
 		}
 	}
 }
