--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -149,7 +149,7 @@
 	n.setPhase(blackboard.PhaseStarting)
 	var err error
 	n.announcer, err = announce.New(announce.Options{
-		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, Notice: n.handleNotice,
+		Address: n.settings.Peers, Nodes: n.board.Nodes.Load, Logger: n.logger, OnNotice: n.handleNotice,
 	})
 	if err != nil {
 		return nil, err
@@ -199,8 +199,8 @@
 		Announcer: n.announcer, MaxStaleness: n.settings.Bounds.MaxStaleness(),
 		PeerSnapshots: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
 		RelayClient: relay.New(relay.Config{
-			HTTP: relayClient(), Wait: relayPollTimeout, Slack: relayPollSlack,
-			Suspected: func(found []relay.Suspicion) { n.follower.Suspect(found) },
+			HTTP: relayClient(), Wait: relayPollTimeout, ResponseMargin: relayPollSlack,
+			OnSuspicions: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
 		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.Steady,
 		VanishedRetention: time.Duration(removedReplicaShare * float64(n.settings.Bounds.Drain)),
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -56,7 +56,7 @@
 func (n *Node) broadcastRecord(record quarantine.Record) {
 	notice, err := msgpack.Marshal(&record)
 	if err == nil {
-		err = n.announcer.Spread(notice)
+		err = n.announcer.SendNotice(notice)
 	}
 	if err != nil {
 		n.logger.Error("failed to broadcast a quarantine record", "identity", record.Identity.String(), "error", err.Error())
@@ -66,7 +66,7 @@
 		return
 	}
 	for _, delay := range resendDelays {
-		time.AfterFunc(delay, func() { _ = n.announcer.Spread(notice) }) // the first send succeeded
+		time.AfterFunc(delay, func() { _ = n.announcer.SendNotice(notice) }) // the first send succeeded
 	}
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
-		_ = n.announcer.Spread(notice) // no longer than when it arrived
+		_ = n.announcer.SendNotice(notice) // no longer than when it arrived
 	}
 }
 
