--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -59,8 +59,8 @@
 	l.callersServer = d.newCallersServer()
 	l.peersServer = d.newPeersServer()
 	l.administrationServer = d.newAdministrationServer()
-	l.callersOpen.Follow(l.callersServer)
-	l.peersOpen.Follow(l.peersServer)
+	l.callersOpen.Track(l.callersServer)
+	l.peersOpen.Track(l.peersServer)
 	failures := newConnectionErrors(d.registry)
 	report := func(text string) { d.logger.Error("a handler panicked", "error", text) }
 	for port, server := range map[string]*http.Server{
@@ -75,8 +75,8 @@
 func (d *Daemon) newCallersServer() *http.Server {
 	return &http.Server{
 		Handler: gateway.New(gateway.Options{
-			Search:       &freshSearcher{monitor: d.monitor, searcher: d.queries},
-			Calls:        d.calls,
+			Searcher:     &freshSearcher{monitor: d.monitor, searcher: d.queries},
+			Caller:       d.calls,
 			Board:        d.board,
 			MaxBodyBytes: d.settings.Callers.MaxBodyBytes,
 			WriteTimeout: d.settings.Callers.WriteTimeout,
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -54,7 +54,7 @@
 // finishCallers closes the port, and then tells callers to close their
 // connections.
 func (d *Daemon) finishCallers(bounded context.Context) error {
-	closed := d.listeners.callers.TurnOff()
+	closed := d.listeners.callers.Drain()
 	d.enter(blackboard.PhaseClosing)
 	cutOff := d.finishServer(bounded, d.listeners.callersServer, &d.listeners.callersOpen)
 	return errors.Join(closed, eris.Wrap(cutOff, "requests of callers were cut off"))
@@ -74,7 +74,7 @@
 
 // finishPeers closes the port. Peers know of the stop and forward no more.
 func (d *Daemon) finishPeers(bounded context.Context) error {
-	closed := d.listeners.peers.TurnOff()
+	closed := d.listeners.peers.Drain()
 	cutOff := d.finishServer(bounded, d.listeners.peersServer, &d.listeners.peersOpen)
 	return errors.Join(closed, eris.Wrap(cutOff, "requests of peers were cut off"))
 }
@@ -85,6 +85,6 @@
 func (d *Daemon) finishServer(bounded context.Context, server *http.Server, open *drain.Connections) error {
 	quiet, cancel := d.meter.WithTimeout(bounded, d.settings.Stop.Timeout/2)
 	defer cancel()
-	_ = open.AwaitQuiet(quiet, d.settings.Stop.Grace) // Shutdown waits for the rest
+	_ = open.WaitIdle(quiet, d.settings.Stop.Grace) // Shutdown waits for the rest
 	return server.Shutdown(bounded)
 }
--- a/internal/drain/connections.go
+++ b/internal/drain/connections.go
@@ -30,8 +30,8 @@
 	since time.Duration
 }
 
-// Follow takes the connections of a server that was not started yet.
-func (c *Connections) Follow(server *http.Server) { server.ConnState = c.changed }
+// Track takes the connections of a server that was not started yet.
+func (c *Connections) Track(server *http.Server) { server.ConnState = c.changed }
 
 // changed implements http.Server.ConnState.
 func (c *Connections) changed(connection net.Conn, state http.ConnState) {
@@ -58,9 +58,9 @@
 	return len(c.open)
 }
 
-// Busy returns the number of connections with a request in flight: its answer has not been
+// ActiveCount returns the number of connections with a request in flight: its answer has not been
 // written whole.
-func (c *Connections) Busy() int {
+func (c *Connections) ActiveCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	busy := 0
@@ -89,17 +89,17 @@
 // quietInterval is the pause between two looks at the connections.
 const quietInterval = 20 * time.Millisecond
 
-// AwaitQuiet waits until there is no connection, or all have been idle for a
+// WaitIdle waits until there is no connection, or all have been idle for a
 // time, and returns ctx's error when it ends first. The server's handler must
 // answer with "Connection: close" meanwhile.
-func (c *Connections) AwaitQuiet(ctx context.Context, idle time.Duration) error {
+func (c *Connections) WaitIdle(ctx context.Context, idle time.Duration) error {
 	return await(ctx, func() bool { return c.quiet(idle) })
 }
 
-// AwaitAnswers waits until no request is in flight, and returns ctx's error when it ends
+// WaitInactive waits until no request is in flight, and returns ctx's error when it ends
 // first.
-func (c *Connections) AwaitAnswers(ctx context.Context) error {
-	return await(ctx, func() bool { return c.Busy() == 0 })
+func (c *Connections) WaitInactive(ctx context.Context) error {
+	return await(ctx, func() bool { return c.ActiveCount() == 0 })
 }
 
 func await(ctx context.Context, holds func() bool) error {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -26,7 +26,7 @@
 	}
 	accepted := make(chan int)
 	go func() { accepted <- acceptAll(listener) }()
-	if err := listener.TurnOff(); err != nil {
+	if err := listener.Drain(); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-accepted; got != waiting {
@@ -78,7 +78,7 @@
 				bounded, cancel := context.WithTimeout(t.Context(), 10*idle)
 				defer cancel()
 				start := time.Now()
-				_ = connections.AwaitQuiet(bounded, idle)
+				_ = connections.WaitIdle(bounded, idle)
 				if took := time.Since(start); took != test.want {
 					t.Errorf("quiet after %s; want %s", took, test.want)
 				}
@@ -96,7 +96,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 	})}
-	connections.Follow(server)
+	connections.Track(server)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	caller, err := net.Dial("tcp", listener.Addr().String())
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	defer caller.Close()
-	if err := listener.TurnOff(); err != nil {
+	if err := listener.Drain(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := caller.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")); err != nil {
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	response.Body.Close()
-	if err := connections.AwaitQuiet(t.Context(), time.Hour); err != nil {
+	if err := connections.WaitIdle(t.Context(), time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
--- a/internal/drain/listener.go
+++ b/internal/drain/listener.go
@@ -48,10 +48,10 @@
 	return nil, net.ErrClosed
 }
 
-// TurnOff waits until Accept has handed over the connections that were already
+// Drain waits until Accept has handed over the connections that were already
 // there, and has closed the port. The program must be calling Accept, whose
 // last error is net.ErrClosed. It is called once.
-func (l *Listener) TurnOff() error {
+func (l *Listener) Drain() error {
 	l.turningOff.Store(true)
 	if err := l.SetDeadline(time.Now().Add(handoverTime)); err != nil {
 		return eris.Wrap(err, "turn the listener off")
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -50,9 +50,9 @@
 // initServers creates the server of each listener.
 func (n *Node) initServers() {
 	n.server = n.newServer(ingress.New(ingress.Options{
-		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, Await: n.follower.WaitUntilFresh, Logger: n.logger,
+		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, WaitFresh: n.follower.WaitUntilFresh, Logger: n.logger,
 	}))
-	n.connections.Follow(n.server)
+	n.connections.Track(n.server)
 	requests, cancelRequests := context.WithCancelCause(context.Background())
 	n.server.BaseContext = func(net.Listener) context.Context { return requests }
 	n.cancelRequests = cancelRequests
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -44,7 +44,7 @@
 	n.deregister()
 	n.acceptFor(until(acceptShare))
 	n.setPhase(blackboard.PhaseClosing)
-	drained := n.connections.AwaitQuiet(answering, scaleDuration(idleShare, grace)) == nil
+	drained := n.connections.WaitIdle(answering, scaleDuration(idleShare, grace)) == nil
 	ending, cancelEnding := n.meter.WithTimeout(context.Background(), scaleDuration(writeShare, grace))
 	defer cancelEnding()
 	if !drained {
@@ -58,7 +58,7 @@
 func (n *Node) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	if err := n.registry.Leave(ctx); err != nil {
+	if err := n.registry.Deregister(ctx); err != nil {
 		n.logger.Warn("failed to remove this node's entry; it stays until its lease ends", "error", err.Error())
 	}
 }
@@ -66,7 +66,7 @@
 // acceptFor keeps accepting connections for a time, then closes the callers' port.
 func (n *Node) acceptFor(duration time.Duration) {
 	time.Sleep(duration)
-	if err := n.callers.TurnOff(); err != nil {
+	if err := n.callers.Drain(); err != nil {
 		n.logger.Warn("failed to close the callers' port cleanly", "error", err.Error())
 	}
 }
@@ -76,14 +76,14 @@
 // that was suspended past both times would close them before the answers are written.
 func (n *Node) answerPending(ctx context.Context) {
 	n.cancelRequests(query.ErrShuttingDown)
-	_ = n.connections.AwaitAnswers(ctx) // closeConnections reports those that are left
+	_ = n.connections.WaitInactive(ctx) // closeConnections reports those that are left
 }
 
 // closeConnections closes all connections. When ctx is done it aborts those with a request in
 // flight: either the request is incomplete, or its caller does not read the answer.
 func (n *Node) closeConnections(ctx context.Context) {
 	if err := n.server.Shutdown(ctx); err != nil {
-		busy := n.connections.Busy()
+		busy := n.connections.ActiveCount()
 		n.abortedRequests.Add(float64(busy))
 		n.logger.Warn("requests aborted by the shutdown", "requests", busy, "connections", n.connections.Count(), "error", err.Error())
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,9 +45,9 @@
 
 // Options are what the handler needs.
 type Options struct {
-	Search Searcher
-	Calls  Caller
-	Board  *blackboard.Board
+	Searcher Searcher
+	Caller   Caller
+	Board    *blackboard.Board
 	// MaxBodyBytes bounds a request's body; 0 means 1 MiB.
 	MaxBodyBytes int64
 	// WriteTimeout bounds the time in which a caller takes its answer; 0 means
@@ -83,11 +83,11 @@
 }
 
 func (g *gateway) search(ctx context.Context, query client.Query) (client.Answer, error) {
-	return g.options.Search.Search(ctx, query)
+	return g.options.Searcher.Search(ctx, query)
 }
 
 func (g *gateway) call(ctx context.Context, call client.Call) (client.CallResult, error) {
-	return g.options.Calls.Call(ctx, call)
+	return g.options.Caller.Call(ctx, call)
 }
 
 func (g *gateway) unknown(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 	board := &blackboard.Board{}
 	board.Phase.Publish(&phase)
 	back := &fakeBack{arrived: make(chan context.Context, 1)}
-	server := httptest.NewServer(New(Options{Search: back, Calls: back, Board: board, MaxBodyBytes: 200}))
+	server := httptest.NewServer(New(Options{Searcher: back, Caller: back, Board: board, MaxBodyBytes: 200}))
 	t.Cleanup(server.Close)
 	return server, back
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -43,10 +43,10 @@
 	Board     *blackboard.Board
 	Codec     Codec
 	Forwarder Forwarder
-	// Await waits until the routes may be trusted, and tells whether they may; nil means
+	// WaitFresh waits until the routes may be trusted, and tells whether they may; nil means
 	// always. It ends with ctx.
-	Await  func(ctx context.Context) bool
-	Logger *slog.Logger
+	WaitFresh func(ctx context.Context) bool
+	Logger    *slog.Logger
 }
 
 // Handler serves callers' requests.
@@ -57,8 +57,8 @@
 
 // New makes a Handler.
 func New(options Options) *Handler {
-	if options.Await == nil {
-		options.Await = func(context.Context) bool { return true }
+	if options.WaitFresh == nil {
+		options.WaitFresh = func(context.Context) bool { return true }
 	}
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
@@ -102,7 +102,7 @@
 		return nil, query.ForwardResult{}, failure.New(failure.NoTable, "no routes are known yet")
 	}
 	began := time.Now()
-	trusted := h.options.Await(r.Context())
+	trusted := h.options.WaitFresh(r.Context())
 	waited := time.Since(began) // of the request's time: nothing is sent for longer than is left
 	if !trusted {
 		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "the routes could not be confirmed after a pause")
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{}
 		handler := newTestHandler(forwarder, func(o *Options) {
-			o.Await = func(context.Context) bool {
+			o.WaitFresh = func(context.Context) bool {
 				time.Sleep(700 * time.Millisecond)
 				return true
 			}
@@ -163,7 +163,7 @@
 	}{
 		{"no route for the path", request(http.MethodGet, "/q/", ""), nil, 404},
 		{"no routes yet", request(http.MethodGet, "/p/", ""), func(o *Options) { o.Board = &blackboard.Board{} }, 503},
-		{"routes in doubt", request(http.MethodGet, "/p/", ""), func(o *Options) { o.Await = func(context.Context) bool { return false } }, 503},
+		{"routes in doubt", request(http.MethodGet, "/p/", ""), func(o *Options) { o.WaitFresh = func(context.Context) bool { return false } }, 503},
 		{"body over the limit", request(http.MethodPost, "/p/", "123456789"), nil, 413},
 	}
 	for _, test := range cases {
--- a/internal/lab/bench/added.go
+++ b/internal/lab/bench/added.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return AddedResult{}, eris.Wrap(err, "listen for callers")
 	}
-	server := &http.Server{Handler: gateway.New(gateway.Options{Search: e.Service, Board: e.Board, Registerer: e.registry})}
+	server := &http.Server{Handler: gateway.New(gateway.Options{Searcher: e.Service, Board: e.Board, Registerer: e.registry})}
 	go func() { _ = server.Serve(listener) }() // ends by Close
 	defer func() { _ = server.Close() }()      // nothing is in flight
 	return e.compareWays(ctx, "http://"+listener.Addr().String()+gateway.QueryPath, samples)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// Leave removes the entry at once. Run must have ended.
-func (r *Registry) Leave(ctx context.Context) error {
+// Deregister removes the entry at once. Run must have ended.
+func (r *Registry) Deregister(ctx context.Context) error {
 	if r.lease == 0 || r.config.Era() > r.era {
 		return nil
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -159,13 +159,13 @@
 func TestLeave(t *testing.T) {
 	fake := &fakeStore{}
 	kept := New(Config{Now: steps(renewals), Store: fake, Key: "k", Node: func() topology.Node { return topology.Node{} }, TTL: time.Second})
-	if err := kept.Leave(t.Context()); err != nil || len(fake.calls) != 0 {
+	if err := kept.Deregister(t.Context()); err != nil || len(fake.calls) != 0 {
 		t.Errorf("left without an entry: %v, %v", fake.calls, err)
 	}
 	if err := kept.renew(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := kept.Leave(t.Context()); err != nil || fake.calls[len(fake.calls)-1] != "revoke 1" {
+	if err := kept.Deregister(t.Context()); err != nil || fake.calls[len(fake.calls)-1] != "revoke 1" {
 		t.Errorf("calls %v, error %v", fake.calls, err)
 	}
 }
@@ -248,7 +248,7 @@
 	})
 	kept.attempt(t.Context())
 	era = 1
-	if err := kept.Leave(t.Context()); err != nil || len(fake.calls) != 2 {
+	if err := kept.Deregister(t.Context()); err != nil || len(fake.calls) != 2 {
 		t.Errorf("calls %v, error %v", fake.calls, err)
 	}
 }
