--- a/internal/drain/accept_linux.go
+++ b/internal/drain/accept_linux.go
@@ -7,35 +7,35 @@
 	"syscall"
 )
 
-// acceptWaiting returns a connection that waits in the kernel, without regard
-// to the listener's deadline. Where none waits it stops the listening in the
-// same breath and returns nil.
-func acceptWaiting(listener *net.TCPListener) (net.Conn, error) {
+// acceptQueued returns a connection from the kernel's accept queue, regardless of the
+// listener's deadline. If the queue is empty, it shuts the socket down for new connections
+// and returns nil.
+func acceptQueued(listener *net.TCPListener) (net.Conn, error) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	var accepted int
-	var failure error
+	var acceptErr error
 	err = raw.Control(func(descriptor uintptr) {
-		accepted, _, failure = syscall.Accept4(int(descriptor), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-		if failure != nil {
-			_ = syscall.Shutdown(int(descriptor), syscall.SHUT_RD) // Close follows in any case
+		accepted, _, acceptErr = syscall.Accept4(int(descriptor), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		if acceptErr != nil {
+			_ = syscall.Shutdown(int(descriptor), syscall.SHUT_RD) // the listener is closed in any case
 		}
 	})
 	switch {
 	case err != nil:
 		return nil, err
-	case errors.Is(failure, syscall.EAGAIN):
+	case errors.Is(acceptErr, syscall.EAGAIN):
 		return nil, nil
-	case failure != nil:
-		return nil, failure
+	case acceptErr != nil:
+		return nil, acceptErr
 	}
-	return connectionOf(accepted)
+	return newConn(accepted)
 }
 
-func connectionOf(descriptor int) (net.Conn, error) {
+func newConn(descriptor int) (net.Conn, error) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
-	defer file.Close() // FileConn works on a copy
+	defer file.Close() // FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
--- a/internal/drain/accept_other.go
+++ b/internal/drain/accept_other.go
@@ -4,6 +4,6 @@
 
 import "net"
 
-// acceptWaiting finds nothing on other systems: a connection that comes
-// between the deadline and the closing of the port is reset.
-func acceptWaiting(*net.TCPListener) (net.Conn, error) { return nil, nil }
+// acceptQueued is not supported on other systems: a connection that arrives between the
+// deadline and the closing of the socket is reset.
+func acceptQueued(*net.TCPListener) (net.Conn, error) { return nil, nil }
--- a/internal/drain/connections.go
+++ b/internal/drain/connections.go
@@ -1,3 +1,4 @@
+// Package drain shuts down HTTP servers without resetting connections.
 package drain
 
 import (
@@ -10,42 +11,41 @@
 	"github.com/doorpond/doorpond/internal/elapsed"
 )
 
-// Connections knows the open connections of one server. Its zero value is
-// usable; it is safe for concurrent use.
+// Connections tracks the open connections of one server. The zero value is ready to use.
+// It is safe for concurrent use.
 type Connections struct {
-	// Meter measures for how long connections are idle; nil takes all time. A request
-	// that arrives while the process is paused lies unread on a connection that has been
-	// idle for as long, by the clock.
+	// Meter measures idle time; nil counts all time. With a Meter, time in which the
+	// process is suspended does not count, as a request that arrives then is not yet read.
 	Meter *elapsed.Meter
 
 	mutex sync.Mutex
-	open  map[net.Conn]use
+	open  map[net.Conn]connectionState
 }
 
-// use is what a connection is used for.
-type use struct {
-	// busy is true while a request is in flight.
-	busy bool
-	// since is for how long the process had run when that began.
+type connectionState struct {
+	// active is true while a request is in flight.
+	active bool
+	// since is the Meter's time of the last state change.
 	since time.Duration
 }
 
-// Track takes the connections of a server that was not started yet.
-func (c *Connections) Track(server *http.Server) { server.ConnState = c.changed }
+// Track starts tracking the connections of a server. It must be called before the server
+// is started.
+func (c *Connections) Track(server *http.Server) { server.ConnState = c.setState }
 
-// changed implements http.Server.ConnState.
-func (c *Connections) changed(connection net.Conn, state http.ConnState) {
-	ran := c.Meter.Ran()
+// setState is the server's http.Server.ConnState hook.
+func (c *Connections) setState(connection net.Conn, state http.ConnState) {
+	now := c.Meter.Ran()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open == nil {
-		c.open = make(map[net.Conn]use)
+		c.open = make(map[net.Conn]connectionState)
 	}
 	switch state {
 	case http.StateNew, http.StateIdle:
-		c.open[connection] = use{since: ran}
+		c.open[connection] = connectionState{since: now}
 	case http.StateActive:
-		c.open[connection] = use{busy: true, since: ran}
+		c.open[connection] = connectionState{active: true, since: now}
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, connection)
 	}
@@ -58,54 +58,52 @@
 	return len(c.open)
 }
 
-// ActiveCount returns the number of connections with a request in flight: its answer has not been
-// written whole.
+// ActiveCount returns the number of connections with a request in flight, that is, one
+// whose response has not been written completely.
 func (c *Connections) ActiveCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	busy := 0
+	active := 0
 	for _, connection := range c.open {
-		if connection.busy {
-			busy++
+		if connection.active {
+			active++
 		}
 	}
-	return busy
+	return active
 }
 
-// quiet tells whether all connections have been idle for a time; it is true
-// when there are none.
-func (c *Connections) quiet(idle time.Duration) bool {
+// allIdle reports whether every open connection has been idle for at least the given time.
+func (c *Connections) allIdle(idle time.Duration) bool {
 	latest := c.Meter.Ran() - idle
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, connection := range c.open {
-		if connection.busy || connection.since > latest {
+		if connection.active || connection.since > latest {
 			return false
 		}
 	}
 	return true
 }
 
-// quietInterval is the pause between two looks at the connections.
-const quietInterval = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-// WaitIdle waits until there is no connection, or all have been idle for a
-// time, and returns ctx's error when it ends first. The server's handler must
-// answer with "Connection: close" meanwhile.
+// WaitIdle waits until every open connection has been idle for at least the given time.
+// It returns ctx's error if ctx ends first. Meanwhile, the server's handler must set
+// "Connection: close" on responses.
 func (c *Connections) WaitIdle(ctx context.Context, idle time.Duration) error {
-	return await(ctx, func() bool { return c.quiet(idle) })
+	return poll(ctx, func() bool { return c.allIdle(idle) })
 }
 
-// WaitInactive waits until no request is in flight, and returns ctx's error when it ends
+// WaitInactive waits until no request is in flight. It returns ctx's error if ctx ends
 // first.
 func (c *Connections) WaitInactive(ctx context.Context) error {
-	return await(ctx, func() bool { return c.ActiveCount() == 0 })
+	return poll(ctx, func() bool { return c.ActiveCount() == 0 })
 }
 
-func await(ctx context.Context, holds func() bool) error {
-	ticker := time.NewTicker(quietInterval)
+func poll(ctx context.Context, condition func() bool) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-func TestTurnOffHandsOverWaitingConnections(t *testing.T) {
+func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const waiting = 50
-	for range waiting {
+	const queued = 50
+	for range queued {
 		connection, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -29,21 +29,22 @@
 	if err := listener.Drain(); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-accepted; got != waiting {
-		t.Errorf("accepted %d connections; want %d", got, waiting)
+	if got := <-accepted; got != queued {
+		t.Errorf("accepted %d connections; want %d", got, queued)
 	}
 	if connection, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		connection.Close()
-		t.Error("a listener that is turned off accepts a connection")
+		t.Error("a drained listener accepted a connection")
 	}
 }
 
-// acceptAll accepts until the listener is closed.
+// acceptAll accepts connections until the listener is closed and returns their number, or
+// -1 on any other error.
 func acceptAll(listener net.Listener) int {
-	for number := 0; ; number++ {
+	for count := 0; ; count++ {
 		connection, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			return number
+			return count
 		}
 		if err != nil {
 			return -1
@@ -52,42 +53,42 @@
 	}
 }
 
-func TestConnectionsAreQuiet(t *testing.T) {
+func TestConnectionsWaitIdle(t *testing.T) {
 	const idle = time.Second
 	cases := []struct {
 		name   string
 		states []http.ConnState
 		want   time.Duration
 	}{
-		{"none", nil, 0},
-		{"new and never used", []http.ConnState{http.StateNew}, idle},
+		{"no connection", nil, 0},
+		{"new", []http.ConnState{http.StateNew}, idle},
 		{"idle after a request", []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}, idle},
 		{"closed", []http.ConnState{http.StateNew, http.StateActive, http.StateClosed}, 0},
-		{"a request in flight for all of the time", []http.ConnState{http.StateNew, http.StateActive}, 10 * idle},
+		{"request in flight", []http.ConnState{http.StateNew, http.StateActive}, 10 * idle},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				connections := &Connections{}
-				here, there := net.Pipe()
-				defer here.Close()
-				defer there.Close()
+				local, remote := net.Pipe()
+				defer local.Close()
+				defer remote.Close()
 				for _, state := range test.states {
-					connections.changed(here, state)
+					connections.setState(local, state)
 				}
-				bounded, cancel := context.WithTimeout(t.Context(), 10*idle)
+				ctx, cancel := context.WithTimeout(t.Context(), 10*idle)
 				defer cancel()
 				start := time.Now()
-				_ = connections.WaitIdle(bounded, idle)
+				_ = connections.WaitIdle(ctx, idle)
 				if took := time.Since(start); took != test.want {
-					t.Errorf("quiet after %s; want %s", took, test.want)
+					t.Errorf("idle after %s; want %s", took, test.want)
 				}
 			})
 		})
 	}
 }
 
-func TestServerAnswersWhatArrivesWhileItDrains(t *testing.T) {
+func TestServerAnswersRequestWhileDraining(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,18 +100,18 @@
 	connections.Track(server)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	caller, err := net.Dial("tcp", listener.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer caller.Close()
+	defer conn.Close()
 	if err := listener.Drain(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := caller.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")); err != nil {
+	if _, err := conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	response, err := http.ReadResponse(bufio.NewReader(caller), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,6 +120,6 @@
 		t.Fatal(err)
 	}
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("serve ended with %v; want %v", err, net.ErrClosed)
+		t.Errorf("Serve returned %v; want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/drain/listener.go
+++ b/internal/drain/listener.go
@@ -10,21 +10,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// handoverTime is how long a listener that is turned off still hands over the
-// connections that wait for the program, and those that are being opened.
-const handoverTime = 100 * time.Millisecond
+// drainPeriod is how long a draining listener accepts queued connections and those whose
+// handshake is in progress.
+const drainPeriod = 100 * time.Millisecond
 
-// Listener is a TCP listener that can be turned off without resetting the
-// connections that wait in the kernel. Only a connection that comes in the few
-// microseconds between the last look at the queue and the closing of the port
-// is still reset: the kernel has no call that does both.
+// Listener is a TCP listener that can be closed without resetting the connections in the
+// kernel's accept queue. A connection that is completed between the last check of the queue
+// and the closing of the socket is still reset, as no system call does both.
 type Listener struct {
 	*net.TCPListener
-	turningOff atomic.Bool
-	closed     chan error
+	draining atomic.Bool
+	closed   chan error
 }
 
-// Listen opens a TCP listener on IP:port.
+// Listen opens a TCP listener on an address of the form IP:port.
 func Listen(address string) (*Listener, error) {
 	opened, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,28 +32,28 @@
 	return &Listener{TCPListener: opened.(*net.TCPListener), closed: make(chan error, 1)}, nil
 }
 
-// Accept implements net.Listener. It closes the port itself once it has waited
-// in vain, so that no time is lost in between.
+// Accept implements net.Listener. When the listener is draining and its accept queue is
+// empty, Accept closes the socket itself, so that no connection is queued in between.
 func (l *Listener) Accept() (net.Conn, error) {
 	connection, err := l.TCPListener.Accept()
-	if err == nil || !l.turningOff.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err == nil || !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return connection, err
 	}
-	waiting, sweepFailure := acceptWaiting(l.TCPListener)
-	if waiting != nil {
-		return waiting, nil // the deadline has passed, so Accept comes here again
+	queued, acceptErr := acceptQueued(l.TCPListener)
+	if queued != nil {
+		return queued, nil // the deadline stays exceeded, so the next Accept checks the queue again
 	}
-	l.closed <- errors.Join(sweepFailure, l.TCPListener.Close())
+	l.closed <- errors.Join(acceptErr, l.TCPListener.Close())
 	return nil, net.ErrClosed
 }
 
-// Drain waits until Accept has handed over the connections that were already
-// there, and has closed the port. The program must be calling Accept, whose
-// last error is net.ErrClosed. It is called once.
+// Drain stops the listener. It returns once Accept has returned the queued connections and
+// closed the socket. Another goroutine must be calling Accept, whose last error is
+// net.ErrClosed. Drain must be called only once.
 func (l *Listener) Drain() error {
-	l.turningOff.Store(true)
-	if err := l.SetDeadline(time.Now().Add(handoverTime)); err != nil {
-		return eris.Wrap(err, "turn the listener off")
+	l.draining.Store(true)
+	if err := l.SetDeadline(time.Now().Add(drainPeriod)); err != nil {
+		return eris.Wrap(err, "drain the listener")
 	}
-	return eris.Wrap(<-l.closed, "turn the listener off")
+	return eris.Wrap(<-l.closed, "drain the listener")
 }
