--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the callers' port: JSON over HTTP.
+// Package gateway implements the public HTTP API for callers, with JSON bodies.
 //
 //	POST /v1/query  client.Query -> client.Answer
 //	POST /v1/call   client.Call  -> client.CallResult
@@ -21,37 +21,35 @@
 	"github.com/doorpond/doorpond/internal/failure"
 )
 
-// The paths of the callers' port.
+// The paths of the API.
 const (
 	QueryPath = "/v1/query"
 	CallPath  = "/v1/call"
 )
 
 const (
-	// defaultMaxBodyBytes bounds a request's body.
 	defaultMaxBodyBytes = 1 << 20
 	defaultWriteTimeout = 30 * time.Second
 )
 
-// Searcher answers queries.
+// Searcher executes queries.
 type Searcher interface {
 	Search(ctx context.Context, query client.Query) (client.Answer, error)
 }
 
-// Caller runs calls that may not be repeated.
+// Caller executes at-most-once calls.
 type Caller interface {
 	Call(ctx context.Context, call client.Call) (client.CallResult, error)
 }
 
-// Options are what the handler needs.
+// Options configure the handler.
 type Options struct {
 	Searcher Searcher
 	Caller   Caller
 	Board    *blackboard.Board
-	// MaxBodyBytes bounds a request's body; 0 means 1 MiB.
+	// MaxBodyBytes limits the size of a request body; 0 means 1 MiB.
 	MaxBodyBytes int64
-	// WriteTimeout bounds the time in which a caller takes its answer; 0 means
-	// 30 s.
+	// WriteTimeout limits the time for writing a response; 0 means 30 s.
 	WriteTimeout time.Duration
 	Registerer   prometheus.Registerer
 }
@@ -61,7 +59,7 @@
 	requests *prometheus.CounterVec
 }
 
-// New makes the handler of the callers' port.
+// New returns the handler of the API.
 func New(options Options) http.Handler {
 	if options.MaxBodyBytes <= 0 {
 		options.MaxBodyBytes = defaultMaxBodyBytes
@@ -76,7 +74,7 @@
 		options.Registerer.MustRegister(g.requests)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/", g.unknown)
+	mux.HandleFunc("/", g.notFound)
 	mux.HandleFunc(QueryPath, func(w http.ResponseWriter, r *http.Request) { serve(g, w, r, QueryPath, g.search) })
 	mux.HandleFunc(CallPath, func(w http.ResponseWriter, r *http.Request) { serve(g, w, r, CallPath, g.call) })
 	return mux
@@ -90,28 +88,28 @@
 	return g.options.Caller.Call(ctx, call)
 }
 
-func (g *gateway) unknown(w http.ResponseWriter, r *http.Request) {
-	g.limitWriting(w)
-	failure.WriteProblem(w, failure.New(failure.NotFound, "there is no path "+r.URL.Path))
+func (g *gateway) notFound(w http.ResponseWriter, r *http.Request) {
+	g.setWriteDeadline(w)
+	failure.WriteProblem(w, failure.New(failure.NotFound, "unknown path "+r.URL.Path))
 }
 
-// limitWriting keeps a caller that does not read from holding a connection. It
-// is called when the answer is there, as working it out may take longer.
-func (g *gateway) limitWriting(w http.ResponseWriter) {
-	// it fails only for a writer that is not a connection
+// setWriteDeadline closes the connection of a caller that does not read its response. It is
+// called once the response is ready, as executing the request may take longer.
+func (g *gateway) setWriteDeadline(w http.ResponseWriter) {
+	// this fails only for a ResponseWriter that does not support deadlines
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.WriteTimeout))
 }
 
 const okLabel = "ok"
 
-// serve reads one request, has it handled and writes the answer whole.
-func serve[Request, Answer any](g *gateway, w http.ResponseWriter, r *http.Request, path string, handle func(context.Context, Request) (Answer, error)) {
-	closing, err := g.admit()
+// serve decodes a request, passes it to handle and writes the response.
+func serve[Request, Response any](g *gateway, w http.ResponseWriter, r *http.Request, path string, handle func(context.Context, Request) (Response, error)) {
+	closing, err := g.checkPhase()
 	if closing {
 		w.Header().Set("Connection", "close")
 	}
-	answer, err := exchange(g, w, r, err, handle)
-	g.limitWriting(w)
+	body, err := respond(g, w, r, err, handle)
+	g.setWriteDeadline(w)
 	if err != nil {
 		g.requests.WithLabelValues(path, string(failure.KindOf(err))).Inc()
 		failure.WriteProblem(w, err)
@@ -119,50 +117,51 @@
 	}
 	g.requests.WithLabelValues(path, okLabel).Inc()
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(answer) // the caller is gone if this fails
+	_, _ = w.Write(body) // an error means that the caller has disconnected
 }
 
-func exchange[Request, Answer any](g *gateway, w http.ResponseWriter, r *http.Request, refused error, handle func(context.Context, Request) (Answer, error)) ([]byte, error) {
-	if refused != nil {
-		return nil, refused
+// respond returns the encoded response. It returns phaseErr if that is not nil.
+func respond[Request, Response any](g *gateway, w http.ResponseWriter, r *http.Request, phaseErr error, handle func(context.Context, Request) (Response, error)) ([]byte, error) {
+	if phaseErr != nil {
+		return nil, phaseErr
 	}
 	var request Request
 	if err := g.decode(w, r, &request); err != nil {
 		return nil, err
 	}
-	answer, err := handle(r.Context(), request)
+	response, err := handle(r.Context(), request)
 	if err != nil {
 		return nil, err
 	}
-	encoded, err := json.Marshal(answer)
+	encoded, err := json.Marshal(response)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "encode the answer")
+		return nil, failure.Wrap(err, failure.Internal, "encode response")
 	}
 	return encoded, nil
 }
 
-// admit looks at the daemon's phase. While it drains, requests are still
-// served; once its port is closed, on connections that end after them. Ending
-// them earlier would make callers open new ones to a port about to close.
-func (g *gateway) admit() (closing bool, err error) {
+// checkPhase reports whether the connection must be closed after the response, and returns
+// an error if the daemon does not serve requests in its current phase. Connections are kept
+// open until the listener is closed, as callers would otherwise reconnect to this daemon.
+func (g *gateway) checkPhase() (closing bool, err error) {
 	phase := g.options.Board.Phase.Load()
 	switch {
 	case phase == nil || *phase == blackboard.PhaseStarting:
-		return false, failure.New(failure.NoTable, "the daemon is starting")
+		return false, failure.New(failure.NoTable, "daemon is starting")
 	case *phase == blackboard.PhaseServing, *phase == blackboard.PhaseDraining:
 		return false, nil
 	case *phase == blackboard.PhaseClosing:
 		return true, nil
 	default:
-		return true, failure.New(failure.Draining, "the daemon has stopped taking requests")
+		return true, failure.New(failure.Draining, "daemon is shutting down")
 	}
 }
 
-// decode reads one JSON document strictly: known fields only, nothing after.
+// decode reads a JSON document. Unknown fields and trailing data are errors.
 func (g *gateway) decode(w http.ResponseWriter, r *http.Request, target any) error {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		return failure.New(failure.InvalidRequest, "method "+r.Method+" is not POST")
+		return failure.New(failure.InvalidRequest, "method "+r.Method+" not allowed, want POST")
 	}
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, g.options.MaxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -170,7 +169,7 @@
 		return bodyError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return failure.New(failure.InvalidRequest, "there is more after the JSON document")
+		return failure.New(failure.InvalidRequest, "unexpected data after JSON document")
 	}
 	return nil
 }
@@ -178,7 +177,7 @@
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return failure.Wrap(err, failure.TooLarge, "read the body")
+		return failure.Wrap(err, failure.TooLarge, "read request body")
 	}
-	return failure.Wrap(err, failure.InvalidRequest, "decode the body")
+	return failure.Wrap(err, failure.InvalidRequest, "decode request body")
 }
