--- a/internal/ingress/header.go
+++ b/internal/ingress/header.go
@@ -5,21 +5,20 @@
 	"strings"
 )
 
-// connectionHeaders concern a single connection only (RFC 9110, 7.6.1).
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// endToEnd removes from a header what concerns a single connection, and
-// returns it.
-func endToEnd(header http.Header) http.Header {
+// removeHopByHop removes the hop-by-hop fields from header and returns it.
+func removeHopByHop(header http.Header) http.Header {
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
 			delete(header, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(header, name)
 	}
 	return header
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,6 +1,5 @@
-// Package ingress takes callers' requests that are passed on as they are: it
-// finds the route, reads the request whole, hands it to the query service, and
-// writes the answer.
+// Package ingress implements the HTTP handler for forwarded requests: it matches the route,
+// reads the request body, passes the request to the query service and writes the response.
 package ingress
 
 import (
@@ -22,40 +21,41 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// Codec gives the headers of the callers' protocol their meaning.
+// Codec reads and writes the protocol-specific headers of callers.
 type Codec interface {
-	// ReadRequest returns the identifier of a request and how long its caller
-	// waits, and removes from the header what belongs to the protocol.
-	ReadRequest(header http.Header) (id string, wait time.Duration)
-	// WriteParts states which parts a scattered answer consists of.
+	// ReadRequest returns a request's ID and its caller's timeout, and removes the protocol's
+	// fields from header.
+	ReadRequest(header http.Header) (id string, timeout time.Duration)
+	// WriteParts sets the fields that describe a merged answer: the signatures of its parts
+	// and the number of missing shards.
 	WriteParts(header http.Header, signatures []string, missing int)
-	// WriteRetryAfter tells a caller when to come back.
-	WriteRetryAfter(header http.Header, wait time.Duration)
+	// WriteRetryAfter sets the field that tells the caller when to retry.
+	WriteRetryAfter(header http.Header, delay time.Duration)
 }
 
-// Forwarder passes requests on.
+// Forwarder forwards requests to replicas.
 type Forwarder interface {
-	Forward(ctx context.Context, forwarding *query.ForwardRequest) (query.ForwardResult, error)
+	Forward(ctx context.Context, request *query.ForwardRequest) (query.ForwardResult, error)
 }
 
-// Options are what a Handler needs.
+// Options configure a Handler.
 type Options struct {
 	Board     *blackboard.Board
 	Codec     Codec
 	Forwarder Forwarder
-	// WaitFresh waits until the routes may be trusted, and tells whether they may; nil means
-	// always. It ends with ctx.
+	// WaitFresh waits until the routing table is up to date or ctx ends, and reports whether
+	// it is. If nil, the table is always considered up to date.
 	WaitFresh func(ctx context.Context) bool
 	Logger    *slog.Logger
 }
 
-// Handler serves callers' requests.
+// Handler forwards callers' requests to replicas.
 type Handler struct {
 	options Options
-	lines   *requestLog
+	log     *requestLog
 }
 
-// New makes a Handler.
+// New returns a Handler.
 func New(options Options) *Handler {
 	if options.WaitFresh == nil {
 		options.WaitFresh = func(context.Context) bool { return true }
@@ -63,51 +63,51 @@
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Handler{options: options, lines: newRequestLog(options.Logger, options.Board)}
+	return &Handler{options: options, log: newRequestLog(options.Logger, options.Board)}
 }
 
-// defaultBodyBytes bounds a body while no limit is known.
-const defaultBodyBytes = 1 << 20
+// defaultMaxBodyBytes applies if the routing table sets no limit.
+const defaultMaxBodyBytes = 1 << 20
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if phase := h.options.Board.Phase.Load(); phase != nil && *phase >= blackboard.PhaseDraining {
 		w.Header().Set("Connection", "close")
 	}
-	defer h.answerAfterPanic(w, r)
-	started := time.Now()
-	id, wait := h.options.Codec.ReadRequest(r.Header)
-	route, answer, err := h.forward(r, id, wait)
+	defer h.recoverPanic(w, r)
+	startedAt := time.Now()
+	id, timeout := h.options.Codec.ReadRequest(r.Header)
+	route, answer, err := h.forward(r, id, timeout)
 	if err != nil {
-		h.refuse(w, err)
+		h.writeError(w, err)
 	} else {
-		h.write(w, answer)
+		h.writeAnswer(w, answer)
 	}
-	h.lines.tell(outcome{request: r, id: id, route: route, answer: &answer, err: err, took: time.Since(started)})
+	h.log.write(logEntry{request: r, id: id, route: route, answer: &answer, err: err, duration: time.Since(startedAt)})
 }
 
-// answerAfterPanic gives a request that met a fault of this program its final
-// answer: net/http would end the connection without one.
-func (h *Handler) answerAfterPanic(w http.ResponseWriter, r *http.Request) {
+// recoverPanic answers a request whose handler panicked: net/http would close the connection
+// without a response.
+func (h *Handler) recoverPanic(w http.ResponseWriter, r *http.Request) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	h.options.Logger.Error("a handler panicked", "host", r.Host, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
-	h.refuse(w, failure.New(failure.Internal, "a fault of this program"))
+	h.options.Logger.Error("handler panicked", "host", r.Host, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+	h.writeError(w, failure.New(failure.Internal, "internal error"))
 }
 
-func (h *Handler) forward(r *http.Request, id string, wait time.Duration) (*routing.Route, query.ForwardResult, error) {
+func (h *Handler) forward(r *http.Request, id string, timeout time.Duration) (*routing.Route, query.ForwardResult, error) {
 	if h.options.Board.Routes.Load() == nil {
-		return nil, query.ForwardResult{}, failure.New(failure.NoTable, "no routes are known yet")
+		return nil, query.ForwardResult{}, failure.New(failure.NoTable, "no routing table loaded yet")
 	}
-	began := time.Now()
-	trusted := h.options.WaitFresh(r.Context())
-	waited := time.Since(began) // of the request's time: nothing is sent for longer than is left
-	if !trusted {
-		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "the routes could not be confirmed after a pause")
+	waitStart := time.Now()
+	fresh := h.options.WaitFresh(r.Context())
+	waited := time.Since(waitStart) // counts towards the caller's timeout
+	if !fresh {
+		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "routing table not confirmed since the process was suspended")
 	}
-	table := h.options.Board.Routes.Load() // after the wait, which may bring another one
+	table := h.options.Board.Routes.Load() // loaded again, as it may have changed during the wait
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
@@ -115,27 +115,26 @@
 	path, _, _ := strings.Cut(target, "?")
 	route := table.Match(r.Host, path)
 	if route == nil {
-		return nil, query.ForwardResult{}, failure.New(failure.NotFound, "no route for this host and path")
+		return nil, query.ForwardResult{}, failure.New(failure.NotFound, "no route matches host and path")
 	}
 	body, err := readBody(r, table.Limits.BodyBytes)
 	if err != nil {
 		return route, query.ForwardResult{}, err
 	}
 	message := &upstream.Message{
-		ID: id, Caller: callerOf(r), Method: r.Method, Target: target, Host: r.Host, Header: endToEnd(r.Header), Body: body,
+		ID: id, Caller: callerAddress(r), Method: r.Method, Target: target, Host: r.Host, Header: removeHopByHop(r.Header), Body: body,
 	}
-	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, CallerTimeout: wait, Elapsed: waited})
+	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, CallerTimeout: timeout, Elapsed: waited})
 	return route, answer, err
 }
 
-// callerOf returns the address that a request came from, the zero value when the server
-// has not said.
-func callerOf(r *http.Request) netip.Addr {
-	from, err := netip.ParseAddrPort(r.RemoteAddr)
+// callerAddress returns the remote address of a request, or the zero value if it is unknown.
+func callerAddress(r *http.Request) netip.Addr {
+	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
 	}
-	return from.Addr().Unmap()
+	return remote.Addr().Unmap()
 }
 
 func readBody(r *http.Request, limit int64) ([]byte, error) {
@@ -143,37 +142,37 @@
 		return nil, nil
 	}
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
-		return nil, failure.New(failure.TooLarge, "the body is over the limit")
+		return nil, failure.New(failure.TooLarge, "request body too large")
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
 	case err != nil:
-		return nil, failure.Wrap(err, failure.InvalidRequest, "read the body")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "read request body")
 	case int64(len(body)) > limit:
-		return nil, failure.New(failure.TooLarge, "the body is over the limit")
+		return nil, failure.New(failure.TooLarge, "request body too large")
 	}
 	return body, nil
 }
 
-// write answers with what the replicas answered.
-func (h *Handler) write(w http.ResponseWriter, answer query.ForwardResult) {
+// writeAnswer writes the replicas' answer.
+func (h *Handler) writeAnswer(w http.ResponseWriter, answer query.ForwardResult) {
 	header := w.Header()
 	status, body := http.StatusOK, answer.Records
 	if answer.Reply != nil {
 		status, body = answer.Reply.Status, answer.Reply.Body
-		copyHeader(header, endToEnd(answer.Reply.Header))
+		copyHeader(header, removeHopByHop(answer.Reply.Header))
 	} else {
 		h.options.Codec.WriteParts(header, answer.Signatures, answer.MissingShards)
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // net/http would guess one
+		header["Content-Type"] = nil // keeps net/http from setting one by the content
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(body))}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the caller is gone if this fails
+	_, _ = w.Write(body) // an error means that the caller has disconnected
 }
 
 func copyHeader(to, from http.Header) {
@@ -184,12 +183,12 @@
 	}
 }
 
-// refuse answers with a failure. Statuses that promise that nothing ran are
-// given only when that was proved.
-func (h *Handler) refuse(w http.ResponseWriter, err error) {
+// writeError writes the status of an error. A status that implies that the request was not
+// run is replaced by 502 Bad Gateway unless the error guarantees that.
+func (h *Handler) writeError(w http.ResponseWriter, err error) {
 	known := failure.From(err)
 	status := failure.Lookup(known.Kind).Status
-	if promisesNotRun(status) && !known.NotRun {
+	if impliesNotRun(status) && !known.NotRun {
 		status = http.StatusBadGateway
 	}
 	if known.NotRun && known.RetryAfter > 0 {
@@ -199,7 +198,7 @@
 	w.WriteHeader(status)
 }
 
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/internal/ingress/log.go
+++ b/internal/ingress/log.go
@@ -16,85 +16,89 @@
 	"github.com/doorpond/doorpond/internal/routing"
 )
 
-// The lines a second about requests, by whether there is something to explain.
-// What is over them is counted, and said in the next line.
+// Rate limits of log lines, for complete answers and for all others. Lines over the limit are
+// counted, and the next line contains the count.
+const (
+	completePerSecond   = 1
+	incompletePerSecond = 40
+	completeBurst       = 5
+	incompleteBurst     = 200
+)
+
+// The messages of log lines.
 const (
-	plainLines       = 1
-	noteworthyLines  = 40
-	plainBurst       = 5
-	noteworthyBurst  = 200
 	messageAnswered  = "request answered"
 	messagePartial   = "request answered in part"
 	messageLate      = "request answered late"
 	messageNotServed = "request not answered"
 )
 
-// outcome is what came of one request.
-type outcome struct {
+// logEntry describes a request and its result.
+type logEntry struct {
 	request *http.Request
 	id      string
-	// route is nil when there was none.
-	route  *routing.Route
-	answer *query.ForwardResult
-	err    error
-	took   time.Duration
+	// route is nil if none matched.
+	route    *routing.Route
+	answer   *query.ForwardResult
+	err      error
+	duration time.Duration
 }
 
-// mostTargetBytes of a target are logged: enough to tell requests apart, and a line stays
-// one packet.
-const mostTargetBytes = 200
+// maxTargetBytes limits the logged part of a request target, so that a line fits in one
+// packet.
+const maxTargetBytes = 200
 
-func shortened(target string) string { return target[:min(len(target), mostTargetBytes)] }
+func truncateTarget(target string) string { return target[:min(len(target), maxTargetBytes)] }
 
-// noteworthy is true when a caller may ask what happened.
-func (o *outcome) noteworthy() bool {
-	return o.err != nil || o.answer.MissingShards > 0 || o.answer.Late
+// incomplete reports whether the request failed, or its answer was partial or late.
+func (e *logEntry) incomplete() bool {
+	return e.err != nil || e.answer.MissingShards > 0 || e.answer.Late
 }
 
-func (o *outcome) message() string {
+func (e *logEntry) message() string {
 	switch {
-	case o.err != nil:
+	case e.err != nil:
 		return messageNotServed
-	case o.answer.MissingShards > 0:
+	case e.answer.MissingShards > 0:
 		return messagePartial
-	case o.answer.Late:
+	case e.answer.Late:
 		return messageLate
 	default:
 		return messageAnswered
 	}
 }
 
-// requestLog writes one line about a request, as far as its rates allow.
+// requestLog logs one line per request, subject to rate limits.
 type requestLog struct {
-	logger            *slog.Logger
-	board             *blackboard.Board
-	plain, noteworthy *rate.Limiter
-	omitted           atomic.Int64
+	logger               *slog.Logger
+	board                *blackboard.Board
+	complete, incomplete *rate.Limiter
+	omitted              atomic.Int64
 }
 
 func newRequestLog(logger *slog.Logger, board *blackboard.Board) *requestLog {
 	return &requestLog{
 		logger: logger, board: board,
-		plain:      rate.NewLimiter(plainLines, plainBurst),
-		noteworthy: rate.NewLimiter(noteworthyLines, noteworthyBurst),
+		complete:   rate.NewLimiter(completePerSecond, completeBurst),
+		incomplete: rate.NewLimiter(incompletePerSecond, incompleteBurst),
 	}
 }
 
-func (l *requestLog) tell(about outcome) {
-	limiter := l.plain
-	if about.noteworthy() {
-		limiter = l.noteworthy
+func (l *requestLog) write(entry logEntry) {
+	limiter := l.complete
+	if entry.incomplete() {
+		limiter = l.incomplete
 	}
 	if !limiter.Allow() {
 		l.omitted.Add(1)
 		return
 	}
-	l.logger.Info(about.message(), l.attributes(&about)...)
+	l.logger.Info(entry.message(), l.attributes(&entry)...)
 }
 
-// attributes are what the request was decided by, and what came of it.
-func (l *requestLog) attributes(about *outcome) []any {
-	attributes := []any{"request", about.id, "took_ms", about.took.Milliseconds()}
+// attributes returns the state that the request was served by, and its result.
+func (l *requestLog) attributes(entry *logEntry) []any {
+	attributes := []any{"request", entry.id, "took_ms", entry.duration.Milliseconds()}
 	if omitted := l.omitted.Swap(0); omitted > 0 {
 		attributes = append(attributes, "omitted_lines", omitted)
 	}
@@ -104,25 +108,25 @@
 	if status := l.board.Store.Load(); status != nil && !status.Reachable {
 		attributes = append(attributes, "store_lost_ms", elapsed.Time().Sub(status.Since).Milliseconds())
 	}
-	if about.route != nil {
-		attributes = append(attributes, "route", about.route.Name, "attempts", about.answer.Attempts, "hedges", about.answer.Hedges)
+	if entry.route != nil {
+		attributes = append(attributes, "route", entry.route.Name, "attempts", entry.answer.Attempts, "hedges", entry.answer.Hedges)
 	} else {
-		attributes = append(attributes, "host", about.request.Host)
+		attributes = append(attributes, "host", entry.request.Host)
 	}
-	if about.answer.MissingShards > 0 {
-		attributes = append(attributes, "missing", about.answer.MissingShards)
+	if entry.answer.MissingShards > 0 {
+		attributes = append(attributes, "missing", entry.answer.MissingShards)
 	}
-	if len(about.answer.Trace) > 0 {
-		attributes = append(attributes, "shards", about.answer.Trace)
+	if len(entry.answer.Trace) > 0 {
+		attributes = append(attributes, "shards", entry.answer.Trace)
 	}
 	var known *failure.Error
-	if errors.As(about.err, &known) {
+	if errors.As(entry.err, &known) {
 		attributes = append(attributes, "kind", string(known.Kind), "not_run", known.NotRun)
 	}
-	if about.err != nil {
-		// the same request may come again, by other identifiers and at other nodes
-		attributes = append(attributes, "reason", about.err.Error(),
-			"caller", callerOf(about.request).String(), "target", shortened(about.request.RequestURI))
+	if entry.err != nil {
+		// these identify a retry, which may have another ID and reach another node
+		attributes = append(attributes, "reason", entry.err.Error(),
+			"caller", callerAddress(entry.request).String(), "target", truncateTarget(entry.request.RequestURI))
 	}
 	return attributes
 }
