--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry records this node in the store under a lease, so that the
-// other nodes know it and name it to callers while it lives.
+// Package registry registers this node in the store under a lease, so that other nodes
+// discover it and include it in the directory for callers.
 package registry
 
 import (
@@ -16,53 +16,53 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Store is the part of the store that a Registry writes.
+// Store is the subset of the store's operations that a Registry uses.
 type Store interface {
 	store.Committer
 	store.Leaser
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease store.Lease) error
 }
 
-// Config is what a Registry is made of. Zero values of the last ones take defaults.
+// Config configures a Registry. Listed, Era, Logger and Now are optional.
 type Config struct {
 	Store Store
-	// Key is where this node's entry lies.
+	// Key is the store key of this node's entry.
 	Key string
-	// Node returns the entry as it should be now.
+	// Node returns the current content of the entry.
 	Node func() topology.Node
-	// Listed tells whether the entry is among those that this node knows of; nil means
-	// that it is. The lease of one that is not may have lapsed before its time.
+	// Listed reports whether this node has seen its own entry in the store; nil means that it
+	// has. If not, the lease may have expired early and is checked.
 	Listed func() bool
-	// Era returns the store's era as far as it is known; nil means that it never changes. A
-	// lease of an earlier era is gone, or another caller's by now, and so is the entry.
+	// Era returns the last known era of the store, which increases when the store is restored
+	// from a backup; nil means that it never changes. A lease of an earlier era no longer
+	// exists or belongs to another client.
 	Era func() int64
-	// TTL is how long the entry outlives the node.
+	// TTL is the duration of the lease.
 	TTL    time.Duration
 	Logger *slog.Logger
 	Now    func() time.Time
 }
 
-// Registry keeps one entry; Run starts it.
+// Registry maintains this node's entry. Use Run to start it.
 type Registry struct {
 	config Config
 	lease  store.Lease
-	// era is the store's when the lease was granted.
+	// era is the era of the store in which the lease was granted.
 	era int64
-	// renewedAt is when the lease was granted or renewed last.
+	// renewedAt is when the lease was last granted or renewed.
 	renewedAt time.Time
-	// recorded is what the entry holds, if it is there.
-	recorded topology.Node
-	// checkedAt is when the entry was written, or its lease last checked since it is
-	// not listed.
+	// written is the last written content of the entry.
+	written topology.Node
+	// checkedAt is when the entry was written, or its lease was last renewed.
 	checkedAt time.Time
 	failing   bool
-	// retryAt is when a call that has failed may be made again, after pause.
+	// retryAt is the earliest time of the next attempt after a failure.
 	retryAt time.Time
-	pause   time.Duration
+	backoff time.Duration
 }
 
-// New makes a Registry.
+// New returns a Registry.
 func New(config Config) *Registry {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -80,38 +80,33 @@
 }
 
 const (
-	// renewals is how often a lease is renewed in its time.
-	renewals = 3
-	// looks is how often in that time the node is compared with its entry, but at least
-	// each longestLook.
-	looks       = 9
-	longestLook = time.Second
-	// firstPause and longestPause bound the time after which a call that has failed is
-	// made again, which doubles: calls that the store refuses are priced and counted
-	// against its rate as well.
-	firstPause   = 500 * time.Millisecond
-	longestPause = 4 * time.Second
-	// listedWait is how long after it was written, or its lease was checked, an entry
-	// may be missing among those that are known: news takes a while.
-	listedWait = 3 * time.Second
-	// eraSpread is the time over which all nodes record themselves anew when the store has
-	// come back from a copy. 2,700 nodes make 5,400 writes; those of its calls that the
-	// store refuses are made again with pauses.
-	eraSpread = 4 * time.Second
-	// readyWait is for how long a node that has just started is not recorded while
-	// it is not ready: one entry that says so is enough.
-	readyWait = time.Second
-	// readyPause is the time between two looks then.
-	readyPause = 20 * time.Millisecond
+	renewalsPerTTL = 3
+	// checksPerTTL is how often per TTL the node is compared with its entry. The interval is
+	// at most maxCheckInterval.
+	checksPerTTL     = 9
+	maxCheckInterval = time.Second
+	// minBackoff and maxBackoff limit the exponential backoff after a failure: rejected
+	// requests count against the store's rate limit too.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// listingDelay is the time allowed for an entry to be listed after it was written or its
+	// lease was checked.
+	listingDelay = 3 * time.Second
+	// eraJitter spreads the registrations of all nodes after the store was restored.
+	eraJitter = 4 * time.Second
+	// readyTimeout limits the time that a new node waits to become ready before it registers,
+	// which saves a second write.
+	readyTimeout      = time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// Run keeps the entry until ctx ends, and returns nil then.
+// Run maintains the entry until ctx ends. It always returns nil.
 func (r *Registry) Run(ctx context.Context) error {
-	r.awaitReady(ctx)
-	ticker := time.NewTicker(min(r.config.TTL/looks, longestLook))
+	r.waitReady(ctx)
+	ticker := time.NewTicker(min(r.config.TTL/checksPerTTL, maxCheckInterval))
 	defer ticker.Stop()
 	for {
-		r.attempt(ctx)
+		r.update(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -120,90 +115,91 @@
 	}
 }
 
-// attempt renews, unless a call has failed a short while ago.
-func (r *Registry) attempt(ctx context.Context) {
-	r.noteEra()
+// update brings the entry up to date unless the backoff after a failure is in progress.
+func (r *Registry) update(ctx context.Context) {
+	r.checkEra()
 	if r.config.Now().Before(r.retryAt) {
 		return
 	}
-	err := r.renew(ctx)
-	r.note(err)
+	err := r.reconcile(ctx)
+	r.logTransition(err)
 	if err == nil {
-		r.pause, r.retryAt = 0, time.Time{}
+		r.backoff, r.retryAt = 0, time.Time{}
 		return
 	}
-	r.pause = min(max(firstPause, 2*r.pause), longestPause)
-	jittered := r.pause/2 + rand.N(r.pause)
+	r.backoff = min(max(minBackoff, 2*r.backoff), maxBackoff)
+	jittered := r.backoff/2 + rand.N(r.backoff)
 	r.retryAt = r.config.Now().Add(jittered)
 }
 
-// noteEra gives up a lease of an earlier era of the store. Its number may be another caller's:
-// it is neither renewed nor ended.
-func (r *Registry) noteEra() {
+// checkEra discards a lease of an earlier era of the store. The lease is not revoked, as its
+// ID may belong to another client.
+func (r *Registry) checkEra() {
 	era := r.config.Era()
 	if r.lease == 0 || era <= r.era {
 		return
 	}
 	r.lease, r.era = 0, era
-	r.retryAt = r.config.Now().Add(rand.N(eraSpread))
-	r.config.Logger.Info("this node's entry is written anew, as the store has come back from a copy", "era", era)
+	r.retryAt = r.config.Now().Add(rand.N(eraJitter))
+	r.config.Logger.Info("store restored from a backup; registering this node again", "era", era)
 }
 
-// awaitReady lets a node that has just started become ready first.
-func (r *Registry) awaitReady(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, readyWait)
+// waitReady waits until the node is ready, for up to readyTimeout.
+func (r *Registry) waitReady(ctx context.Context) {
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	ticker := time.NewTicker(readyPause)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !r.config.Node().Ready {
 		select {
-		case <-bounded.Done():
+		case <-readyCtx.Done():
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// renew makes the entry what it should be.
-func (r *Registry) renew(ctx context.Context) error {
-	wanted := r.config.Node()
-	if r.lease != 0 && (r.config.Now().Sub(r.renewedAt) >= r.config.TTL/renewals || r.missing()) {
+// reconcile renews the lease if it is due, and writes the entry if it has changed or its
+// lease has expired.
+func (r *Registry) reconcile(ctx context.Context) error {
+	node := r.config.Node()
+	if r.lease != 0 && (r.config.Now().Sub(r.renewedAt) >= r.config.TTL/renewalsPerTTL || r.missing()) {
 		r.checkedAt = r.config.Now()
-		asked := r.config.Now()
+		requestedAt := r.config.Now()
 		err := r.config.Store.KeepAlive(ctx, r.lease)
 		if errors.Is(err, store.ErrLeaseNotFound) {
 			r.lease = 0
 		} else if err != nil {
 			return err
 		} else {
-			r.renewedAt = asked
+			r.renewedAt = requestedAt
 		}
 	}
-	if r.lease != 0 && wanted == r.recorded {
+	if r.lease != 0 && node == r.written {
 		return nil
 	}
 	if r.lease == 0 {
-		asked, era := r.config.Now(), r.config.Era()
+		requestedAt, era := r.config.Now(), r.config.Era()
 		granted, err := r.config.Store.Grant(ctx, r.config.TTL)
 		if err != nil {
 			return err
 		}
-		r.lease, r.era, r.renewedAt = granted, era, asked
+		r.lease, r.era, r.renewedAt = granted, era, requestedAt
 	}
-	return r.record(ctx, wanted)
+	return r.writeEntry(ctx, node)
 }
 
-// missing tells whether the entry should be listed and is not.
+// missing reports whether the entry is overdue to be listed.
 func (r *Registry) missing() bool {
-	return !r.config.Listed() && r.config.Now().Sub(r.checkedAt) >= listedWait
+	return !r.config.Listed() && r.config.Now().Sub(r.checkedAt) >= listingDelay
 }
 
-// record writes the entry. The write has no condition: the entry is this
-// node's alone, and writing it twice does no harm.
-func (r *Registry) record(ctx context.Context, node topology.Node) error {
+// writeEntry writes the entry unconditionally: only this node writes its key, and repeating
+// the write is harmless.
+func (r *Registry) writeEntry(ctx context.Context, node topology.Node) error {
 	value, err := json.Marshal(node)
 	if err != nil {
-		return eris.Wrap(err, "encode the entry")
+		return eris.Wrap(err, "encode node entry")
 	}
 	_, err = r.config.Store.Commit(ctx, store.Transaction{
 		Writes: []store.Write{{Key: r.config.Key, Value: value, Lease: r.lease}},
@@ -212,26 +208,27 @@
 		r.lease = 0
 	}
 	if err == nil {
-		r.recorded, r.checkedAt = node, r.config.Now()
+		r.written, r.checkedAt = node, r.config.Now()
 	}
 	return err
 }
 
-func (r *Registry) note(err error) {
+// logTransition logs when updates start to fail and when they succeed again.
+func (r *Registry) logTransition(err error) {
 	if failing := err != nil; failing != r.failing {
 		r.failing = failing
 		if failing {
-			r.config.Logger.Warn("this node's entry cannot be renewed", "error", err.Error())
+			r.config.Logger.Warn("failed to update this node's entry", "error", err.Error())
 		} else {
-			r.config.Logger.Info("this node's entry is recorded")
+			r.config.Logger.Info("this node's entry is up to date again")
 		}
 	}
 }
 
-// Deregister removes the entry at once. Run must have ended.
+// Deregister deletes the entry by revoking its lease. Run must have returned.
 func (r *Registry) Deregister(ctx context.Context) error {
 	if r.lease == 0 || r.config.Era() > r.era {
 		return nil
 	}
-	return eris.Wrap(r.config.Store.Revoke(ctx, r.lease), "remove this node's entry")
+	return eris.Wrap(r.config.Store.Revoke(ctx, r.lease), "delete this node's entry")
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -14,7 +14,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// fakeStore notes the calls and answers each by the next error of its list.
+// fakeStore records the calls and returns the next of its errors for each.
 type fakeStore struct {
 	calls  []string
 	errors []error
@@ -53,30 +53,29 @@
 }
 
 func (s *fakeStore) CommitAll(context.Context, []store.Transaction) ([]store.Outcome, error) {
-	return nil, errors.New("not used")
+	return nil, errors.New("not implemented")
 }
 
-// steps is a clock that each look at it puts forward by a part of a second.
-func steps(parts int) func() time.Time {
+// stepClock returns a clock that each call advances by a fraction of a second.
+func stepClock(stepsPerSecond int) func() time.Time {
 	now := time.Unix(1000, 0)
 	return func() time.Time {
-		now = now.Add(time.Second / time.Duration(parts))
+		now = now.Add(time.Second / time.Duration(stepsPerSecond))
 		return now
 	}
 }
 
-// TestALeaseIsRenewedInTime: renewals are priced, so there are no more of them than
-// keep the lease when one or two get lost.
-func TestALeaseIsRenewedInTime(t *testing.T) {
+// The lease is renewed three times per TTL, as every renewal is billed.
+func TestLeaseRenewalRate(t *testing.T) {
 	fake := &fakeStore{}
 	now := time.Unix(1000, 0)
-	kept := New(Config{
+	registry := New(Config{
 		Store: fake, Key: "k", TTL: time.Second, Now: func() time.Time { return now },
 		Node: func() topology.Node { return topology.Node{ID: "n"} },
 	})
-	for range looks + 1 {
-		kept.note(kept.renew(t.Context()))
-		now = now.Add(time.Second/looks + time.Millisecond)
+	for range checksPerTTL + 1 {
+		registry.logTransition(registry.reconcile(t.Context()))
+		now = now.Add(time.Second/checksPerTTL + time.Millisecond)
 	}
 	want := []string{"grant", "put k under 1", "keep 1", "keep 1", "keep 1"}
 	if diff := cmp.Diff(want, fake.calls); diff != "" {
@@ -84,54 +83,54 @@
 	}
 }
 
-// TestANodeIsRecordedOnceItIsReady: not once before and once after.
-func TestANodeIsRecordedOnceItIsReady(t *testing.T) {
+// A new node is written once, not before and again after it becomes ready.
+func TestRunWaitsForReady(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		after time.Duration
+		delay time.Duration
 		want  bool
 	}{
-		{"soon ready", 100 * time.Millisecond, true},
-		{"not ready for long", time.Hour, false},
+		{"ready in time", 100 * time.Millisecond, true},
+		{"not ready in time", time.Hour, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			fake := &fakeStore{}
-			started := time.Now()
-			kept := New(Config{Store: fake, Key: "k", TTL: time.Hour, Node: func() topology.Node {
-				return topology.Node{ID: "n", Ready: time.Since(started) >= test.after}
+			startedAt := time.Now()
+			registry := New(Config{Store: fake, Key: "k", TTL: time.Hour, Node: func() topology.Node {
+				return topology.Node{ID: "n", Ready: time.Since(startedAt) >= test.delay}
 			}})
-			ctx, cancel := context.WithTimeout(t.Context(), 2*readyWait)
+			ctx, cancel := context.WithTimeout(t.Context(), 2*readyTimeout)
 			defer cancel()
-			if err := kept.Run(ctx); err != nil {
+			if err := registry.Run(ctx); err != nil {
 				t.Error(err)
 			}
-			if len(fake.calls) != 2 || kept.recorded.Ready != test.want {
-				t.Errorf("%s: calls %v, recorded as ready %v", test.name, fake.calls, kept.recorded.Ready)
+			if len(fake.calls) != 2 || registry.written.Ready != test.want {
+				t.Errorf("%s: calls %v, written as ready %v", test.name, fake.calls, registry.written.Ready)
 			}
 		})
 	}
 }
 
-func TestRenew(t *testing.T) {
-	lapsed := fmt.Errorf("%w: %w", store.ErrLeaseNotFound, store.ErrNotApplied)
+func TestReconcile(t *testing.T) {
+	expired := fmt.Errorf("%w: %w", store.ErrLeaseNotFound, store.ErrNotApplied)
 	cases := []struct {
 		name   string
 		errors []error
 		want   []string
 	}{
-		{"recorded once, then kept", nil, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
-		{"a lapsed lease is replaced", []error{nil, nil, lapsed}, []string{"grant", "put k under 1", "keep 1", "grant", "put k under 2", "keep 2"}},
-		{"a lease that lapsed before the write", []error{nil, lapsed}, []string{"grant", "put k under 1", "grant", "put k under 2", "keep 2"}},
-		{"an unclear write is repeated", []error{nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
-		{"no lease, no entry", []error{store.ErrUnclear}, []string{"grant", "grant", "put k under 1", "keep 1"}},
-		{"a renewal without an answer", []error{nil, nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
+		{"written once, then renewed", nil, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
+		{"expired lease", []error{nil, nil, expired}, []string{"grant", "put k under 1", "keep 1", "grant", "put k under 2", "keep 2"}},
+		{"lease expired before the write", []error{nil, expired}, []string{"grant", "put k under 1", "grant", "put k under 2", "keep 2"}},
+		{"unclear write", []error{nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
+		{"unclear grant", []error{store.ErrUnclear}, []string{"grant", "grant", "put k under 1", "keep 1"}},
+		{"unclear renewal", []error{nil, nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fake := &fakeStore{errors: test.errors}
-			kept := New(Config{Now: steps(renewals), Store: fake, Key: "k", Node: func() topology.Node { return topology.Node{ID: "n"} }, TTL: time.Second})
+			registry := New(Config{Now: stepClock(renewalsPerTTL), Store: fake, Key: "k", Node: func() topology.Node { return topology.Node{ID: "n"} }, TTL: time.Second})
 			for range 3 {
-				kept.note(kept.renew(t.Context()))
+				registry.logTransition(registry.reconcile(t.Context()))
 			}
 			if diff := cmp.Diff(test.want, fake.calls); diff != "" {
 				t.Errorf("calls (-want +got):\n%s", diff)
@@ -140,13 +139,13 @@
 	}
 }
 
-func TestAChangedNodeIsRecordedAnew(t *testing.T) {
+func TestReconcileWritesChangedNode(t *testing.T) {
 	fake := &fakeStore{}
 	node := topology.Node{ID: "n"}
-	kept := New(Config{Now: steps(renewals), Store: fake, Key: "k", Node: func() topology.Node { return node }, TTL: time.Second})
+	registry := New(Config{Now: stepClock(renewalsPerTTL), Store: fake, Key: "k", Node: func() topology.Node { return node }, TTL: time.Second})
 	for _, ready := range []bool{false, true, true} {
 		node.Ready = ready
-		if err := kept.renew(t.Context()); err != nil {
+		if err := registry.reconcile(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -156,35 +155,34 @@
 	}
 }
 
-func TestLeave(t *testing.T) {
+func TestDeregister(t *testing.T) {
 	fake := &fakeStore{}
-	kept := New(Config{Now: steps(renewals), Store: fake, Key: "k", Node: func() topology.Node { return topology.Node{} }, TTL: time.Second})
-	if err := kept.Deregister(t.Context()); err != nil || len(fake.calls) != 0 {
-		t.Errorf("left without an entry: %v, %v", fake.calls, err)
+	registry := New(Config{Now: stepClock(renewalsPerTTL), Store: fake, Key: "k", Node: func() topology.Node { return topology.Node{} }, TTL: time.Second})
+	if err := registry.Deregister(t.Context()); err != nil || len(fake.calls) != 0 {
+		t.Errorf("deregistered without an entry: calls %v, error %v", fake.calls, err)
 	}
-	if err := kept.renew(t.Context()); err != nil {
+	if err := registry.reconcile(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := kept.Deregister(t.Context()); err != nil || fake.calls[len(fake.calls)-1] != "revoke 1" {
+	if err := registry.Deregister(t.Context()); err != nil || fake.calls[len(fake.calls)-1] != "revoke 1" {
 		t.Errorf("calls %v, error %v", fake.calls, err)
 	}
 }
 
-// TestAnEntryThatIsNotListedIsChecked: the store may have ended its lease before its
-// time; the node does not wait for the next renewal.
-func TestAnEntryThatIsNotListedIsChecked(t *testing.T) {
-	lapsed := fmt.Errorf("%w: %w", store.ErrLeaseNotFound, store.ErrNotApplied)
-	fake := &fakeStore{errors: []error{nil, nil, lapsed}}
+// The store may have ended the lease early, so the node checks it before the next renewal.
+func TestUpdateChecksLeaseOfUnlistedEntry(t *testing.T) {
+	expired := fmt.Errorf("%w: %w", store.ErrLeaseNotFound, store.ErrNotApplied)
+	fake := &fakeStore{errors: []error{nil, nil, expired}}
 	now := time.Unix(1000, 0)
 	listed := true
-	kept := New(Config{
+	registry := New(Config{
 		Store: fake, Key: "k", TTL: time.Hour, Now: func() time.Time { return now },
 		Node: func() topology.Node { return topology.Node{ID: "n"} }, Listed: func() bool { return listed },
 	})
 	for _, state := range []bool{true, false, false, false} {
 		listed = state
-		kept.attempt(t.Context())
-		now = now.Add(listedWait / 2)
+		registry.update(t.Context())
+		now = now.Add(listingDelay / 2)
 	}
 	want := []string{"grant", "put k under 1", "keep 1", "grant", "put k under 2"}
 	if diff := cmp.Diff(want, fake.calls); diff != "" {
@@ -192,45 +190,45 @@
 	}
 }
 
-// TestCallsThatFailAreMadeLessAndLessOften: those that the store refuses are priced.
-func TestCallsThatFailAreMadeLessAndLessOften(t *testing.T) {
+// Rejected requests count against the store's rate limit and are billed.
+func TestUpdateBacksOff(t *testing.T) {
 	fake := &fakeStore{}
 	for range 1000 {
 		fake.errors = append(fake.errors, store.ErrNotApplied)
 	}
 	now := time.Unix(1000, 0)
-	kept := New(Config{
+	registry := New(Config{
 		Store: fake, Key: "k", TTL: time.Hour, Now: func() time.Time { return now },
 		Node: func() topology.Node { return topology.Node{ID: "n"} },
 	})
 	const seconds = 60
 	for range seconds {
-		kept.attempt(t.Context())
+		registry.update(t.Context())
 		now = now.Add(time.Second)
 	}
-	if least, most := seconds/8, seconds/2; len(fake.calls) < least || len(fake.calls) > most {
-		t.Errorf("%d calls in %d s", len(fake.calls), seconds)
+	if minCalls, maxCalls := seconds/8, seconds/2; len(fake.calls) < minCalls || len(fake.calls) > maxCalls {
+		t.Errorf("unexpected number of calls: %d in %d s", len(fake.calls), seconds)
 	}
 }
 
-// TestANewEraOfTheStoreIsRecordedIn: the lease of before may be another caller's, and the entry may
-// be missing. The nodes do not write it all at once.
-func TestANewEraOfTheStoreIsRecordedIn(t *testing.T) {
+// After a restore of the store, the old lease may belong to another client and the entry may
+// be missing. The nodes spread their writes.
+func TestUpdateRegistersInNewEra(t *testing.T) {
 	fake := &fakeStore{}
 	now, era := time.Unix(1000, 0), int64(0)
-	kept := New(Config{
+	registry := New(Config{
 		Store: fake, Key: "k", TTL: time.Hour, Now: func() time.Time { return now }, Era: func() int64 { return era },
 		Node: func() topology.Node { return topology.Node{ID: "n"} },
 	})
-	kept.attempt(t.Context())
+	registry.update(t.Context())
 	era = 2
-	kept.attempt(t.Context())
-	if spread := kept.retryAt.Sub(now); spread < 0 || spread > eraSpread {
-		t.Errorf("written after %v", spread)
+	registry.update(t.Context())
+	if delay := registry.retryAt.Sub(now); delay < 0 || delay > eraJitter {
+		t.Errorf("registration delayed by %v", delay)
 	}
 	for range 2 {
-		now = now.Add(eraSpread)
-		kept.attempt(t.Context())
+		now = now.Add(eraJitter)
+		registry.update(t.Context())
 	}
 	want := []string{"grant", "put k under 1", "grant", "put k under 2"}
 	if diff := cmp.Diff(want, fake.calls); diff != "" {
@@ -238,17 +236,17 @@
 	}
 }
 
-// TestALeaseOfAnEarlierEraIsNotEnded: leaving would take away what may be another caller's.
-func TestALeaseOfAnEarlierEraIsNotEnded(t *testing.T) {
+// A lease of an earlier era may belong to another client.
+func TestDeregisterKeepsLeaseOfEarlierEra(t *testing.T) {
 	fake := &fakeStore{}
 	era := int64(0)
-	kept := New(Config{
+	registry := New(Config{
 		Store: fake, Key: "k", TTL: time.Hour, Era: func() int64 { return era },
 		Node: func() topology.Node { return topology.Node{ID: "n"} },
 	})
-	kept.attempt(t.Context())
+	registry.update(t.Context())
 	era = 1
-	if err := kept.Deregister(t.Context()); err != nil || len(fake.calls) != 2 {
+	if err := registry.Deregister(t.Context()); err != nil || len(fake.calls) != 2 {
 		t.Errorf("calls %v, error %v", fake.calls, err)
 	}
 }
