--- a/internal/daemon/serverlog.go
+++ b/internal/daemon/connectionerrors.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The kinds of errors that net/http reports of connections.
+// The kinds of connection errors, as labels of the metric.
 const (
 	errorTLSHandshake = "tls_handshake"
 	errorPanic        = "panic"
 	errorOther        = "other"
 )
 
-// connectionErrors counts what net/http would log of connections: anybody who
-// can connect can cause such lines, so they are counted and not written.
+// connectionErrors counts the connection errors that net/http reports. They are not logged,
+// as any client could flood the log.
 type connectionErrors struct {
 	counter *prometheus.CounterVec
 }
@@ -29,8 +29,7 @@
 	return c
 }
 
-// logger returns the ErrorLog of one port's server. Panics are still written,
-// by the given function.
+// logger returns the ErrorLog of a port's server. Panics are passed to report.
 func (c *connectionErrors) logger(port string, report func(text string)) *log.Logger {
 	return log.New(&connectionErrorWriter{errors: c, port: port, report: report}, "", 0)
 }
@@ -41,9 +40,9 @@
 	report func(text string)
 }
 
-// Write implements io.Writer; it takes one message.
+// Write implements io.Writer. Each call receives one message.
 func (w *connectionErrorWriter) Write(message []byte) (int, error) {
-	kind := kindOfConnectionError(message)
+	kind := connectionErrorKind(message)
 	w.errors.counter.WithLabelValues(w.port, kind).Inc()
 	if kind == errorPanic {
 		w.report(string(message))
@@ -51,7 +50,7 @@
 	return len(message), nil
 }
 
-func kindOfConnectionError(message []byte) string {
+func connectionErrorKind(message []byte) string {
 	switch {
 	case bytes.Contains(message, []byte("TLS handshake error")):
 		return errorTLSHandshake
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles doorpondd: it wires the controllers to the
-// blackboard, opens the three listeners, and runs the planned stop.
+// Package daemon assembles doorpondd: it connects the controllers to the blackboard, opens
+// the three listeners and performs the graceful shutdown.
 package daemon
 
 import (
@@ -36,21 +36,21 @@
 // Version is the program's version.
 const Version = "0.1.0"
 
-// Options are what a Daemon is made of.
+// Options configure a Daemon.
 type Options struct {
 	Settings settings.Settings
 	Logger   *slog.Logger
 }
 
-// Daemon is one doorpondd.
+// Daemon is an instance of doorpondd.
 type Daemon struct {
-	settings settings.Settings
-	logger   *slog.Logger
-	id       string
-	started  time.Time
-	token    string
-	registry *prometheus.Registry
-	security security
+	settings  settings.Settings
+	logger    *slog.Logger
+	id        string
+	startedAt time.Time
+	token     string
+	registry  *prometheus.Registry
+	tls       tlsSources
 
 	board      *blackboard.Board
 	register   *document.Register
@@ -69,28 +69,28 @@
 	queries    *query.Service
 	statistics *statistics.Recorder
 	monitor    *freshness.Monitor
-	// meter tells for how long this process has run.
+	// meter measures the time for which the process was not paused.
 	meter     *elapsed.Meter
 	listeners *listeners
 }
 
-// New assembles a daemon and opens its listeners, so that its addresses are
-// known. Run serves them.
+// New assembles a daemon and opens its listeners, so that Addresses is valid. Use Run to
+// serve them.
 func New(options Options) (*Daemon, error) {
 	d := &Daemon{
 		settings:   options.Settings,
 		logger:     options.Logger,
 		id:         ulid.Make().String(),
-		started:    time.Now(),
+		startedAt:  time.Now(),
 		registry:   prometheus.NewRegistry(),
 		board:      &blackboard.Board{},
 		register:   document.NewRegister(),
 		statistics: statistics.New(time.Now),
 	}
 	d.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	d.enter(blackboard.PhaseStarting)
+	d.setPhase(blackboard.PhaseStarting)
 	d.registerStateMetrics()
-	if err := d.readSecrets(); err != nil {
+	if err := d.loadSecrets(); err != nil {
 		return nil, err
 	}
 	opened, err := openListeners(d.settings)
@@ -99,15 +99,15 @@
 	}
 	d.listeners = opened
 	d.meter = elapsed.New(elapsed.Config{Logger: d.logger, Registerer: d.registry})
-	d.listeners.callersOpen.Meter, d.listeners.peersOpen.Meter = d.meter, d.meter
+	d.listeners.callersConnections.Meter, d.listeners.peersConnections.Meter = d.meter, d.meter
 	d.assemble()
 	return d, nil
 }
 
-// readSecrets reads the token and the TLS material.
-func (d *Daemon) readSecrets() error {
+// loadSecrets reads the administration token and the TLS files.
+func (d *Daemon) loadSecrets() error {
 	var err error
-	d.security, err = newSecurity(d.settings)
+	d.tls, err = newTLSSources(d.settings)
 	if err != nil {
 		return err
 	}
@@ -116,21 +116,21 @@
 	}
 	content, err := os.ReadFile(d.settings.Administration.TokenFile)
 	if err != nil {
-		return eris.Wrap(err, "read the operators' token")
+		return eris.Wrap(err, "read administration token")
 	}
 	d.token = strings.TrimSpace(string(content))
 	if d.token == "" {
-		return eris.Errorf("the token file %s is empty", d.settings.Administration.TokenFile)
+		return eris.Errorf("token file %s is empty", d.settings.Administration.TokenFile)
 	}
 	return nil
 }
 
-// assemble makes the parts, in the order in which they need each other.
+// assemble creates the components in the order of their dependencies.
 func (d *Daemon) assemble() {
 	place := topology.Place{Region: d.settings.Region, Zone: d.settings.Zone}
 	d.store = etcd.New(etcd.Options{
 		Endpoint: d.settings.Store.URL,
-		Client:   d.security.storeClient(),
+		Client:   d.tls.storeHTTPClient(),
 		Timeout:  d.settings.Store.Timeout,
 	})
 	d.assembleReplicas(place)
@@ -157,11 +157,11 @@
 		PausedTime: d.meter.Lost,
 	})
 	d.connectGossip()
-	d.listeners.serve(d)
+	d.listeners.createServers(d)
 }
 
 func (d *Daemon) assembleReplicas(place topology.Place) {
-	d.peers = peer.NewClient(peer.ClientOptions{TLS: d.security.peersClient(), Registerer: d.registry})
+	d.peers = peer.NewClient(peer.ClientOptions{TLS: d.tls.peersClientConfig(), Registerer: d.registry})
 	d.seeds = newSeedLister(d.settings)
 	d.tracker = replica.NewTracker(replica.TrackerOptions{
 		Lister:     d.seeds,
@@ -176,7 +176,7 @@
 		Tracker:    d.tracker,
 		Peers:      d.peers,
 		Protocol:   replica.Protocol(d.settings.Backends.Protocol),
-		TLS:        d.security.backends(),
+		TLS:        d.tls.backendsConfig(),
 		Background: func(work func()) { go work() },
 		Registerer: d.registry,
 	})
@@ -221,37 +221,37 @@
 	d.monitor = freshness.New(freshness.Options{Confirm: d.confirm, Logger: d.logger})
 }
 
-// elected tells whether this daemon follows the store.
+// elected reports whether this daemon is one of those that watch the store.
 func (d *Daemon) elected() bool {
-	return d.election.Elected(time.Since(d.started), d.board.Members.Load())
+	return d.election.Elected(time.Since(d.startedAt), d.board.Members.Load())
 }
 
-func (d *Daemon) enter(phase blackboard.Phase) { d.board.Phase.Publish(&phase) }
+func (d *Daemon) setPhase(phase blackboard.Phase) { d.board.Phase.Publish(&phase) }
 
-// Run serves until ctx ends, then goes through the planned stop. When hurry
-// ends too, it stops at once.
-func (d *Daemon) Run(ctx, hurry context.Context) error {
-	control, stopControl := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopControl()
-	group, groupContext := errgroup.WithContext(control)
+// Run serves requests until ctx ends, then shuts down gracefully. If abort ends as well, it
+// stops immediately.
+func (d *Daemon) Run(ctx, abort context.Context) error {
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	group, groupContext := errgroup.WithContext(background)
 	for _, run := range []func(context.Context) error{
-		d.node.Run, d.tracker.Run, d.prober.Run, d.watcher.Run, d.fetcher.Run, d.calls.Run, d.meter.Run, d.monitor.Run, d.security.follow(d.logger),
+		d.node.Run, d.tracker.Run, d.prober.Run, d.watcher.Run, d.fetcher.Run, d.calls.Run, d.meter.Run, d.monitor.Run, d.tls.reload(d.logger),
 	} {
 		group.Go(func() error { return ignoreCanceled(run(groupContext)) })
 	}
 	d.listeners.start(group)
-	d.enter(blackboard.PhaseServing)
+	d.setPhase(blackboard.PhaseServing)
 	d.logger.Info("serving", "id", d.id, "version", Version,
 		"callers", d.listeners.callers.Addr().String(),
 		"peers", d.listeners.peers.Addr().String(),
 		"administration", d.listeners.administration.Addr().String())
 	select {
 	case <-ctx.Done():
-		d.stop(hurry)
+		d.shutdown(abort)
 	case <-groupContext.Done():
 	}
 	d.listeners.close()
-	stopControl()
+	stopBackground()
 	err := group.Wait()
 	d.pool.Close()
 	d.peers.Close()
@@ -266,14 +266,14 @@
 	return err
 }
 
-// Addresses are where a daemon listens.
+// Addresses are the listening addresses of a daemon.
 type Addresses struct {
 	Callers        string `json:"callers"`
 	Peers          string `json:"peers"`
 	Administration string `json:"administration"`
 }
 
-// Addresses returns where the daemon listens, with the ports it was given.
+// Addresses returns the listening addresses, with the ports that the system assigned.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Callers:        d.listeners.callers.Addr().String(),
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -25,8 +25,8 @@
 
 const anyPort = "127.0.0.1:0"
 
-// The daemons of the tests share a machine that may be busy: one that does not run for a
-// second or two is neither taken for dead by another, nor gives up the store.
+// Long enough that a daemon that is not scheduled for a few seconds is neither considered
+// dead by its peers nor loses the store.
 const (
 	membershipPeriod = 300 * time.Millisecond
 	storeTimeout     = 20 * time.Second
@@ -42,100 +42,98 @@
 	return running
 }
 
-// startDaemon runs a daemon that is ready but for the table, in this process,
-// until the test ends, or until the
-// function returned has stopped it as planned.
+// startDaemon starts a daemon in this process and waits until it is ready except for the
+// policy table. The returned function shuts it down gracefully, as does the end of the test.
 func startDaemon(t *testing.T, running *platform.Platform, others []*Daemon, change func(*settings.Settings)) (*Daemon, func()) {
 	t.Helper()
-	chosen := settings.Default()
-	chosen.Region, chosen.Zone = "accra", "accra-a"
-	chosen.Callers.Address, chosen.Peers.Address, chosen.Administration.Address = anyPort, anyPort, anyPort
-	chosen.Store.URL, chosen.Machines.URL = running.StoreURL(), running.MachinesURL()
-	chosen.Machines.Interval = 100 * time.Millisecond
-	chosen.Membership.Period = membershipPeriod
-	chosen.Store.Timeout = storeTimeout
-	chosen.Stop.Grace = 10 * time.Millisecond
+	config := settings.Default()
+	config.Region, config.Zone = "accra", "accra-a"
+	config.Callers.Address, config.Peers.Address, config.Administration.Address = anyPort, anyPort, anyPort
+	config.Store.URL, config.Machines.URL = running.StoreURL(), running.MachinesURL()
+	config.Machines.Interval = 100 * time.Millisecond
+	config.Membership.Period = membershipPeriod
+	config.Store.Timeout = storeTimeout
+	config.Stop.Grace = 10 * time.Millisecond
 	for _, other := range others {
-		chosen.Peers.Seeds = append(chosen.Peers.Seeds, other.Addresses().Peers)
+		config.Peers.Seeds = append(config.Peers.Seeds, other.Addresses().Peers)
 	}
-	change(&chosen)
-	started, err := New(Options{Settings: chosen, Logger: slog.New(slog.DiscardHandler)})
+	change(&config)
+	started, err := New(Options{Settings: config, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	hurry, cancelHurry := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- started.Run(ctx, hurry) }()
-	end := func() {
+	abort, cancelAbort := context.WithCancel(context.Background())
+	result := make(chan error, 1)
+	go func() { result <- started.Run(ctx, abort) }()
+	shutdown := func() {
 		stop()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Errorf("run: %v", err)
 		}
-		ended <- nil
+		result <- nil
 	}
 	t.Cleanup(func() {
-		cancelHurry()
-		end()
+		cancelAbort()
+		shutdown()
 	})
-	eventually(t, "the daemon knows the catalogue and the replicas", func() bool {
+	eventually(t, "daemon has catalogue and replicas", func() bool {
 		return started.board.Catalogue.Load() != nil && started.board.Replicas.Load() != nil
 	})
-	return started, end
+	return started, shutdown
 }
 
 func unchanged(*settings.Settings) {}
 
-// outcome is what a run of the command line gave.
-type outcome struct {
+// commandResult is the exit code and output of a command.
+type commandResult struct {
 	code int
 	text string
 }
 
-// operate runs the command line against a daemon.
-func operate(t *testing.T, against *Daemon, arguments ...string) outcome {
+// runCommand runs an operator command against a daemon.
+func runCommand(t *testing.T, daemon *Daemon, arguments ...string) commandResult {
 	t.Helper()
 	var out bytes.Buffer
 	command := operator.New(operator.Streams{In: strings.NewReader(""), Out: &out, Err: &out})
-	line := append([]string{"doorpond", "--admin", against.Addresses().Administration, "--daemon", against.Addresses().Callers}, arguments...)
+	line := append([]string{"doorpond", "--admin", daemon.Addresses().Administration, "--daemon", daemon.Addresses().Callers}, arguments...)
 	code := operator.ExitCode(command.Run(t.Context(), line), &out)
-	return outcome{code: code, text: out.String()}
+	return commandResult{code: code, text: out.String()}
 }
 
-// expect runs a line of the command line and checks code and text.
-func expect(t *testing.T, against *Daemon, code int, contains, line string, more ...string) outcome {
+// expectCommand runs an operator command and checks its exit code and output.
+func expectCommand(t *testing.T, daemon *Daemon, code int, contains, line string, more ...string) commandResult {
 	t.Helper()
-	got := operate(t, against, append(strings.Fields(line), more...)...)
+	got := runCommand(t, daemon, append(strings.Fields(line), more...)...)
 	if got.code != code || !strings.Contains(got.text, contains) {
-		t.Fatalf("%s: code %d, want %d with %q:\n%s", line, got.code, code, contains, got.text)
+		t.Fatalf("%s: exit code %d, want %d and output with %q:\n%s", line, got.code, code, contains, got.text)
 	}
 	return got
 }
 
-// eventually looks until a condition holds; the limit is generous, so that
-// the speed of the machine does not decide.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds. The timeout is long enough for a slow machine.
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	within(t, time.Minute, what, holds)
+	within(t, time.Minute, condition, holds)
 }
 
-func within(t *testing.T, bound time.Duration, what string, holds func() bool) {
+func within(t *testing.T, timeout time.Duration, condition string, holds func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(timeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, bound)
+			t.Fatalf("%s: not within %v", condition, timeout)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func awaitMembers(t *testing.T, number int, daemons ...*Daemon) {
+func waitForMembers(t *testing.T, count int, daemons ...*Daemon) {
 	t.Helper()
-	for _, one := range daemons {
-		eventually(t, "all daemons know each other", func() bool {
-			members := one.board.Members.Load()
-			return members != nil && len(members.Members) == number
+	for _, daemon := range daemons {
+		eventually(t, "all daemons are members", func() bool {
+			members := daemon.board.Members.Load()
+			return members != nil && len(members.Members) == count
 		})
 	}
 }
@@ -149,7 +147,7 @@
 	return authority
 }
 
-func issue(t *testing.T, authority *certificatestest.Authority, directory string) certificates.Files {
+func issueFiles(t *testing.T, authority *certificatestest.Authority, directory string) certificates.Files {
 	t.Helper()
 	files, err := authority.Write(directory, net.IPv4(127, 0, 0, 1))
 	if err != nil {
@@ -158,10 +156,10 @@
 	return files
 }
 
-// read returns a page of the administration port.
-func read(t *testing.T, of *Daemon, path string) string {
+// getPage returns a page of the administration server.
+func getPage(t *testing.T, daemon *Daemon, path string) string {
 	t.Helper()
-	response, err := http.Get("http://" + of.Addresses().Administration + path)
+	response, err := http.Get("http://" + daemon.Addresses().Administration + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,8 +171,8 @@
 	return string(content)
 }
 
-// machineAt is a back end's entry in the machine list, at another address.
-func machineAt(server *backend.Server, address string) machinelist.Machine {
+// machineEntry returns a back end's machine list entry with another address.
+func machineEntry(server *backend.Server, address string) machinelist.Machine {
 	options := server.Replica.Options()
 	return machinelist.Machine{Address: address, Labels: map[string]string{
 		machines.LabelRole: machines.RoleBackend, machines.LabelGroup: options.Group,
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -15,55 +15,54 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// incarnationSeparator stands between address and incarnation in the key of a
-// leaving replica's record. No address contains it.
+// incarnationSeparator separates address and incarnation in the key of a leaving replica's
+// record. It does not occur in addresses.
 const incarnationSeparator = "|"
 
-// leavingVersion is the only version of a leaving replica's record: leaving
-// is for good.
-const leavingVersion = 1
+// leavingRecordVersion is constant, as a replica that is leaving never returns to service.
+const leavingRecordVersion = 1
 
-// connectGossip passes what one part learns to the others.
+// connectGossip announces updates to peers and applies those that peers announce.
 func (d *Daemon) connectGossip() {
 	d.register.OnAccepted(func(accepted document.Document) {
-		d.logger.Info("document in force", "document", accepted.Name, "revision", accepted.Revision)
+		d.logger.Info("document accepted", "document", accepted.Name, "revision", accepted.Revision)
 		d.node.Announce(membership.Record{
 			Kind: membership.RecordDocument, Key: string(accepted.Name), Version: accepted.Revision,
 		})
 	})
 	d.tracker.OnLeaving(func(address, incarnation string) {
 		d.node.Announce(membership.Record{
-			Kind: membership.RecordReplicaLeaving, Key: address + incarnationSeparator + incarnation, Version: leavingVersion,
+			Kind: membership.RecordReplicaLeaving, Key: address + incarnationSeparator + incarnation, Version: leavingRecordVersion,
 		})
 	})
-	d.node.OnRecord(d.learn)
+	d.node.OnRecord(d.handleRecord)
 }
 
-// learn takes over what a peer has announced.
-func (d *Daemon) learn(record membership.Record, fromPeerAddress string) {
+// handleRecord applies a record that a peer has announced.
+func (d *Daemon) handleRecord(record membership.Record, fromPeerAddress string) {
 	switch record.Kind {
 	case membership.RecordDocument:
 		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
 	case membership.RecordStoreMark:
 		d.calls.Learn(once.MarkOf(record.Version))
 	case membership.RecordReplicaLeaving:
-		address, incarnation, isWhole := strings.Cut(record.Key, incarnationSeparator)
-		if isWhole {
+		address, incarnation, valid := strings.Cut(record.Key, incarnationSeparator)
+		if valid {
 			d.tracker.MarkLeaving(address, incarnation)
 		}
 	}
 }
 
-// announceMark tells peers how new the store must be.
+// announceMark announces the store's minimum revision mark to peers.
 func (d *Daemon) announceMark(mark once.Mark) {
 	d.node.Announce(membership.Record{
 		Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
 	})
 }
 
-// otherPeers returns the addresses of a few live peers, in random order.
+// otherPeers returns the addresses of up to three live peers, in random order.
 func (d *Daemon) otherPeers() []string {
-	const few = 3
+	const maxPeers = 3
 	members := d.board.Members.Load()
 	if members == nil {
 		return nil
@@ -71,15 +70,15 @@
 	var addresses []string
 	for _, i := range rand.Perm(len(members.Members)) {
 		member := &members.Members[i]
-		if member.ID != d.id && member.State == topology.MemberAlive && len(addresses) < few {
+		if member.ID != d.id && member.State == topology.MemberAlive && len(addresses) < maxPeers {
 			addresses = append(addresses, member.PeerAddress)
 		}
 	}
 	return addresses
 }
 
-// confirm takes over the newest documents from a peer, or from the store when
-// no peer answers, and tells whether one of them answered.
+// confirm fetches the latest documents from a peer, or from the store if no peer answers.
+// It reports whether one of them answered.
 func (d *Daemon) confirm(ctx context.Context) bool {
 	for _, address := range d.otherPeers() {
 		if d.fetcher.FetchFrom(ctx, address, document.Table) {
@@ -99,27 +98,27 @@
 		if !found {
 			continue
 		}
-		read, err := document.FromBody(name, stored.Value)
+		received, err := document.FromBody(name, stored.Value)
 		if err == nil {
-			_, err = d.register.Offer(read)
+			_, err = d.register.Offer(received)
 		}
 		if err != nil {
-			d.logger.Warn("the store's document was refused", "document", name, "error", err)
+			d.logger.Warn("rejected document from the store", "document", name, "error", err)
 		}
 	}
 	return true
 }
 
-// seedLister reads the machine list and remembers the daemons on it, so that
-// one reading serves both the replicas and the membership.
+// seedLister is a machines.Lister that keeps the daemons of the last list as membership
+// seeds, so that replicas and membership share one poll.
 type seedLister struct {
 	lister machines.Lister
-	fixed  []string
+	static []string
 	listed atomic.Pointer[[]string]
 }
 
-func newSeedLister(chosen settings.Settings) *seedLister {
-	return &seedLister{lister: httpsd.New(chosen.Machines.URL, nil), fixed: chosen.Peers.Seeds}
+func newSeedLister(config settings.Settings) *seedLister {
+	return &seedLister{lister: httpsd.New(config.Machines.URL, nil), static: config.Peers.Seeds}
 }
 
 // List implements machines.Lister.
@@ -131,17 +130,17 @@
 	return list, err
 }
 
-// addresses returns where other daemons may be found.
+// addresses returns the configured seeds and the daemons of the last machine list.
 func (s *seedLister) addresses() []string {
-	addresses := append([]string(nil), s.fixed...)
+	addresses := append([]string(nil), s.static...)
 	if listed := s.listed.Load(); listed != nil {
 		addresses = append(addresses, *listed...)
 	}
 	return addresses
 }
 
-// mayHaveSeeds tells whether other daemons may exist: some are known, or the
-// machine list has not been read yet.
+// mayHaveSeeds reports whether other daemons may exist: some are known, or the machine list
+// has not been read yet.
 func (s *seedLister) mayHaveSeeds() bool {
 	return s.listed.Load() == nil || len(s.addresses()) > 0
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -23,25 +23,24 @@
 	peerReadTimeout = 30 * time.Second
 )
 
-// listeners are the three ports of a daemon and their servers.
+// listeners holds a daemon's three listeners and their servers.
 type listeners struct {
 	callers        *drain.Listener
 	peers          *drain.Listener
 	administration net.Listener
 
-	// callersOpen and peersOpen are the connections of those ports.
-	callersOpen drain.Connections
-	peersOpen   drain.Connections
+	callersConnections drain.Connections
+	peersConnections   drain.Connections
 
 	callersServer        *http.Server
 	peersServer          *http.Server
 	administrationServer *http.Server
 }
 
-// openListeners opens all three ports or none.
-func openListeners(chosen settings.Settings) (*listeners, error) {
+// openListeners opens all three listeners or none.
+func openListeners(config settings.Settings) (*listeners, error) {
 	var opened []*drain.Listener
-	for _, address := range []string{chosen.Callers.Address, chosen.Peers.Address, chosen.Administration.Address} {
+	for _, address := range []string{config.Callers.Address, config.Peers.Address, config.Administration.Address} {
 		listener, err := drain.Listen(address)
 		if err != nil {
 			for _, other := range opened {
@@ -54,21 +53,21 @@
 	return &listeners{callers: opened[0], peers: opened[1], administration: opened[2]}, nil
 }
 
-// serve gives each port its server.
-func (l *listeners) serve(d *Daemon) {
+// createServers creates the server of each listener.
+func (l *listeners) createServers(d *Daemon) {
 	l.callersServer = d.newCallersServer()
 	l.peersServer = d.newPeersServer()
 	l.administrationServer = d.newAdministrationServer()
-	l.callersOpen.Track(l.callersServer)
-	l.peersOpen.Track(l.peersServer)
-	failures := newConnectionErrors(d.registry)
-	report := func(text string) { d.logger.Error("a handler panicked", "error", text) }
+	l.callersConnections.Track(l.callersServer)
+	l.peersConnections.Track(l.peersServer)
+	connectionErrors := newConnectionErrors(d.registry)
+	report := func(text string) { d.logger.Error("handler panicked", "error", text) }
 	for port, server := range map[string]*http.Server{
 		"callers": l.callersServer, "peers": l.peersServer, "administration": l.administrationServer,
 	} {
 		server.MaxHeaderBytes = maxHeaderBytes
 		server.IdleTimeout = idleTimeout
-		server.ErrorLog = failures.logger(port, report)
+		server.ErrorLog = connectionErrors.logger(port, report)
 	}
 }
 
@@ -84,13 +83,13 @@
 		}),
 		ReadHeaderTimeout: d.settings.Callers.HeaderTimeout,
 		ReadTimeout:       d.settings.Callers.BodyTimeout,
-		TLSConfig:         d.security.callersServer(),
+		TLSConfig:         d.tls.callersConfig(),
 	}
 }
 
 func (d *Daemon) newPeersServer() *http.Server {
 	return &http.Server{
-		Handler: d.endingHTTP1(peer.NewServer(peer.ServerOptions{
+		Handler: d.closeHTTP1Connections(peer.NewServer(peer.ServerOptions{
 			WithTimeout: d.meter.WithTimeout,
 			Exchange:    d.node.Receive,
 			Document:    d.register.Current,
@@ -102,7 +101,7 @@
 		Protocols:         peer.ServerProtocols(),
 		ReadHeaderTimeout: peerReadTimeout,
 		ReadTimeout:       peerReadTimeout,
-		TLSConfig:         d.security.peersServer(),
+		TLSConfig:         d.tls.peersServerConfig(),
 	}
 }
 
@@ -120,18 +119,18 @@
 			Registerer: d.registry,
 		}),
 		ReadHeaderTimeout: d.settings.Callers.HeaderTimeout,
-		TLSConfig:         d.security.administrationServer(),
+		TLSConfig:         d.tls.administrationConfig(),
 	}
 }
 
-// start serves the ports in the background. A port that fails ends the group.
+// start runs the servers in group. A server that fails ends the group.
 func (l *listeners) start(group *errgroup.Group) {
-	group.Go(func() error { return serveOn(l.callersServer, l.callers) })
-	group.Go(func() error { return serveOn(l.peersServer, l.peers) })
-	group.Go(func() error { return serveOn(l.administrationServer, l.administration) })
+	group.Go(func() error { return serve(l.callersServer, l.callers) })
+	group.Go(func() error { return serve(l.peersServer, l.peers) })
+	group.Go(func() error { return serve(l.administrationServer, l.administration) })
 }
 
-func serveOn(server *http.Server, listener net.Listener) error {
+func serve(server *http.Server, listener net.Listener) error {
 	var err error
 	if server.TLSConfig != nil {
 		err = server.ServeTLS(listener, "", "")
@@ -144,9 +143,9 @@
 	return eris.Wrapf(err, "serve on %s", listener.Addr())
 }
 
-// close ends what is still open; the administration port lives longest.
+// close closes all servers, the administration server last.
 func (l *listeners) close() {
 	for _, server := range []*http.Server{l.callersServer, l.peersServer, l.administrationServer} {
-		_ = server.Close() // nothing is left to lose
+		_ = server.Close()
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -6,8 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// registerStateMetrics shows the sections of the blackboard that operators set
-// alarms on.
+// registerStateMetrics registers gauges of the blackboard's state for alerting.
 func (d *Daemon) registerStateMetrics() {
 	gauges := []struct {
 		name, help string
@@ -15,7 +14,7 @@
 	}{
 		{"doorpondd_table_revision_number", "Revision of the policy table in force here; 0 before the first.", d.tableRevision},
 		{"doorpondd_catalogue_revision_number", "Revision of the catalogue in force here; 0 before the first.", d.catalogueRevision},
-		{"doorpondd_store_out_seconds", "Time for which the store has been out of reach, as far as this daemon follows it; 0 while it answers.", d.storeOut},
+		{"doorpondd_store_out_seconds", "Time for which the store has been out of reach, as far as this daemon follows it; 0 while it answers.", d.storeOutageSeconds},
 		{"doorpondd_store_regressed_count", "1 while the store holds an older document than the one in force, or calls are refused since it went back; else 0.", d.storeRegressed},
 		{"doorpondd_phase_number", "Phase of the process: 0 starting, 1 serving, 2 draining, 3 closing, 4 stopped.", d.phaseNumber},
 	}
@@ -38,7 +37,7 @@
 	return 0
 }
 
-func (d *Daemon) storeOut() float64 {
+func (d *Daemon) storeOutageSeconds() float64 {
 	status := d.board.Store.Load()
 	if status == nil || status.Reachable || status.Since.IsZero() {
 		return 0
--- a/internal/daemon/operations_test.go
+++ b/internal/daemon/operations_test.go
@@ -17,12 +17,11 @@
 	"github.com/doorpond/doorpond/internal/settings"
 )
 
-// operationsPage is docs/OPERATIONS.md, which these tests keep complete.
 const operationsPage = "../../docs/OPERATIONS.md"
 
-// tableUnder returns the cells of the table under a heading of the page,
-// without its own heading. Code marks are taken off.
-func tableUnder(t *testing.T, heading string) [][]string {
+// readTable returns the cells of the table below a heading of the page, without the table's
+// header and without backquotes.
+func readTable(t *testing.T, heading string) [][]string {
 	t.Helper()
 	content, err := os.ReadFile(operationsPage)
 	if err != nil {
@@ -30,7 +29,7 @@
 	}
 	_, section, found := strings.Cut(string(content), "\n## "+heading+"\n")
 	if !found {
-		t.Fatalf("the page has no heading %q", heading)
+		t.Fatalf("heading %q not found", heading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	section, _, _ = strings.Cut(section, "\n### ")
@@ -46,7 +45,7 @@
 		rows = append(rows, cells)
 	}
 	if len(rows) < 3 {
-		t.Fatalf("there is no table under %q", heading)
+		t.Fatalf("no table below heading %q", heading)
 	}
 	return rows[2:]
 }
@@ -61,35 +60,35 @@
 }
 
 func TestOperationsPageHasEverySetting(t *testing.T) {
-	written := make(map[string]string)
-	for _, row := range tableUnder(t, "Settings") {
-		written[row[0]] = row[1]
+	documented := make(map[string]string)
+	for _, row := range readTable(t, "Settings") {
+		documented[row[0]] = row[1]
 	}
-	real := make(map[string]string)
+	want := make(map[string]string)
 	for _, option := range settings.Options() {
-		real[option.Key] = option.Default
+		want[option.Key] = option.Default
 	}
-	if diff := cmp.Diff(real, written); diff != "" {
-		t.Errorf("settings (-real +written):\n%s", diff)
+	if diff := cmp.Diff(want, documented); diff != "" {
+		t.Errorf("settings (-want +documented):\n%s", diff)
 	}
 }
 
 func TestOperationsPageHasEveryErrorKind(t *testing.T) {
-	written := make(map[string]string)
-	for _, row := range tableUnder(t, "Error kinds") {
-		written[row[0]] = row[1] + " " + row[2]
+	documented := make(map[string]string)
+	for _, row := range readTable(t, "Error kinds") {
+		documented[row[0]] = row[1] + " " + row[2]
 	}
-	real := make(map[string]string)
+	want := make(map[string]string)
 	for _, kind := range failure.Kinds() {
 		row := failure.Lookup(kind)
 		notRun := "not always"
 		if row.NotRun {
 			notRun = "yes"
 		}
-		real[string(kind)] = strconv.Itoa(row.Status) + " " + notRun
+		want[string(kind)] = strconv.Itoa(row.Status) + " " + notRun
 	}
-	if diff := cmp.Diff(real, written); diff != "" {
-		t.Errorf("error kinds (-real +written):\n%s", diff)
+	if diff := cmp.Diff(want, documented); diff != "" {
+		t.Errorf("error kinds (-want +documented):\n%s", diff)
 	}
 }
 
@@ -102,39 +101,39 @@
 		close(descriptions)
 	}()
 	name := regexp.MustCompile(`fqName: "(doorpondd_[a-z0-9_]+)"`)
-	var real []string
+	var want []string
 	for description := range descriptions {
 		if found := name.FindStringSubmatch(description.String()); found != nil {
-			real = append(real, found[1])
+			want = append(want, found[1])
 		}
 	}
-	slices.Sort(real)
-	rows := tableUnder(t, "Metrics")
-	if diff := cmp.Diff(slices.Compact(real), firstCells(rows)); diff != "" {
-		t.Errorf("metrics (-real +written):\n%s", diff)
+	slices.Sort(want)
+	rows := readTable(t, "Metrics")
+	if diff := cmp.Diff(slices.Compact(want), firstCells(rows)); diff != "" {
+		t.Errorf("metrics (-want +documented):\n%s", diff)
 	}
 	for _, row := range rows {
 		if len(row) != 3 || len(row[2]) == 0 {
-			t.Errorf("metric %s: the page does not say what to do", row[0])
+			t.Errorf("metric %s: no action documented", row[0])
 		}
 	}
 }
 
 func TestOperationsPageHasEveryCommand(t *testing.T) {
-	var real []string
+	var want []string
 	var walk func(command *cli.Command, path string)
 	walk = func(command *cli.Command, path string) {
 		path = strings.TrimSpace(path + " " + command.Name)
 		if len(command.Commands) == 0 {
-			real = append(real, path)
+			want = append(want, path)
 		}
 		for _, sub := range command.Commands {
 			walk(sub, path)
 		}
 	}
 	walk(operator.New(operator.Streams{}), "")
-	slices.Sort(real)
-	if diff := cmp.Diff(real, firstCells(tableUnder(t, "Commands of doorpond"))); diff != "" {
-		t.Errorf("commands (-real +written):\n%s", diff)
+	slices.Sort(want)
+	if diff := cmp.Diff(want, firstCells(readTable(t, "Commands of doorpond"))); diff != "" {
+		t.Errorf("commands (-want +documented):\n%s", diff)
 	}
 }
--- a/internal/daemon/restore.go
+++ b/internal/daemon/restore.go
@@ -11,17 +11,17 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// restoringEditor is the table's editor, whose Restore also lets calls go on
-// that are refused since the store went back.
+// restoringEditor is a policytable.Editor whose Restore also re-enables calls, which are
+// refused after the store has regressed.
 type restoringEditor struct {
 	*policytable.Editor
 	calls *once.Service
 	board *blackboard.Board
 }
 
-// Restore writes the table back if the store holds an older one, and
-// acknowledges the restore for calls if they are refused. It is an error if
-// there is neither to do. After an error it can be repeated.
+// Restore writes the current table if the store holds an older one, and re-enables calls if
+// they are refused. It returns an error if neither is necessary. It can be retried after an
+// error.
 func (e *restoringEditor) Restore(ctx context.Context, author string) (policy.Change, error) {
 	change, tableErr := e.Editor.Restore(ctx, author)
 	if tableErr != nil && failure.KindOf(tableErr) != failure.InvalidRequest {
@@ -40,27 +40,26 @@
 	}
 }
 
-// unchangedTable is the answer where only calls were to be let go on.
+// unchangedTable returns the change to report if only calls were re-enabled.
 func (e *restoringEditor) unchangedTable(author string) policy.Change {
 	change := policy.Change{Author: author, Time: time.Now().UTC(), Summary: []string{"calls are run again"}}
-	if inForce := e.board.PolicyTable.Load(); inForce != nil {
-		change.Revision = inForce.Table.Revision
+	if current := e.board.PolicyTable.Load(); current != nil {
+		change.Revision = current.Table.Revision
 	}
 	return change
 }
 
-// storeUnreachable tells whether this daemon follows the store and cannot
-// reach it.
+// storeUnreachable reports whether this daemon watches the store and cannot reach it.
 func (d *Daemon) storeUnreachable() bool {
 	status := d.board.Store.Load()
 	return status != nil && !status.Since.IsZero() && !status.Reachable
 }
 
-// storeStatus is the store's status as the watcher and the calls see it.
+// storeStatus combines the watcher's store status with that of the call service.
 func (d *Daemon) storeStatus() blackboard.StoreStatus {
 	status := blackboard.StoreStatus{}
-	if watched := d.board.Store.Load(); watched != nil {
-		status = *watched
+	if watcherStatus := d.board.Store.Load(); watcherStatus != nil {
+		status = *watcherStatus
 	}
 	status.Regressed = status.Regressed || d.calls.Regressed()
 	return status
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -15,24 +15,24 @@
 	"github.com/doorpond/doorpond/internal/standin/platform"
 )
 
-const operationTime = 500 * time.Millisecond
+const operationDuration = 500 * time.Millisecond
 
-// slowService makes the refund service slow, and returns its replicas.
-func slowService(running *platform.Platform) []*backend.Replica {
+// slowRefundService slows down the refund service and returns its replicas.
+func slowRefundService(running *platform.Platform) []*backend.Replica {
 	var replicas []*backend.Replica
 	for _, server := range running.Backends() {
 		if server.Replica.Options().Group == platform.RefundService {
-			server.Replica.SetTiming(backend.Timing{Base: operationTime})
+			server.Replica.SetTiming(backend.Timing{Base: operationDuration})
 			replicas = append(replicas, server.Replica)
 		}
 	}
 	return replicas
 }
 
-// forward asks a daemon, as a peer does, to run an operation.
-func forward(ctx context.Context, through *peer.Client, to *Daemon, key string) error {
+// forward forwards an operation to a daemon as a peer does.
+func forward(ctx context.Context, peers *peer.Client, daemon *Daemon, key string) error {
 	const timeout = 20 * time.Second
-	_, err := through.Forward(ctx, to.Addresses().Peers, peer.ForwardRequest{
+	_, err := peers.Forward(ctx, daemon.Addresses().Peers, peer.ForwardRequest{
 		Group: platform.RefundService, TimeoutMilliseconds: timeout.Milliseconds(),
 		Call: &backendapi.CallRequest{
 			Key: key, Operation: "credit", TimeoutMilliseconds: timeout.Milliseconds(),
@@ -42,24 +42,24 @@
 	return err
 }
 
-func TestPlannedStopFinishesWhatPeersForwarded(t *testing.T) {
+func TestShutdownCompletesForwardedCalls(t *testing.T) {
 	t.Parallel()
 	const before, during = 16, 40
 	running := startPlatform(t)
-	replicas := slowService(running)
-	stopping, stop := startDaemon(t, running, nil, unchanged)
-	through := peer.NewClient(peer.ClientOptions{})
-	defer through.Close()
+	replicas := slowRefundService(running)
+	daemon, shutdown := startDaemon(t, running, nil, unchanged)
+	peers := peer.NewClient(peer.ClientOptions{})
+	defer peers.Close()
 	var inFlight errgroup.Group
-	for number := range before {
-		inFlight.Go(func() error { return forward(t.Context(), through, stopping, "before-"+strconv.Itoa(number)) })
+	for i := range before {
+		inFlight.Go(func() error { return forward(t.Context(), peers, daemon, "before-"+strconv.Itoa(i)) })
 	}
-	eventually(t, "the operations run", func() bool { return len(running.Executions()) == before })
+	eventually(t, "operations are running", func() bool { return len(running.Executions()) == before })
 	var late errgroup.Group
-	late.Go(func() error { return forwardUntilStopped(t, through, stopping, running, during) })
-	stop()
+	late.Go(func() error { return forwardDuringShutdown(t, peers, daemon, running, during) })
+	shutdown()
 	if err := inFlight.Wait(); err != nil {
-		t.Errorf("an operation that a peer had forwarded was cut off: %v", err)
+		t.Errorf("forwarded operation failed: %v", err)
 	}
 	if err := late.Wait(); err != nil {
 		t.Error(err)
@@ -73,14 +73,14 @@
 	}
 }
 
-// forwardUntilStopped keeps forwarding while the daemon stops: each operation
-// is answered, or refused as not run and has not run.
-func forwardUntilStopped(t *testing.T, through *peer.Client, to *Daemon, running *platform.Platform, number int) error {
+// forwardDuringShutdown forwards operations while the daemon shuts down. Each must succeed,
+// or fail as not run without having run.
+func forwardDuringShutdown(t *testing.T, peers *peer.Client, daemon *Daemon, running *platform.Platform, count int) error {
 	var group errgroup.Group
-	for i := range number {
+	for i := range count {
 		key := "during-" + strconv.Itoa(i)
 		group.Go(func() error {
-			err := forward(t.Context(), through, to, key)
+			err := forward(t.Context(), peers, daemon, key)
 			if err == nil {
 				return nil
 			}
@@ -89,7 +89,7 @@
 			}
 			return nil
 		})
-		time.Sleep(operationTime / 50)
+		time.Sleep(operationDuration / 50)
 	}
 	return group.Wait()
 }
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -17,7 +17,7 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// state describes this daemon to operators and peers.
+// state returns the state that is reported to operators and peers.
 func (d *Daemon) state() peer.NodeState {
 	state := peer.NodeState{Member: d.node.Self(), Version: Version, Phase: *d.board.Phase.Load()}
 	if table := d.board.PolicyTable.Load(); table != nil {
@@ -34,8 +34,8 @@
 	return state
 }
 
-// countReplicas counts and names the replicas that do not take their whole
-// share.
+// countReplicas counts and lists the replicas that do not receive their full share of
+// requests.
 func (d *Daemon) countReplicas(state *peer.NodeState) {
 	if replicas := d.board.Replicas.Load(); replicas != nil {
 		for _, name := range slices.Sorted(maps.Keys(replicas.Groups)) {
@@ -47,7 +47,7 @@
 	for _, status := range d.pool.Statuses() {
 		if status.Ejected {
 			state.ReplicasEjected++
-			addTroubled(state, peer.TroubledReplica{
+			appendTroubled(state, peer.TroubledReplica{
 				Address: status.Address, Incarnation: status.Incarnation, Group: status.Group, Place: status.Place,
 				Trouble: peer.TroubleEjected,
 			})
@@ -69,23 +69,23 @@
 	case topology.ReplicaServing:
 		return
 	}
-	addTroubled(state, troubled)
+	appendTroubled(state, troubled)
 }
 
-func addTroubled(state *peer.NodeState, replica peer.TroubledReplica) {
+func appendTroubled(state *peer.NodeState, replica peer.TroubledReplica) {
 	if len(state.Troubled) < peer.MaxTroubled {
 		state.Troubled = append(state.Troubled, replica)
 	}
 }
 
-// encodedStatistics is what peers merge to compare policies.
+// encodedStatistics returns the encoded statistics, which peers merge to compare policies.
 func (d *Daemon) encodedStatistics(since time.Duration) ([]byte, error) {
 	encoded, err := msgpack.Marshal(d.statistics.Snapshot(since))
 	return encoded, eris.Wrap(err, "encode statistics")
 }
 
-// freshSearcher refuses queries while the policy table may be stale after a
-// pause of the process.
+// freshSearcher rejects queries while the policy table may be stale because the process was
+// paused.
 type freshSearcher struct {
 	monitor  *freshness.Monitor
 	searcher gateway.Searcher
@@ -94,7 +94,7 @@
 // Search implements gateway.Searcher.
 func (s *freshSearcher) Search(ctx context.Context, query client.Query) (client.Answer, error) {
 	if !s.monitor.Fresh() {
-		return client.Answer{}, failure.New(failure.StaleTable, "the process was paused and has not confirmed its policy table yet")
+		return client.Answer{}, failure.New(failure.StaleTable, "policy table not confirmed since the process was paused")
 	}
 	return s.searcher.Search(ctx, query)
 }
--- a/internal/drain/connections.go
+++ b/internal/drain/connections.go
@@ -15,7 +15,7 @@
 // It is safe for concurrent use.
 type Connections struct {
 	// Meter measures idle time; nil counts all time. With a Meter, time in which the
-	// process is suspended does not count, as a request that arrives then is not yet read.
+	// process is paused does not count, as a request that arrives then is not yet read.
 	Meter *elapsed.Meter
 
 	mutex sync.Mutex
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -105,7 +105,7 @@
 	fresh := h.options.WaitFresh(r.Context())
 	waited := time.Since(waitStart) // counts towards the caller's timeout
 	if !fresh {
-		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "routing table not confirmed since the process was suspended")
+		return nil, query.ForwardResult{}, failure.New(failure.StaleTable, "routing table not confirmed since the process was paused")
 	}
 	table := h.options.Board.Routes.Load() // loaded again, as it may have changed during the wait
 	target := r.RequestURI
