--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -94,8 +94,8 @@
 }
 
 func contains(statuses []int, status int) bool {
-	for _, one := range statuses {
-		if one == status {
+	for _, candidate := range statuses {
+		if candidate == status {
 			return true
 		}
 	}
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -43,7 +43,8 @@
 }
 
 // startDaemon starts a daemon in this process and waits until it is ready except for the
-// policy table. The returned function shuts it down gracefully, as does the end of the test.
+// policy table. The returned function shuts it down gracefully; the end of the test stops it
+// immediately.
 func startDaemon(t *testing.T, running *platform.Platform, others []*Daemon, change func(*settings.Settings)) (*Daemon, func()) {
 	t.Helper()
 	config := settings.Default()
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// announceMark announces the store's minimum revision mark to peers.
+// announceMark announces to peers how recent the store's state must be.
 func (d *Daemon) announceMark(mark once.Mark) {
 	d.node.Announce(membership.Record{
 		Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -31,9 +31,9 @@
 		expectCommand(t, first, operator.ExitOK, "shards answered", editorsQuery, "--caller", "ama")
 		expectCommand(t, second, operator.ExitOK, "shards answered", editorsQuery, "--caller", "kofi")
 	}
-	compared := expectCommand(t, first, operator.ExitOK, "2 daemons", "compare fast careful --group editors")
-	if !regexp.MustCompile(`(?m)^queries +\d+ +\d+ *$`).MatchString(compared.text) {
-		t.Errorf("no query counts in output:\n%s", compared.text)
+	comparison := expectCommand(t, first, operator.ExitOK, "2 daemons", "compare fast careful --group editors")
+	if !regexp.MustCompile(`(?m)^queries +\d+ +\d+ *$`).MatchString(comparison.text) {
+		t.Errorf("no query counts in output:\n%s", comparison.text)
 	}
 	expectCommand(t, first, operator.ExitOK, "too few", "compare fast careful")
 	expectCommand(t, first, operator.ExitFailure, "there is no policy", "compare fast none")
@@ -80,10 +80,10 @@
 	if err := os.WriteFile(path, []byte("secret\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	guarded, _ := startDaemon(t, running, nil, func(s *settings.Settings) { s.Administration.TokenFile = path })
-	expectCommand(t, guarded, operator.ExitFailure, "unauthorized", "policy set fast priority=high --author ama")
-	expectCommand(t, guarded, operator.ExitOK, "revision 1", "--token secret policy set fast priority=high --author ama")
-	if metrics := getPage(t, guarded, "/metrics"); !regexp.MustCompile(`(?m)^doorpondd_admin_refused_requests_total 1$`).MatchString(metrics) {
+	daemon, _ := startDaemon(t, running, nil, func(s *settings.Settings) { s.Administration.TokenFile = path })
+	expectCommand(t, daemon, operator.ExitFailure, "unauthorized", "policy set fast priority=high --author ama")
+	expectCommand(t, daemon, operator.ExitOK, "revision 1", "--token secret policy set fast priority=high --author ama")
+	if metrics := getPage(t, daemon, "/metrics"); !regexp.MustCompile(`(?m)^doorpondd_admin_refused_requests_total 1$`).MatchString(metrics) {
 		t.Error("rejected request was not counted")
 	}
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -41,19 +41,19 @@
 	second, _ := startDaemon(t, running, []*Daemon{first}, withTLS(issueFiles(t, authority, t.TempDir())))
 	waitForMembers(t, 2, first, second)
 	flags := tlsFlags(issueFiles(t, authority, t.TempDir()))
-	secure := func(line ...string) commandResult { return runCommand(t, first, append(flags, line...)...) }
+	run := func(line ...string) commandResult { return runCommand(t, first, append(flags, line...)...) }
 
-	got := secure("policy", "set", "fast", "priority=high", "--author", "ama", "--wait", "30s")
+	got := run("policy", "set", "fast", "priority=high", "--author", "ama", "--wait", "30s")
 	if got.code != operator.ExitOK || !regexp.MustCompile("in force on all 2 daemons").MatchString(got.text) {
 		t.Fatal(got)
 	}
-	if got := secure("assign", "editors", "fast", "--author", "ama"); got.code != operator.ExitOK {
+	if got := run("assign", "editors", "fast", "--author", "ama"); got.code != operator.ExitOK {
 		t.Fatal(got)
 	}
-	if got := secure("query", "--group", "editors", "--corpus", "cues", "good"); got.code != operator.ExitOK {
+	if got := run("query", "--group", "editors", "--corpus", "cues", "good"); got.code != operator.ExitOK {
 		t.Fatal(got)
 	}
-	if got := secure("compare", "fast", "fast"); got.code != operator.ExitOK {
+	if got := run("compare", "fast", "fast"); got.code != operator.ExitOK {
 		t.Fatal(got)
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -38,7 +38,8 @@
 	// from a backup; nil means that it never changes. A lease of an earlier era no longer
 	// exists or belongs to another client.
 	Era func() int64
-	// TTL is the duration of the lease.
+	// TTL is the duration of the lease, and the time after which the entry of a crashed node
+	// is deleted.
 	TTL    time.Duration
 	Logger *slog.Logger
 	Now    func() time.Time
@@ -54,7 +55,7 @@
 	renewedAt time.Time
 	// written is the last written content of the entry.
 	written topology.Node
-	// checkedAt is when the entry was written, or its lease was last renewed.
+	// checkedAt is when the entry was written, or a renewal of its lease was last attempted.
 	checkedAt time.Time
 	failing   bool
 	// retryAt is the earliest time of the next attempt after a failure.
