--- a/internal/query/driver.go
+++ b/internal/query/driver.go
@@ -7,33 +7,33 @@
 	"github.com/doorpond/doorpond/internal/replica"
 )
 
-// Driver gives a Service its time and concurrency, so that the same Service
-// runs on goroutines in the daemon and on a virtual clock in simulation.
+// Driver provides time and concurrency to a Service, so that the same Service runs
+// on goroutines in the daemon and on a virtual clock in simulations.
 type Driver interface {
-	// Start runs one sub-request beside its query.
+	// Start runs a sub-request concurrently with its query.
 	Start(work func())
-	// WithCancel is as in package context.
+	// WithCancel is like context.WithCancel.
 	WithCancel(parent context.Context) (context.Context, context.CancelFunc)
 	// Detached returns a context that outlives the request.
 	Detached() context.Context
-	// After runs work once, later.
+	// After runs work once after a delay.
 	After(wait time.Duration, work func())
-	// NewInbox makes the inbox of a run that starts now.
+	// NewInbox returns the inbox of a run that starts now.
 	NewInbox(capacity int) Inbox
 }
 
-// Inbox is where one run waits for what happens next. Only Deliver may be
-// called by others than the run.
+// Inbox is the event queue of one run. Only Deliver may be called from outside the
+// run.
 type Inbox interface {
-	// Elapsed is the time since the run's start.
+	// Elapsed returns the time since the run's start.
 	Elapsed() time.Duration
-	// SetTimer replaces the timer; at counts from the run's start.
+	// SetTimer replaces the timer; at is relative to the run's start.
 	SetTimer(at time.Duration)
-	// Deliver hands a result to the run; after Close it has no effect.
+	// Deliver passes a result to the run; it has no effect after Close.
 	Deliver(result AttemptResult)
-	// Next waits for a result, the timer, or the end of ctx.
+	// Next waits for a result, the timer or the end of ctx.
 	Next(ctx context.Context) (AttemptResult, WakeReason)
-	// Close ends the run: later results find nowhere to go.
+	// Close ends the run; later results are discarded.
 	Close()
 }
 
@@ -44,42 +44,42 @@
 	Result  replica.SubrequestResult
 }
 
-// WakeReason says why Next returned.
+// WakeReason is the reason why Inbox.Next returned.
 type WakeReason int
 
-// The reasons for which Next returns.
+// The reasons why Inbox.Next returns.
 const (
 	WakeResult WakeReason = iota
 	WakeTimer
 	WakeContextDone
 )
 
-// goroutines is the Driver of the daemon.
-type goroutines struct{}
+// goroutineDriver is the Driver of the daemon.
+type goroutineDriver struct{}
 
-func (goroutines) Start(work func()) { go work() }
+func (goroutineDriver) Start(work func()) { go work() }
 
-func (goroutines) WithCancel(parent context.Context) (context.Context, context.CancelFunc) {
+func (goroutineDriver) WithCancel(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(parent)
 }
 
-func (goroutines) Detached() context.Context { return context.Background() }
+func (goroutineDriver) Detached() context.Context { return context.Background() }
 
-func (goroutines) After(wait time.Duration, work func()) { time.AfterFunc(wait, work) }
+func (goroutineDriver) After(wait time.Duration, work func()) { time.AfterFunc(wait, work) }
 
-func (goroutines) NewInbox(capacity int) Inbox {
+func (goroutineDriver) NewInbox(capacity int) Inbox {
 	return &channelInbox{
 		started: time.Now(),
 		results: make(chan AttemptResult, capacity),
-		over:    make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 }
 
-// channelInbox is an Inbox of channels.
+// channelInbox is an Inbox based on channels.
 type channelInbox struct {
 	started time.Time
 	results chan AttemptResult
-	over    chan struct{}
+	closed  chan struct{}
 	timer   *time.Timer
 }
 
@@ -97,7 +97,7 @@
 func (i *channelInbox) Deliver(result AttemptResult) {
 	select {
 	case i.results <- result:
-	case <-i.over:
+	case <-i.closed:
 	}
 }
 
@@ -113,6 +113,6 @@
 }
 
 func (i *channelInbox) Close() {
-	close(i.over)
+	close(i.closed)
 	i.timer.Stop()
 }
--- a/internal/query/service_test.go
+++ b/internal/query/service_test.go
@@ -19,20 +19,20 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// bubble runs a case on a virtual clock.
-func bubble(t *testing.T, name string, test func(t *testing.T)) {
+// runSynctest runs a subtest in a synctest bubble.
+func runSynctest(t *testing.T, name string, test func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, test) })
 }
 
-func TestSearchWhole(t *testing.T) {
+func TestSearchComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture(t, []respond{good}, []respond{good})
+		f := newFixture(t, []replyFunc{replyValid}, []replyFunc{replyValid})
 		answer, err := f.service.Search(t.Context(), phraseQuery())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if answer.QueryID == "" {
-			t.Error("the answer has no query ID")
+			t.Error("answer has no query ID")
 		}
 		answer.QueryID, answer.TookMicroseconds = "", 0
 		want := client.Answer{
@@ -52,54 +52,54 @@
 }
 
 func TestSearchFaults(t *testing.T) {
-	shed, draining := refuse(backendapi.RefusedShed), refuse(backendapi.RefusedDraining)
+	shed, draining := refuseWith(backendapi.RefusedShed), refuseWith(backendapi.RefusedDraining)
 	cases := []struct {
 		name   string
-		shard  []respond
+		shard  []replyFunc
 		change func(*policy.Row, *client.Query)
-		// missing is the reason for the second shard; empty if it answers.
+		// missing is the reason for the second shard, empty if it answers.
 		missing  client.MissingReason
 		snapshot uint64
 		kind     failure.Kind
 		notRun   bool
 	}{
-		{name: "failure then another replica", shard: []respond{broken, good}, snapshot: 7},
-		{name: "shed then another replica", shard: []respond{shed, good}, snapshot: 7},
-		{name: "draining then another replica", shard: []respond{draining, good}, snapshot: 7},
-		{name: "crossed reply then another replica", shard: []respond{crossed, good}, snapshot: 7},
-		{name: "snapshot held by one replica only", shard: []respond{onlyHolds(6), good}, snapshot: 7},
-		{name: "snapshot held by none: whole on another", shard: []respond{onlyHolds(6)}, snapshot: 6},
-		{name: "no snapshot held", shard: []respond{onlyHolds(1)}, snapshot: 6, missing: client.MissingSnapshot},
-		{name: "all crossed", shard: []respond{crossed, crossed}, snapshot: 7, missing: client.MissingInvalidReply},
-		{name: "all broken", shard: []respond{broken}, snapshot: 7, missing: client.MissingFailed},
-		{name: "all shed", shard: []respond{shed, shed}, snapshot: 7, missing: client.MissingShed},
+		{name: "retried after failure", shard: []replyFunc{abortConnection, replyValid}, snapshot: 7},
+		{name: "retried after shed", shard: []replyFunc{shed, replyValid}, snapshot: 7},
+		{name: "retried after draining", shard: []replyFunc{draining, replyValid}, snapshot: 7},
+		{name: "retried after a reply to another query", shard: []replyFunc{replyToOtherQuery, replyValid}, snapshot: 7},
+		{name: "snapshot held by one replica", shard: []replyFunc{holdOnly(6), replyValid}, snapshot: 7},
+		{name: "restarted on an older snapshot", shard: []replyFunc{holdOnly(6)}, snapshot: 6},
+		{name: "no snapshot held", shard: []replyFunc{holdOnly(1)}, snapshot: 6, missing: client.MissingSnapshot},
+		{name: "all reply to another query", shard: []replyFunc{replyToOtherQuery, replyToOtherQuery}, snapshot: 7, missing: client.MissingInvalidReply},
+		{name: "all fail", shard: []replyFunc{abortConnection}, snapshot: 7, missing: client.MissingFailed},
+		{name: "all shed", shard: []replyFunc{shed, shed}, snapshot: 7, missing: client.MissingShed},
 		{name: "no replica", shard: nil, snapshot: 7, missing: client.MissingNoReplica},
 		{
-			name: "stuck until the deadline", shard: []respond{stuck}, snapshot: 7, missing: client.MissingTimeout,
+			name: "no reply before the deadline", shard: []replyFunc{blockUntilCanceled}, snapshot: 7, missing: client.MissingTimeout,
 			change: func(_ *policy.Row, q *client.Query) { q.DeadlineMilliseconds = 300 },
 		},
 		{
-			name: "complete enough without it", shard: []respond{stuck}, snapshot: 7, missing: client.MissingComplete,
+			name: "coverage target reached", shard: []replyFunc{blockUntilCanceled}, snapshot: 7, missing: client.MissingComplete,
 			change: func(row *policy.Row, _ *client.Query) { row.Completeness.Target = 0.5 },
 		},
 		{
-			name: "policy's least coverage unmet", shard: []respond{broken}, kind: failure.InsufficientCoverage,
+			name: "below the policy's least coverage", shard: []replyFunc{abortConnection}, kind: failure.InsufficientCoverage,
 			change: func(row *policy.Row, _ *client.Query) { row.Completeness.Min = 0.9 },
 		},
 		{
-			name: "query's least coverage unmet", shard: []respond{broken}, kind: failure.InsufficientCoverage,
+			name: "below the query's least coverage", shard: []replyFunc{abortConnection}, kind: failure.InsufficientCoverage,
 			change: func(_ *policy.Row, q *client.Query) { q.LeastCoverage = 0.9 },
 		},
 	}
 	for _, test := range cases {
-		bubble(t, test.name, func(t *testing.T) {
-			f := newFixture(t, []respond{good}, test.shard)
-			asked := phraseQuery()
+		runSynctest(t, test.name, func(t *testing.T) {
+			f := newFixture(t, []replyFunc{replyValid}, test.shard)
+			search := phraseQuery()
 			if test.change != nil {
-				test.change(&f.row, &asked)
+				test.change(&f.row, &search)
 				f.publishPolicy()
 			}
-			answer, err := f.service.Search(t.Context(), asked)
+			answer, err := f.service.Search(t.Context(), search)
 			if test.kind != "" {
 				checkError(t, err, test.kind, test.notRun)
 				return
@@ -135,15 +135,15 @@
 	if err == nil {
 		t.Fatalf("no error, want %s", kind)
 	}
-	if known := failure.From(err); known.Kind != kind || known.NotRun != notRun {
-		t.Errorf("error %v not run %v, want %s %v", err, known.NotRun, kind, notRun)
+	if got := failure.From(err); got.Kind != kind || got.NotRun != notRun {
+		t.Errorf("error %v, NotRun %v; want %s, NotRun %v", err, got.NotRun, kind, notRun)
 	}
 }
 
 func TestSearchRefusedByAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shed := refuse(backendapi.RefusedShed)
-		f := newFixture(t, []respond{shed}, []respond{shed})
+		shed := refuseWith(backendapi.RefusedShed)
+		f := newFixture(t, []replyFunc{shed}, []replyFunc{shed})
 		_, err := f.service.Search(t.Context(), phraseQuery())
 		checkError(t, err, failure.BackendRefused, true)
 		if wait := failure.From(err).RetryAfter; wait != 70*time.Millisecond {
@@ -155,14 +155,14 @@
 	})
 }
 
-func TestSearchGivenUp(t *testing.T) {
+func TestSearchCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		arrived := make(chan struct{}, 2)
-		waits := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
+		notifyAndBlock := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			arrived <- struct{}{}
-			stuck(w, r, request)
+			blockUntilCanceled(w, r, request)
 		}
-		f := newFixture(t, []respond{waits}, []respond{waits})
+		f := newFixture(t, []replyFunc{notifyAndBlock}, []replyFunc{notifyAndBlock})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { <-arrived; <-arrived; cancel() }()
 		_, err := f.service.Search(ctx, phraseQuery())
@@ -170,7 +170,7 @@
 	})
 }
 
-func TestSearchRefusals(t *testing.T) {
+func TestSearchInvalid(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*fixture, *client.Query)
@@ -183,7 +183,7 @@
 		{"no snapshot", func(f *fixture, _ *client.Query) { f.publishSnapshots(nil) }, failure.NoCatalogue},
 		{"unknown corpus", func(_ *fixture, q *client.Query) { q.Corpus = "x" }, failure.NotFound},
 		{"unknown index", func(_ *fixture, q *client.Query) { q.Indexes = []string{"x"} }, failure.NotFound},
-		{"limit over the policy's", func(_ *fixture, q *client.Query) { q.Limit = 101 }, failure.TooLarge},
+		{"limit exceeds the policy's", func(_ *fixture, q *client.Query) { q.Limit = 101 }, failure.TooLarge},
 		{"negative limit", func(_ *fixture, q *client.Query) { q.Limit = -1 }, failure.InvalidRequest},
 		{"phrase and card", func(_ *fixture, q *client.Query) { q.Card = "1" }, failure.InvalidRequest},
 		{"neither phrase nor card", func(_ *fixture, q *client.Query) { q.Phrase = "" }, failure.InvalidRequest},
@@ -195,26 +195,26 @@
 		{"negative deadline", func(_ *fixture, q *client.Query) { q.DeadlineMilliseconds = -1 }, failure.InvalidRequest},
 	}
 	for _, test := range cases {
-		bubble(t, test.name, func(t *testing.T) {
-			f := newFixture(t, []respond{good}, []respond{good})
-			asked := phraseQuery()
-			test.change(f, &asked)
-			_, err := f.service.Search(t.Context(), asked)
+		runSynctest(t, test.name, func(t *testing.T) {
+			f := newFixture(t, []replyFunc{replyValid}, []replyFunc{replyValid})
+			search := phraseQuery()
+			test.change(f, &search)
+			_, err := f.service.Search(t.Context(), search)
 			checkError(t, err, test.kind, true)
 			if sent := f.requests.Load(); sent != 0 {
-				t.Errorf("%d sub-requests of a refused query were sent", sent)
+				t.Errorf("%d sub-requests sent for a rejected query", sent)
 			}
 		})
 	}
 }
 
-func TestSearchOverConcurrency(t *testing.T) {
+func TestSearchConcurrencyLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		arrived, release := make(chan struct{}), make(chan struct{})
-		f := newFixture(t, []respond{func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
+		f := newFixture(t, []replyFunc{func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			close(arrived)
 			<-release
-			good(w, r, request)
+			replyValid(w, r, request)
 		}})
 		f.row.Limits.Concurrency = 1
 		f.publishPolicy()
@@ -232,16 +232,16 @@
 	})
 }
 
-// TestSearchHedge lets one replica become slow: the hedge wins after the
-// learned quantile, the slow attempt is cancelled, and its reply is not merged.
+// TestSearchHedge slows down one replica: after the learned quantile a hedge is sent and
+// answers, the slow attempt is canceled, and its reply is not merged.
 func TestSearchHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slow atomic.Bool
 		cancelled := make(chan struct{}, 1)
-		sometimes := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
+		switchable := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			if !slow.Load() {
 				time.Sleep(2 * time.Millisecond)
-				good(w, r, request)
+				replyValid(w, r, request)
 				return
 			}
 			<-r.Context().Done()
@@ -249,9 +249,9 @@
 		}
 		steady := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			time.Sleep(4 * time.Millisecond)
-			good(w, r, request)
+			replyValid(w, r, request)
 		}
-		f := newFixture(t, []respond{sometimes, steady})
+		f := newFixture(t, []replyFunc{switchable, steady})
 		f.row.Wait.HedgeQuantile = 0.95
 		f.publishPolicy()
 		for range 50 {
