--- a/cmd/doorpond-edge/main.go
+++ b/cmd/doorpond-edge/main.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		return explain.Story(lines, arguments[0], out)
+		return explain.WriteTimeline(lines, arguments[0], out)
 	}
 	var lines []explain.Line
 	for _, path := range arguments[1:] {
@@ -91,7 +91,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	return explain.Story(lines, arguments[0], out)
+	return explain.WriteTimeline(lines, arguments[0], out)
 }
 
 func run(ctx context.Context, command *cli.Command) error {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -85,9 +85,9 @@
 	return words[len(words)-1]
 }
 
-// Story writes what the lines tell of a request. It returns an error when they
+// WriteTimeline writes what the lines tell of a request. It returns an error when they
 // tell nothing.
-func Story(lines []Line, request string, out io.Writer) error {
+func WriteTimeline(lines []Line, request string, out io.Writer) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	found := 0
 	for i := range lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("%d lines, error %v", len(lines), err)
 	}
 	var told strings.Builder
-	if err := Story(lines, "q1", &told); err != nil {
+	if err := WriteTimeline(lines, "q1", &told); err != nil {
 		t.Fatal(err)
 	}
 	want := `      2.5s before: store lost; going on with what is known error="silent"
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	var told strings.Builder
-	if err := Story(lines, "q9", &told); err == nil || told.Len() > 0 {
+	if err := WriteTimeline(lines, "q9", &told); err == nil || told.Len() > 0 {
 		t.Errorf("error %v, story %q", err, told.String())
 	}
 }
--- a/internal/failure/table.go
+++ b/internal/failure/table.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Row is what the table gives for a kind.
-type Row struct {
+// Response is what the table gives for a kind.
+type Response struct {
 	Status int
 	Title  string
 	// NotRun is the default of Error.NotRun: true for kinds that are only
@@ -25,7 +25,7 @@
 	mediumWait = time.Second
 )
 
-var table = map[Kind]Row{
+var table = map[Kind]Response{
 	InvalidRequest:       {http.StatusBadRequest, "The request is not valid", true, 0},
 	Unauthorized:         {http.StatusUnauthorized, "The operator's token is missing or wrong", true, 0},
 	NotFound:             {http.StatusNotFound, "There is no such thing", true, 0},
@@ -53,7 +53,7 @@
 
 // Lookup returns the table's row for a kind; an unknown kind gets the row of
 // Internal.
-func Lookup(kind Kind) Row {
+func Lookup(kind Kind) Response {
 	row, known := table[kind]
 	if !known {
 		return table[Internal]
