--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -51,7 +51,7 @@
 }
 
 // quarantined returns the suspected and quarantined requests of all nodes.
-func (s *system) quarantined() []inspect.Request {
+func (s *system) quarantined() []inspect.QuarantinedRequest {
 	var known inspect.System
 	response, err := s.caller.HTTP.Get("http://" + s.nodes[0].Addresses().State + "/v1/system")
 	if err != nil {
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -29,9 +29,9 @@
 type Config struct {
 	Board *blackboard.Board
 	Node  topology.Node
-	// Measured returns what this node has measured of each route for some time
+	// Statistics returns what this node has measured of each route for some time
 	// back.
-	Measured func(last time.Duration) []statistics.PolicyStatistics
+	Statistics func(last time.Duration) []statistics.PolicyStatistics
 	// Loaded tells whether this node is loaded.
 	Loaded func() bool
 	// Budgets returns the retry budgets of this node that are used most, in the order of
@@ -42,10 +42,10 @@
 	Quarantined func() []quarantine.Record
 	// Release ends the quarantine of a request on all nodes. Its errors are *failure.Error.
 	Release func(ctx context.Context, identity quarantine.Identity) error
-	// Known returns the store's revision up to which this node knows all, and when that was
+	// StoreProgress returns the store's revision up to which this node knows all, and when that was
 	// confirmed; nil when the node does not follow a store.
-	Known  func() (revision int64, confirmedAt time.Time)
-	Client *http.Client
+	StoreProgress func() (revision int64, confirmedAt time.Time)
+	Client        *http.Client
 }
 
 // Node is what one node says of itself.
@@ -62,13 +62,13 @@
 	// rises when the store comes back from a copy, and its revisions begin lower then.
 	StoreEra      int64 `json:"store_era"`
 	StoreRevision int64 `json:"store_revision"`
-	// ConfirmedAgo is the time since that was last confirmed, in milliseconds; -1 when it
+	// ConfirmedAgoMilliseconds is the time since that was last confirmed, in milliseconds; -1 when it
 	// never was.
-	ConfirmedAgo int64 `json:"confirmed_ago_ms"`
+	ConfirmedAgoMilliseconds int64 `json:"confirmed_ago_ms"`
 	// Budgets are the node's retry budgets that are used most.
 	Budgets []Budget `json:"budgets"`
 	// Quarantined are the requests that are suspected or quarantined on the node.
-	Quarantined []Request `json:"quarantined"`
+	Quarantined []QuarantinedRequest `json:"quarantined"`
 }
 
 // Route is a route as an assignment of callers to a policy row.
@@ -81,9 +81,9 @@
 	Attempts   int     `json:"attempts"`
 	LeastShare float64 `json:"least_share"`
 	TopRecords int     `json:"top_records"`
-	// Timeout and Objective are in milliseconds.
-	Timeout   int64 `json:"timeout_ms"`
-	Objective int64 `json:"objective_ms"`
+	// TimeoutMilliseconds and Objective are in milliseconds.
+	TimeoutMilliseconds   int64 `json:"timeout_ms"`
+	ObjectiveMilliseconds int64 `json:"objective_ms"`
 	// Shards counts those of a scattered route, Shares divide a plain one's
 	// requests.
 	Shards int             `json:"shards"`
@@ -109,7 +109,7 @@
 	// Evacuated counts the replicas of each evacuated zone that has any.
 	Evacuated map[string]int `json:"evacuated"`
 	// Quarantined are the requests that are suspected or quarantined on any node.
-	Quarantined []Request `json:"quarantined"`
+	Quarantined []QuarantinedRequest `json:"quarantined"`
 	// Budgets adds up those that the nodes list, group by group.
 	Budgets []Budget `json:"budgets"`
 }
@@ -171,14 +171,14 @@
 
 // describeKnown adds what the node knows of the store.
 func (h *handler) describeKnown(described *Node) {
-	described.ConfirmedAgo = -1
-	if h.config.Known == nil {
+	described.ConfirmedAgoMilliseconds = -1
+	if h.config.StoreProgress == nil {
 		return
 	}
-	revision, confirmedAt := h.config.Known()
+	revision, confirmedAt := h.config.StoreProgress()
 	described.StoreEra, described.StoreRevision = store.EraOf(revision), store.NumberOf(revision)
 	if !confirmedAt.IsZero() {
-		described.ConfirmedAgo = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
+		described.ConfirmedAgoMilliseconds = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
 	}
 }
 
@@ -230,7 +230,7 @@
 	return Route{
 		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
 		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
-		Timeout: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), Objective: route.Objective.Milliseconds(),
+		TimeoutMilliseconds: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), ObjectiveMilliseconds: route.Objective.Milliseconds(),
 		Shards: len(route.Shards), Shares: route.Shares, Regions: route.Regions,
 	}
 }
@@ -241,7 +241,7 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	write(w, h.config.Measured(last))
+	write(w, h.config.Statistics(last))
 }
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
@@ -251,7 +251,7 @@
 		return
 	}
 	path := pathStatistics + "?last=" + query.Last.String()
-	measured, unreachable := gather(r.Context(), h, path, h.config.Measured(query.Last))
+	measured, unreachable := gather(r.Context(), h, path, h.config.Statistics(query.Last))
 	for _, name := range []string{query.A, query.B} {
 		if !h.known(measured, name) {
 			failure.WriteProblem(w, failure.New(failure.NotFound, "there is no route "+name))
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -35,7 +35,7 @@
 	t.Cleanup(made.server.Close)
 	made.self.StateAddress = strings.TrimPrefix(made.server.URL, "http://")
 	mux.Handle("/", New(Config{
-		Board: made.board, Node: made.self, Measured: made.recorder.Snapshot, Client: made.server.Client(),
+		Board: made.board, Node: made.self, Statistics: made.recorder.Snapshot, Client: made.server.Client(),
 		Loaded:  func() bool { return id == "n2" },
 		Budgets: func() []Budget { return made.budgets },
 	}))
@@ -99,7 +99,7 @@
 		t.Errorf("%d replicas serve, leaving %+v", got.Replicas, got.Leaving)
 	}
 	want := []Route{{
-		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, LeastShare: 0.5, Timeout: 4000, Objective: 1000,
+		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, LeastShare: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
 		Shares: []routing.Share{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	if diff := cmp.Diff(want, got.Routes); diff != "" {
--- a/internal/inspect/quarantine.go
+++ b/internal/inspect/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/doorpond/doorpond/internal/quarantine"
 )
 
-// Request is a request under which replicas have ended, on one node or on several.
-type Request struct {
+// QuarantinedRequest is a request under which replicas have ended, on one node or on several.
+type QuarantinedRequest struct {
 	Identity string `json:"identity"`
 	quarantine.Record
 	// Nodes is the number of nodes that know of it, Refusing of those that refuse it.
@@ -18,16 +18,16 @@
 	Refusing int `json:"refusing"`
 }
 
-// Released is the answer to a release.
-type Released struct {
+// ReleaseResult is the answer to a release.
+type ReleaseResult struct {
 	Identity string `json:"identity"`
 }
 
 // requestsOf describes what one node knows.
-func requestsOf(records []quarantine.Record) []Request {
-	requests := make([]Request, 0, len(records))
+func requestsOf(records []quarantine.Record) []QuarantinedRequest {
+	requests := make([]QuarantinedRequest, 0, len(records))
 	for _, record := range records {
-		request := Request{Identity: record.Identity.String(), Record: record, Nodes: 1}
+		request := QuarantinedRequest{Identity: record.Identity.String(), Record: record, Nodes: 1}
 		if record.RefuseMilliseconds > 0 {
 			request.Refusing = 1
 		}
@@ -37,8 +37,8 @@
 }
 
 // addRequests joins what the nodes list: first what most nodes refuse.
-func addRequests(nodes []Node) []Request {
-	joined := make(map[string]Request)
+func addRequests(nodes []Node) []QuarantinedRequest {
+	joined := make(map[string]QuarantinedRequest)
 	for _, node := range nodes {
 		for _, one := range node.Quarantined {
 			known, found := joined[one.Identity]
@@ -55,11 +55,11 @@
 			joined[one.Identity] = known
 		}
 	}
-	requests := make([]Request, 0, len(joined))
+	requests := make([]QuarantinedRequest, 0, len(joined))
 	for _, one := range joined {
 		requests = append(requests, one)
 	}
-	slices.SortFunc(requests, func(a, b Request) int {
+	slices.SortFunc(requests, func(a, b QuarantinedRequest) int {
 		return cmp.Or(cmp.Compare(b.Refusing, a.Refusing), cmp.Compare(a.Identity, b.Identity))
 	})
 	return requests
@@ -73,7 +73,7 @@
 		failure.WriteProblem(w, failure.New(failure.InvalidRequest, "identity: 64 hexadecimal digits, as the system's list shows them"))
 		return
 	}
-	known := slices.ContainsFunc(h.system(r.Context()).Quarantined, func(one Request) bool { return one.Identity == named })
+	known := slices.ContainsFunc(h.system(r.Context()).Quarantined, func(one QuarantinedRequest) bool { return one.Identity == named })
 	if !known {
 		failure.WriteProblem(w, failure.New(failure.NotFound, "no node suspects this request"))
 		return
@@ -82,5 +82,5 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	write(w, Released{Identity: named})
+	write(w, ReleaseResult{Identity: named})
 }
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -87,8 +87,8 @@
 }
 
 // Release lets a quarantined request be served again.
-func (a *API) Release(ctx context.Context, identity string) (*inspect.Released, error) {
-	released := &inspect.Released{}
+func (a *API) Release(ctx context.Context, identity string) (*inspect.ReleaseResult, error) {
+	released := &inspect.ReleaseResult{}
 	query := url.Values{"identity": {identity}}
 	return released, a.do(ctx, http.MethodPost, "/v1/release?"+query.Encode(), requestTimeout, nil, released)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -75,7 +75,7 @@
 			failure.WriteProblem(w, failure.New(failure.NotFound, "no node suspects this request"))
 			return
 		}
-		answer(w, inspect.Released{Identity: "5f1c"})
+		answer(w, inspect.ReleaseResult{Identity: "5f1c"})
 	})
 	routes.HandleFunc("POST /v1/edits", d.edit)
 	routes.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -35,7 +35,7 @@
 }
 
 // printQuarantined lists the requests under which replicas have ended.
-func printQuarantined(to io.Writer, requests []inspect.Request) {
+func printQuarantined(to io.Writer, requests []inspect.QuarantinedRequest) {
 	lines := newGrid(to, "QUARANTINED", "ROUTE", "CALLER", "TARGET", "REPLICAS ENDED", "REFUSED FOR", "REFUSED BY", "KNOWN BY")
 	for _, one := range requests {
 		left := "suspected only"
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -89,17 +89,17 @@
 
 // confirmedText says how old what a node knows of the store may be.
 func confirmedText(node inspect.Node) string {
-	if node.ConfirmedAgo < 0 {
+	if node.ConfirmedAgoMilliseconds < 0 {
 		return "never"
 	}
-	return fmt.Sprintf("%d ms ago", node.ConfirmedAgo)
+	return fmt.Sprintf("%d ms ago", node.ConfirmedAgoMilliseconds)
 }
 
 func printRoutes(to io.Writer, routes []inspect.Route) {
 	lines := newGrid(to, "ROUTE", "HOST", "PATH", "RANK", "REPEATABLE", "ATTEMPTS", "TIMEOUT", "OBJECTIVE", "REGIONS", "TO")
 	for _, one := range routes {
 		lines.row(one.Name, one.Host, one.PathPrefix, one.Rank, one.Repeatable, one.Attempts,
-			fmt.Sprintf("%d ms", one.Timeout), fmt.Sprintf("%d ms", one.Objective), regionsText(one.Regions), targetText(&one))
+			fmt.Sprintf("%d ms", one.TimeoutMilliseconds), fmt.Sprintf("%d ms", one.ObjectiveMilliseconds), regionsText(one.Regions), targetText(&one))
 	}
 	lines.end()
 }
