--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -66,8 +66,8 @@
 	Registerer prometheus.Registerer
 	// MaxBodyBytes bounds a request's body; 0 means 2 MiB.
 	MaxBodyBytes int64
-	// Extra has further routes by pattern, such as "GET /v1/compare".
-	Extra []Route
+	// ExtraRoutes has further routes by pattern, such as "GET /v1/compare".
+	ExtraRoutes []Route
 }
 
 // Route is a further route of the operators' API.
@@ -107,7 +107,7 @@
 	routes.HandleFunc("GET /v1/compare", h.compare)
 	routes.Handle("POST /v1/edits", h.guarded(h.edit))
 	routes.Handle("POST /v1/restore", h.guarded(h.restore))
-	for _, extra := range options.Extra {
+	for _, extra := range options.ExtraRoutes {
 		routes.Handle(extra.Pattern, extra.Handler)
 	}
 	// a page in an operator's browser must not reach a port on loopback
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -24,23 +24,23 @@
 	Revision uint64           `json:"revision"`
 	Nodes    []peer.NodeState `json:"nodes"`
 	// Lagging names the daemons that are behind Revision.
-	Lagging     []Lagging     `json:"lagging"`
-	Unreachable []Unreachable `json:"unreachable"`
+	Lagging     []LaggingDaemon `json:"lagging"`
+	Unreachable []Unreachable   `json:"unreachable"`
 	// Replicas are those that do not take their whole share, by address.
-	Replicas []Troubled `json:"replicas"`
-	// StoreOutSince is since when no daemon that follows the store reaches it;
+	Replicas []DegradedReplica `json:"replicas"`
+	// StoreUnreachableSince is since when no daemon that follows the store reaches it;
 	// nil while one does, or none can say.
-	StoreOutSince *time.Time `json:"store_out_since,omitempty"`
+	StoreUnreachableSince *time.Time `json:"store_out_since,omitempty"`
 }
 
-// Troubled is a replica in trouble, and how many daemons see it so.
-type Troubled struct {
+// DegradedReplica is a replica in trouble, and how many daemons see it so.
+type DegradedReplica struct {
 	peer.TroubledReplica
-	SeenBy int `json:"seen_by"`
+	ReportedBy int `json:"seen_by"`
 }
 
-// Lagging is a daemon on which an older table is in force.
-type Lagging struct {
+// LaggingDaemon is a daemon on which an older table is in force.
+type LaggingDaemon struct {
 	ID       string         `json:"id"`
 	Place    topology.Place `json:"place"`
 	Revision uint64         `json:"revision"`
@@ -53,11 +53,11 @@
 type Propagation struct {
 	Revision uint64 `json:"revision"`
 	// Complete is true when the revision is in force on all daemons.
-	Complete         bool          `json:"complete"`
-	TookMilliseconds int64         `json:"took_ms"`
-	Daemons          int           `json:"daemons"`
-	Lagging          []Lagging     `json:"lagging,omitempty"`
-	Unreachable      []Unreachable `json:"unreachable,omitempty"`
+	Complete            bool            `json:"complete"`
+	ElapsedMilliseconds int64           `json:"took_ms"`
+	Daemons             int             `json:"daemons"`
+	Lagging             []LaggingDaemon `json:"lagging,omitempty"`
+	Unreachable         []Unreachable   `json:"unreachable,omitempty"`
 }
 
 const (
@@ -121,9 +121,9 @@
 	status := Status{
 		GatheredBy:  h.options.State().Member.ID,
 		Nodes:       []peer.NodeState{},
-		Lagging:     []Lagging{},
+		Lagging:     []LaggingDaemon{},
 		Unreachable: []Unreachable{},
-		Replicas:    []Troubled{},
+		Replicas:    []DegradedReplica{},
 	}
 	for i, got := range answers {
 		if got.err != nil {
@@ -139,23 +139,23 @@
 		}
 	}
 	status.Replicas = troubledReplicas(status.Nodes)
-	status.StoreOutSince = storeOutSince(status.Nodes)
+	status.StoreUnreachableSince = storeOutSince(status.Nodes)
 	writeJSON(w, status)
 }
 
 // troubledReplicas merges what the daemons say of replicas.
-func troubledReplicas(nodes []peer.NodeState) []Troubled {
+func troubledReplicas(nodes []peer.NodeState) []DegradedReplica {
 	seen := make(map[peer.TroubledReplica]int)
 	for _, node := range nodes {
 		for _, one := range node.Troubled {
 			seen[one]++
 		}
 	}
-	merged := make([]Troubled, 0, len(seen))
+	merged := make([]DegradedReplica, 0, len(seen))
 	for one, count := range seen {
-		merged = append(merged, Troubled{TroubledReplica: one, SeenBy: count})
+		merged = append(merged, DegradedReplica{TroubledReplica: one, ReportedBy: count})
 	}
-	slices.SortFunc(merged, func(a, b Troubled) int {
+	slices.SortFunc(merged, func(a, b DegradedReplica) int {
 		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Trouble, b.Trouble))
 	})
 	return merged
@@ -177,8 +177,8 @@
 	return since
 }
 
-func laggingOf(node peer.NodeState) Lagging {
-	return Lagging{ID: node.Member.ID, Place: node.Member.Place, Revision: node.TableRevision}
+func laggingOf(node peer.NodeState) LaggingDaemon {
+	return LaggingDaemon{ID: node.Member.ID, Place: node.Member.Place, Revision: node.TableRevision}
 }
 
 // awaitRevision asks the members again and again until the revision is in
@@ -199,7 +199,7 @@
 		pause = min(2*pause, longestRecheck)
 	}
 	propagation.Complete = len(remaining) == 0
-	propagation.TookMilliseconds = time.Since(start).Milliseconds()
+	propagation.ElapsedMilliseconds = time.Since(start).Milliseconds()
 	return propagation
 }
 
@@ -211,7 +211,7 @@
 	cut := ctx.Err() != nil
 	live := h.liveIDs()
 	var remaining []topology.Member
-	var lagging []Lagging
+	var lagging []LaggingDaemon
 	var unreachable []Unreachable
 	for i, got := range answers {
 		switch {
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -92,12 +92,12 @@
 
 func printPropagation(to io.Writer, propagation *admin.Propagation) {
 	if propagation.Complete {
-		fmt.Fprintf(to, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.TookMilliseconds)
+		fmt.Fprintf(to, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.ElapsedMilliseconds)
 	}
 	printBehind(to, propagation.Lagging, propagation.Unreachable)
 }
 
-func printBehind(to io.Writer, lagging []admin.Lagging, unreachable []admin.Unreachable) {
+func printBehind(to io.Writer, lagging []admin.LaggingDaemon, unreachable []admin.Unreachable) {
 	for _, one := range lagging {
 		fmt.Fprintf(to, "lags: %s in %s/%s at revision %d\n", one.ID, one.Place.Region, one.Place.Zone, one.Revision)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,7 +34,7 @@
 	calls   []client.Call
 	queries []client.Query
 	problem *failure.Error
-	lagging []admin.Lagging
+	lagging []admin.LaggingDaemon
 }
 
 func testTable() *policy.Table {
@@ -150,7 +150,7 @@
 		name     string
 		line     string
 		problem  *failure.Error
-		lagging  []admin.Lagging
+		lagging  []admin.LaggingDaemon
 		code     int
 		contains string
 	}{
@@ -175,7 +175,7 @@
 		{name: "set refused", line: "policy set fast priority=highest", problem: failure.New(failure.InvalidRequest, "priority"), code: ExitUsage},
 		{name: "set with store out", line: "policy set fast priority=high", problem: failure.New(failure.StoreUnavailable, "out"), code: ExitUnavailable},
 		{name: "set unclear", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUnsure, contains: "--change-id one"},
-		{name: "set and lag", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUnsure, contains: "node-c"},
+		{name: "set and lag", line: "policy set fast priority=high --wait 1s", lagging: []admin.LaggingDaemon{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUnsure, contains: "node-c"},
 		{name: "wait too long", line: "policy set fast priority=high --wait 1h", code: ExitUsage, contains: "wait"},
 		{name: "assign weight", line: "assign gate fast=0", code: ExitUsage, contains: "weight"},
 		{name: "assign nothing", line: "assign gate", code: ExitUsage, contains: "--delete"},
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -32,8 +32,8 @@
 func printStatus(to io.Writer, status *admin.Status) {
 	fmt.Fprintf(to, "table revision %d; %d daemons answer, %d lag, %d do not answer\n",
 		status.Revision, len(status.Nodes), len(status.Lagging), len(status.Unreachable))
-	if status.StoreOutSince != nil {
-		fmt.Fprintln(to, "the store has been out of reach since", status.StoreOutSince.Format(time.RFC3339))
+	if status.StoreUnreachableSince != nil {
+		fmt.Fprintln(to, "the store has been out of reach since", status.StoreUnreachableSince.Format(time.RFC3339))
 	}
 	fmt.Fprintln(to)
 	nodes := slices.Clone(status.Nodes)
@@ -61,7 +61,7 @@
 	lines := newGrid(to, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
 	for _, one := range status.Replicas {
 		lines.row(one.Address, one.Group, one.Place.Region, one.Place.Zone, one.Trouble,
-			fmt.Sprintf("%d of %d", one.SeenBy, len(status.Nodes)))
+			fmt.Sprintf("%d of %d", one.ReportedBy, len(status.Nodes)))
 	}
 	lines.end()
 }
--- a/internal/proofs/table_checks.go
+++ b/internal/proofs/table_checks.go
@@ -29,7 +29,7 @@
 		if !result.Propagation.Complete {
 			r.violate(&r.report.Lost, "revision %d was not in force on all daemons after %s", result.Change.Revision, longest)
 		}
-		took = append(took, time.Duration(result.Propagation.TookMilliseconds)*time.Millisecond)
+		took = append(took, time.Duration(result.Propagation.ElapsedMilliseconds)*time.Millisecond)
 	}
 	slices.Sort(took)
 	r.report.SlowestInForce = took[len(took)-1]
