--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog writes log lines without ever blocking those who log: a
-// line that finds the buffer full is counted and left out.
+// Package eventlog writes log lines asynchronously. Writers never block: lines
+// that arrive while the buffer is full are dropped and counted.
 package eventlog
 
 import (
@@ -9,50 +9,52 @@
 	"sync/atomic"
 )
 
-// bufferedLines is the number of lines that may wait to be written.
-const bufferedLines = 256
+// bufferSize is the maximum number of lines waiting to be written.
+const bufferSize = 256
 
-// Writer is an io.Writer that takes whole lines. It is safe for concurrent
-// use.
+// Writer is an asynchronous io.Writer. Each call to Write must pass one complete
+// line. It is safe for concurrent use.
 type Writer struct {
-	target  io.Writer
-	lines   chan []byte
-	omitted atomic.Int64
-	ended   chan struct{}
-	once    sync.Once
+	target    io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// NewWriter makes a Writer and starts to write.
+// NewWriter returns a Writer and starts its goroutine, which runs until Close.
 func NewWriter(target io.Writer) *Writer {
-	writer := &Writer{target: target, lines: make(chan []byte, bufferedLines), ended: make(chan struct{})}
+	writer := &Writer{target: target, lines: make(chan []byte, bufferSize), done: make(chan struct{})}
 	go writer.run()
 	return writer
 }
 
-// Write takes one line. It never fails and never waits.
+// Write queues one line, or drops it if the buffer is full. It never blocks and
+// never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := make([]byte, len(line))
-	copy(kept, line)
+	buffered := make([]byte, len(line))
+	copy(buffered, line)
 	select {
-	case w.lines <- kept:
+	case w.lines <- buffered:
 	default:
-		w.omitted.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Close writes what still waits. Nothing may be written afterwards.
+// Close writes the queued lines and stops the Writer. Write must not be called
+// afterwards.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.lines) })
-	<-w.ended
+	w.closeOnce.Do(func() { close(w.lines) })
+	<-w.done
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for line := range w.lines {
-		_, _ = w.target.Write(line) // there is nowhere to report it
-		if omitted := w.omitted.Swap(0); omitted > 0 {
-			_, _ = fmt.Fprintf(w.target, `{"level":"WARN","msg":"log lines left out","count":%d}`+"\n", omitted)
+		_, _ = w.target.Write(line) // an error of the log itself cannot be reported
+		if dropped := w.dropped.Swap(0); dropped > 0 {
+			_, _ = fmt.Fprintf(w.target, `{"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", dropped)
 		}
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// slowTarget blocks each write until it is let go.
-type slowTarget struct {
+// blockingTarget blocks each write until the gate is closed.
+type blockingTarget struct {
 	gate  chan struct{}
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (s *slowTarget) Write(line []byte) (int, error) {
+func (s *blockingTarget) Write(line []byte) (int, error) {
 	<-s.gate
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.text.Write(line)
 }
 
-func TestLinesKeepTheirOrder(t *testing.T) {
-	target := &slowTarget{gate: make(chan struct{})}
+func TestWriterKeepsOrder(t *testing.T) {
+	target := &blockingTarget{gate: make(chan struct{})}
 	close(target.gate)
 	writer := NewWriter(target)
 	want := ""
@@ -35,17 +35,16 @@
 	}
 	writer.Close()
 	if target.text.String() != want {
-		t.Errorf("wrote %q", target.text.String())
+		t.Errorf("got %q, want %q", target.text.String(), want)
 	}
 }
 
-// TestATargetThatBlocksDoesNotHoldUp: whoever logs goes on, and what was left
-// out is counted.
-func TestATargetThatBlocksDoesNotHoldUp(t *testing.T) {
-	target := &slowTarget{gate: make(chan struct{})}
+// A blocked target must not block Write, and dropped lines must be counted.
+func TestWriterDropsLinesWhenBlocked(t *testing.T) {
+	target := &blockingTarget{gate: make(chan struct{})}
 	writer := NewWriter(target)
 	line := []byte("x\n")
-	for range 3 * bufferedLines {
+	for range 3 * bufferSize {
 		if size, err := writer.Write(line); size != len(line) || err != nil {
 			t.Fatal(size, err)
 		}
@@ -53,10 +52,10 @@
 	close(target.gate)
 	writer.Close()
 	written := strings.Count(target.text.String(), "x\n")
-	if written < bufferedLines || written > bufferedLines+1 {
-		t.Errorf("%d lines written", written)
+	if written < bufferSize || written > bufferSize+1 {
+		t.Errorf("got %d lines written, want %d or %d", written, bufferSize, bufferSize+1)
 	}
-	if !strings.Contains(target.text.String(), fmt.Sprintf(`"count":%d`, 3*bufferedLines-written)) {
-		t.Error("the lines left out are not counted")
+	if !strings.Contains(target.text.String(), fmt.Sprintf(`"count":%d`, 3*bufferSize-written)) {
+		t.Error("number of dropped lines was not reported")
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain tells the story of one request from the logs of the nodes:
-// what was decided for it, and what the node that decided believed just before.
+// Package explain reconstructs the timeline of one request from the logs of the
+// nodes: the decisions made for it, and the events that the deciding node logged
+// shortly before.
 package explain
 
 import (
@@ -16,17 +17,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// stateWindow is how long before the request's line a change of state is told.
-const stateWindow = 10 * time.Second
+// eventWindow is how long before a line of the request the node's other events
+// are included.
+const eventWindow = 10 * time.Second
 
-// mostStates bounds the changes of state that are told for each line.
-const mostStates = 12
+// maxEvents bounds the number of events written for each line of the request.
+const maxEvents = 12
 
-// longestLine bounds a line of the logs, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one log line. Source is what stands before the document, such as the
-// node's name.
+// Line is one log line. Source is the last word that precedes the JSON document,
+// usually the node's name.
 type Line struct {
 	Source  string
 	Time    time.Time
@@ -35,49 +37,50 @@
 	Fields  map[string]json.RawMessage
 }
 
-// request returns the request that a line is about, or "".
-func (l *Line) request() string {
+// requestID returns the ID of the request that the line refers to, or "".
+func (l *Line) requestID() string {
 	var id string
-	_ = json.Unmarshal(l.Fields["request"], &id) // absent, or not text: no request
+	_ = json.Unmarshal(l.Fields["request"], &id) // a missing or non-string ID means no request
 	return id
 }
 
-// Read reads lines, each with one JSON document; other lines are passed over.
+// Read parses log lines that contain one JSON document each. Other lines are
+// skipped.
 func Read(source io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Text()); ok {
+		if line, ok := parseLine(scanner.Text()); ok {
 			lines = append(lines, line)
 		}
 	}
-	return lines, eris.Wrap(scanner.Err(), "read the logs")
+	return lines, eris.Wrap(scanner.Err(), "read logs")
 }
 
-func parse(text string) (Line, bool) {
-	begin := strings.IndexByte(text, '{')
-	if begin < 0 {
+func parseLine(text string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	fields := make(map[string]json.RawMessage)
-	if err := json.Unmarshal([]byte(text[begin:]), &fields); err != nil {
+	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
 		return Line{}, false
 	}
-	line := Line{Source: nameOf(text[:begin]), Fields: fields}
+	line := Line{Source: sourceName(text[:start]), Fields: fields}
 	if json.Unmarshal(fields["time"], &line.Time) != nil || json.Unmarshal(fields["msg"], &line.Message) != nil {
 		return Line{}, false
 	}
-	_ = json.Unmarshal(fields["level"], &line.Level) // a line without a level is told without
-	for _, told := range []string{"time", "msg", "level"} {
-		delete(fields, told)
+	_ = json.Unmarshal(fields["level"], &line.Level) // the level is optional
+	for _, key := range []string{"time", "msg", "level"} {
+		delete(fields, key)
 	}
 	return line, true
 }
 
-// nameOf returns the last word before the document: a collector may put a time
-// and the node's name there.
-func nameOf(prefix string) string {
+// sourceName returns the last word of the prefix. Log collectors may prepend a
+// timestamp and the node's name.
+func sourceName(prefix string) string {
 	words := strings.Fields(prefix)
 	if len(words) == 0 {
 		return ""
@@ -85,69 +88,70 @@
 	return words[len(words)-1]
 }
 
-// WriteTimeline writes what the lines tell of a request. It returns an error when they
-// tell nothing.
-func WriteTimeline(lines []Line, request string, out io.Writer) error {
+// WriteTimeline writes the lines that refer to a request, each preceded by recent
+// events of the same node. It returns an error if no line refers to the request.
+func WriteTimeline(lines []Line, requestID string, w io.Writer) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	found := 0
+	matches := 0
 	for i := range lines {
-		if lines[i].request() != request {
+		if lines[i].requestID() != requestID {
 			continue
 		}
-		found++
-		tellStates(out, lines[:i], &lines[i])
-		tell(out, &lines[i])
+		matches++
+		writeEvents(w, lines[:i], &lines[i])
+		writeLine(w, &lines[i])
 	}
-	if found == 0 {
-		return eris.Errorf("no line tells of request %q: it came to no node whose logs these are, or its line was left out for volume (omitted_lines)", request)
+	if matches == 0 {
+		return eris.Errorf("no log line for request %q: it reached none of the nodes whose logs were read, or its line was dropped by rate limiting (omitted_lines)", requestID)
 	}
 	return nil
 }
 
-// tellStates writes what the line's node noted of itself just before.
-func tellStates(out io.Writer, before []Line, about *Line) {
-	var states []*Line
-	for i := range before {
-		line := &before[i]
-		if line.Source == about.Source && line.request() == "" && about.Time.Sub(line.Time) <= stateWindow {
-			states = append(states, line)
+// writeEvents writes the lines without a request that the target's node logged
+// within eventWindow before it.
+func writeEvents(w io.Writer, earlier []Line, target *Line) {
+	var events []*Line
+	for i := range earlier {
+		line := &earlier[i]
+		if line.Source == target.Source && line.requestID() == "" && target.Time.Sub(line.Time) <= eventWindow {
+			events = append(events, line)
 		}
 	}
-	if more := len(states) - mostStates; more > 0 {
-		_, _ = fmt.Fprintf(out, "  (%d earlier changes of state)\n", more)
-		states = states[more:]
+	if excess := len(events) - maxEvents; excess > 0 {
+		_, _ = fmt.Fprintf(w, "  (%d earlier events omitted)\n", excess)
+		events = events[excess:]
 	}
-	for _, line := range states {
-		_, _ = fmt.Fprintf(out, "  %8s before: %s%s\n", about.Time.Sub(line.Time).Round(time.Millisecond), line.Message, describe(line.Fields))
+	for _, line := range events {
+		_, _ = fmt.Fprintf(w, "  %8s before: %s%s\n", target.Time.Sub(line.Time).Round(time.Millisecond), line.Message, formatFields(line.Fields))
 	}
 }
 
-func tell(out io.Writer, line *Line) {
+func writeLine(w io.Writer, line *Line) {
 	source := cmp.Or(line.Source, "node")
-	_, _ = fmt.Fprintf(out, "%s %s: %s\n", line.Time.Format("15:04:05.000"), source, line.Message)
+	_, _ = fmt.Fprintf(w, "%s %s: %s\n", line.Time.Format("15:04:05.000"), source, line.Message)
 	for _, key := range slices.Sorted(maps.Keys(line.Fields)) {
 		if key == "shards" {
-			tellShards(out, line.Fields[key])
+			writeShards(w, line.Fields[key])
 			continue
 		}
-		_, _ = fmt.Fprintf(out, "    %s: %s\n", key, line.Fields[key])
+		_, _ = fmt.Fprintf(w, "    %s: %s\n", key, line.Fields[key])
 	}
 }
 
-// answered tells when the shard answered, if the trace says so.
-func (s *shard) answered() string {
+// answerText includes the time of the answer if the trace has it.
+func (s *shardTrace) answerText() string {
 	if s.AnsweredMilliseconds == 0 {
 		return "answered"
 	}
 	return fmt.Sprintf("answered at %d ms", s.AnsweredMilliseconds)
 }
 
-// shard is a shard's trace as the nodes log it.
-type shard struct {
+// shardTrace is a shard's trace as logged by the nodes.
+type shardTrace struct {
 	Group  string `json:"group"`
 	Reason string `json:"reason"`
 	Error  string `json:"error"`
-	// AnsweredMilliseconds and NoHedge explain a shard that was late.
+	// AnsweredMilliseconds and NoHedge are set for shards that answered late.
 	AnsweredMilliseconds int64  `json:"answered_ms"`
 	NoHedge              string `json:"no_hedge"`
 	Attempts             []struct {
@@ -157,24 +161,24 @@
 	} `json:"attempts"`
 }
 
-func tellShards(out io.Writer, encoded json.RawMessage) {
-	var shards []shard
+func writeShards(w io.Writer, encoded json.RawMessage) {
+	var shards []shardTrace
 	if err := json.Unmarshal(encoded, &shards); err != nil {
-		_, _ = fmt.Fprintf(out, "    shards: %s\n", encoded)
+		_, _ = fmt.Fprintf(w, "    shards: %s\n", encoded)
 		return
 	}
-	for _, one := range shards {
-		_, _ = fmt.Fprintf(out, "    shard %s: %s %s\n", one.Group, cmp.Or(one.Reason, one.answered()), one.Error)
-		if one.NoHedge != "" {
-			_, _ = fmt.Fprintf(out, "      no hedge: %s\n", one.NoHedge)
+	for _, shard := range shards {
+		_, _ = fmt.Fprintf(w, "    shard %s: %s %s\n", shard.Group, cmp.Or(shard.Reason, shard.answerText()), shard.Error)
+		if shard.NoHedge != "" {
+			_, _ = fmt.Fprintf(w, "      no hedge: %s\n", shard.NoHedge)
 		}
-		for _, attempt := range one.Attempts {
-			_, _ = fmt.Fprintf(out, "      at %d ms to %s: %s\n", attempt.SentMS, cmp.Or(attempt.Replica, "no replica"), attempt.Outcome)
+		for _, attempt := range shard.Attempts {
+			_, _ = fmt.Fprintf(w, "      at %d ms to %s: %s\n", attempt.SentMS, cmp.Or(attempt.Replica, "no replica"), attempt.Outcome)
 		}
 	}
 }
 
-func describe(fields map[string]json.RawMessage) string {
+func formatFields(fields map[string]json.RawMessage) string {
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(fields)) {
 		fmt.Fprintf(&text, " %s=%s", key, fields[key])
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -6,7 +6,7 @@
 )
 
 const logs = `started by hand
-  1.2 node-a {"time":"2026-01-01T10:00:01Z","level":"WARN","msg":"store lost; going on with what is known","error":"silent"}
+  1.2 node-a {"time":"2026-01-01T10:00:01Z","level":"WARN","msg":"store unreachable; using cached state","error":"silent"}
   1.3 node-b {"time":"2026-01-01T10:00:02Z","level":"INFO","msg":"replica gone","address":"10.0.0.9:1"}
   0.1 node-a {"time":"2026-01-01T09:50:00Z","level":"INFO","msg":"started"}
   1.4 node-a {"time":"2026-01-01T10:00:03.5Z","level":"INFO","msg":"request answered in part","request":"q1","route":"r","missing":1,"shards":[{"group":"g3","reason":"failed","error":"reset","attempts":[{"replica":"10.0.0.1:1","sent_ms":0,"outcome":"failed"},{"sent_ms":12,"outcome":"no_replica"}]},{"group":"g4","answered_ms":230,"no_hedge":"budget","attempts":[{"replica":"10.0.0.2:1","sent_ms":0,"outcome":"success"}]}]}
@@ -14,16 +14,16 @@
 {"broken":
 `
 
-func TestStory(t *testing.T) {
+func TestWriteTimeline(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	if err != nil || len(lines) != 5 {
-		t.Fatalf("%d lines, error %v", len(lines), err)
+		t.Fatalf("got %d lines and error %v, want 5 lines", len(lines), err)
 	}
-	var told strings.Builder
-	if err := WriteTimeline(lines, "q1", &told); err != nil {
+	var output strings.Builder
+	if err := WriteTimeline(lines, "q1", &output); err != nil {
 		t.Fatal(err)
 	}
-	want := `      2.5s before: store lost; going on with what is known error="silent"
+	want := `      2.5s before: store unreachable; using cached state error="silent"
 10:00:03.500 node-a: request answered in part
     missing: 1
     request: "q1"
@@ -35,18 +35,18 @@
       no hedge: budget
       at 0 ms to 10.0.0.2:1: success
 `
-	if told.String() != want {
-		t.Errorf("story:\n%s\nwant:\n%s", told.String(), want)
+	if output.String() != want {
+		t.Errorf("timeline:\n%s\nwant:\n%s", output.String(), want)
 	}
 }
 
-func TestNoStory(t *testing.T) {
+func TestWriteTimelineUnknownRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told strings.Builder
-	if err := WriteTimeline(lines, "q9", &told); err == nil || told.Len() > 0 {
-		t.Errorf("error %v, story %q", err, told.String())
+	var output strings.Builder
+	if err := WriteTimeline(lines, "q9", &output); err == nil || output.Len() > 0 {
+		t.Errorf("got error %v and output %q, want an error and no output", err, output.String())
 	}
 }
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure holds the closed list of error kinds that doorpond answers
-// with, and the one table from kind to answer. Every error that reaches a
-// caller, an operator or a peer is one of these kinds.
+// Package failure defines the error kinds that doorpond returns and maps each of
+// them to an HTTP problem response. Every error returned to a caller, an operator
+// or a peer has one of these kinds.
 package failure
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind is one of the closed list of error kinds.
+// Kind identifies an error kind. Its value is part of the API.
 type Kind string
 
-// The closed list. Each has exactly one row in the table of answers.
+// All error kinds. Each has exactly one entry in responses.
 const (
 	InvalidRequest       Kind = "invalid_request"
 	Unauthorized         Kind = "unauthorized"
@@ -36,39 +36,39 @@
 	SnapshotLost         Kind = "snapshot_lost"
 	CallInProgress       Kind = "call_in_progress"
 	OutcomeUnknown       Kind = "outcome_unknown"
-	// Quarantined: replicas end by running the request.
+	// Quarantined means that the request is refused because replicas crashed while
+	// running it.
 	Quarantined Kind = "quarantined"
 	Internal    Kind = "internal"
 )
 
-// Error is an error of a known kind.
+// Error is an error with a kind.
 type Error struct {
 	Kind   Kind
 	Detail string
-	// NotRun is true only when no back end ran any part of the request.
+	// NotRun is true only if no back end ran any part of the request.
 	NotRun bool
-	// RetryAfter is when to come back; 0 means that it does not help.
+	// RetryAfter is the recommended delay before a retry; 0 means that a retry is
+	// not expected to succeed.
 	RetryAfter time.Duration
 	cause      error
 }
 
-// Error returns the kind and the detail.
 func (e *Error) Error() string {
 	return string(e.Kind) + ": " + e.Detail
 }
 
-// Unwrap returns the cause, if there is one.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// New makes an Error of a kind, with the table's defaults for NotRun and
-// RetryAfter.
+// New returns an Error with the kind's defaults for NotRun and RetryAfter.
 func New(kind Kind, detail string) *Error {
-	row := Lookup(kind)
-	return &Error{Kind: kind, Detail: detail, NotRun: row.NotRun, RetryAfter: row.RetryAfter}
+	response := Lookup(kind)
+	return &Error{Kind: kind, Detail: detail, NotRun: response.NotRun, RetryAfter: response.RetryAfter}
 }
 
-// Wrap makes an Error of a kind from a cause. The detail says what was
-// attempted.
+// Wrap returns an Error of the given kind with a cause. The detail names the
+// operation that failed.
 func Wrap(cause error, kind Kind, detail string) *Error {
 	wrapped := New(kind, detail+": "+cause.Error())
 	wrapped.cause = eris.Wrap(cause, detail)
@@ -89,8 +89,8 @@
 	return &changed
 }
 
-// From finds the Error in a chain, or makes one of kind Internal that does
-// not claim that nothing ran.
+// From returns the Error in err's chain, or an Error of kind Internal with NotRun
+// false if there is none.
 func From(err error) *Error {
 	var known *Error
 	if errors.As(err, &known) {
@@ -99,5 +99,5 @@
 	return &Error{Kind: Internal, Detail: err.Error(), cause: err}
 }
 
-// KindOf returns the kind of an error, Internal for one of no known kind.
+// KindOf returns the kind of an error, or Internal if it has none.
 func KindOf(err error) Kind { return From(err).Kind }
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -16,8 +16,8 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// declaredKinds reads the constants of type Kind from the source, so that a
-// kind without a row cannot hide.
+// declaredKinds returns the names of the Kind constants in the source, to detect
+// kinds without a response.
 func declaredKinds(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "failure.go", nil, 0)
@@ -38,37 +38,37 @@
 	return names
 }
 
-func TestTheTableHasOneRowForEachKind(t *testing.T) {
+func TestResponseForEachKind(t *testing.T) {
 	declared := declaredKinds(t)
 	if len(declared) == 0 || len(declared) != len(Kinds()) {
-		t.Errorf("%d kinds are declared and %d have rows", len(declared), len(Kinds()))
+		t.Errorf("%d kinds are declared, %d have a response", len(declared), len(Kinds()))
 	}
 	for _, kind := range Kinds() {
-		row := Lookup(kind)
-		if row.Status < 400 || row.Title == "" {
-			t.Errorf("%s: row %+v has no error status or no title", kind, row)
+		response := Lookup(kind)
+		if response.Status < 400 || response.Title == "" {
+			t.Errorf("%s: response %+v has no error status or no title", kind, response)
 		}
 	}
 }
 
-func TestFromFindsTheKindInAChain(t *testing.T) {
+func TestFromUnwraps(t *testing.T) {
 	inner := New(Overloaded, "too many queries")
 	cases := []struct {
-		name string
-		err  error
-		kind Kind
-		not  bool
+		name   string
+		err    error
+		kind   Kind
+		notRun bool
 	}{
-		{"itself", inner, Overloaded, true},
+		{"unwrapped", inner, Overloaded, true},
 		{"wrapped", eris.Wrap(inner, "search"), Overloaded, true},
-		{"wrapped into a kind", Wrap(errors.New("reset"), OutcomeUnknown, "call"), OutcomeUnknown, false},
-		{"unknown", errors.New("surprise"), Internal, false},
+		{"wrapped with a kind", Wrap(errors.New("reset"), OutcomeUnknown, "call"), OutcomeUnknown, false},
+		{"unknown", errors.New("unexpected"), Internal, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			got := From(test.err)
-			if got.Kind != test.kind || got.NotRun != test.not {
-				t.Errorf("kind %s, not run %v", got.Kind, got.NotRun)
+			if got.Kind != test.kind || got.NotRun != test.notRun {
+				t.Errorf("got kind %s and NotRun %v, want %s and %v", got.Kind, got.NotRun, test.kind, test.notRun)
 			}
 		})
 	}
@@ -78,10 +78,10 @@
 	recorder := httptest.NewRecorder()
 	WriteProblem(recorder, New(Overloaded, "12 queries in flight").WithRetryAfter(1100*time.Millisecond))
 	if got := recorder.Header().Get("Retry-After"); got != "2" {
-		t.Errorf("Retry-After %q; whole seconds are rounded up", got)
+		t.Errorf("got Retry-After %q, want 1.1 s rounded up to 2", got)
 	}
 	if got := recorder.Header().Get("Content-Type"); got != ProblemContentType {
-		t.Errorf("Content-Type %q", got)
+		t.Errorf("got Content-Type %q, want %q", got, ProblemContentType)
 	}
 	var problem client.Problem
 	if err := json.Unmarshal(recorder.Body.Bytes(), &problem); err != nil {
--- a/internal/failure/problem.go
+++ b/internal/failure/problem.go
@@ -9,39 +9,39 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// ProblemContentType is the media type of RFC 9457.
+// ProblemContentType is the media type of RFC 9457 problem details.
 const ProblemContentType = "application/problem+json"
 
-const typePrefix = "https://doorpond.dev/problems/"
+const problemTypePrefix = "https://doorpond.dev/problems/"
 
-// Problem returns the document for an error.
+// Problem returns the RFC 9457 problem details for an error.
 func Problem(err error) client.Problem {
-	known := From(err)
-	row := Lookup(known.Kind)
+	failed := From(err)
+	response := Lookup(failed.Kind)
 	return client.Problem{
-		Type:                   typePrefix + string(known.Kind),
-		Title:                  row.Title,
-		Status:                 row.Status,
-		Detail:                 known.Detail,
-		Kind:                   string(known.Kind),
-		NotRun:                 known.NotRun,
-		RetryAfterMilliseconds: known.RetryAfter.Milliseconds(),
+		Type:                   problemTypePrefix + string(failed.Kind),
+		Title:                  response.Title,
+		Status:                 response.Status,
+		Detail:                 failed.Detail,
+		Kind:                   string(failed.Kind),
+		NotRun:                 failed.NotRun,
+		RetryAfterMilliseconds: failed.RetryAfter.Milliseconds(),
 	}
 }
 
-// WriteProblem answers a request with the document for an error.
+// WriteProblem writes the problem details for an error as the response.
 func WriteProblem(w http.ResponseWriter, err error) {
 	problem := Problem(err)
 	w.Header().Set("Content-Type", ProblemContentType)
 	if problem.RetryAfterMilliseconds > 0 {
-		w.Header().Set("Retry-After", wholeSeconds(problem.RetryAfterMilliseconds))
+		w.Header().Set("Retry-After", roundUpToSeconds(problem.RetryAfterMilliseconds))
 	}
 	w.WriteHeader(problem.Status)
-	_ = json.NewEncoder(w).Encode(problem) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(problem) // fails only if the client disconnected
 }
 
-// wholeSeconds rounds up, as the header has no fractions.
-func wholeSeconds(milliseconds int64) string {
+// roundUpToSeconds returns whole seconds, because Retry-After has no fractions.
+func roundUpToSeconds(milliseconds int64) string {
 	wait := time.Duration(milliseconds) * time.Millisecond
 	return strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10)
 }
