--- a/internal/inspect/budget.go
+++ b/internal/inspect/budget.go
@@ -7,30 +7,31 @@
 	"github.com/doorpond/doorpond/internal/decision"
 )
 
-// Budget is the retry budget of one replica group, on one node or on several.
+// Budget is the usage of one replica group's retry budget, on one node or summed
+// over several.
 type Budget struct {
 	Group string `json:"group"`
 	decision.BudgetUsage
 }
 
-// CompareBudgets orders budgets: those first of which most was denied, then those of which
-// most was granted.
+// CompareBudgets orders budgets by descending denied attempts, then by descending
+// granted attempts, then by group.
 func CompareBudgets(a, b Budget) int {
 	return cmp.Or(cmp.Compare(b.Denied(), a.Denied()), cmp.Compare(b.Granted(), a.Granted()), cmp.Compare(a.Group, b.Group))
 }
 
-// addBudgets adds up the budgets that the nodes list.
-func addBudgets(nodes []Node) []Budget {
-	sums := make(map[string]decision.BudgetUsage)
+// mergeBudgets sums the budgets that the nodes report, by group.
+func mergeBudgets(nodes []Node) []Budget {
+	totals := make(map[string]decision.BudgetUsage)
 	for _, node := range nodes {
-		for _, one := range node.Budgets {
-			sums[one.Group] = sums[one.Group].Add(one.BudgetUsage)
+		for _, budget := range node.Budgets {
+			totals[budget.Group] = totals[budget.Group].Add(budget.BudgetUsage)
 		}
 	}
-	added := make([]Budget, 0, len(sums))
-	for group, usage := range sums {
-		added = append(added, Budget{Group: group, BudgetUsage: usage})
+	merged := make([]Budget, 0, len(totals))
+	for group, usage := range totals {
+		merged = append(merged, Budget{Group: group, BudgetUsage: usage})
 	}
-	slices.SortFunc(added, CompareBudgets)
-	return added
+	slices.SortFunc(merged, CompareBudgets)
+	return merged
 }
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -1,6 +1,6 @@
-// Package inspect lets operators read what the nodes on the users' platform
-// know and measure. Any node answers for all: it asks the others that it knows
-// from the store.
+// Package inspect serves the operators' API of the nodes: their state and
+// statistics. Any node can answer for the whole system; it queries the other nodes
+// that are registered in the store.
 package inspect
 
 import (
@@ -25,53 +25,54 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Config is what a handler is made of.
+// Config configures the handler.
 type Config struct {
 	Board *blackboard.Board
 	Node  topology.Node
-	// Statistics returns what this node has measured of each route for some time
-	// back.
+	// Statistics returns this node's statistics of each route over the most recent
+	// period of the given length.
 	Statistics func(last time.Duration) []statistics.PolicyStatistics
-	// Loaded tells whether this node is loaded.
+	// Loaded reports whether this node is under high load.
 	Loaded func() bool
-	// Budgets returns the retry budgets of this node that are used most, in the order of
-	// CompareBudgets.
+	// Budgets returns this node's most used retry budgets, ordered by CompareBudgets.
 	Budgets func() []Budget
-	// Quarantined returns the requests that are suspected or quarantined on this node; nil
-	// means none.
+	// Quarantined returns the requests that are suspected or quarantined on this node. It
+	// is optional.
 	Quarantined func() []quarantine.Record
 	// Release ends the quarantine of a request on all nodes. Its errors are *failure.Error.
 	Release func(ctx context.Context, identity quarantine.Identity) error
-	// StoreProgress returns the store's revision up to which this node knows all, and when that was
-	// confirmed; nil when the node does not follow a store.
+	// StoreProgress returns the store revision up to which this node has applied all
+	// changes, and when that was last confirmed. It is nil if the node does not follow a
+	// store.
 	StoreProgress func() (revision int64, confirmedAt time.Time)
 	Client        *http.Client
 }
 
-// Node is what one node says of itself.
+// Node is the state of one node, as reported by itself.
 type Node struct {
 	Node topology.Node `json:"node"`
-	// Entry is true while callers are led to the node.
+	// Entry is true while clients are directed to the node.
 	Entry bool `json:"entry"`
-	// Version is that of the configuration in force, 0 for none.
+	// Version is the version of the active configuration, or 0 if there is none.
 	Version uint64 `json:"version"`
-	// StoreReachable is false since StoreSince while the store does not answer.
+	// StoreReachable reports whether the store answers; it last changed at StoreSince.
 	StoreReachable bool      `json:"store_reachable"`
 	StoreSince     time.Time `json:"store_since"`
-	// StoreEra and StoreRevision are what of the store the node knows all of; the era
-	// rises when the store comes back from a copy, and its revisions begin lower then.
+	// StoreEra and StoreRevision identify the last store revision that the node has fully
+	// applied. Restoring the store from a backup increments the era and may lower the
+	// revision.
 	StoreEra      int64 `json:"store_era"`
 	StoreRevision int64 `json:"store_revision"`
-	// ConfirmedAgoMilliseconds is the time since that was last confirmed, in milliseconds; -1 when it
-	// never was.
+	// ConfirmedAgoMilliseconds is the time since the revision was last confirmed, or -1 if
+	// it never was.
 	ConfirmedAgoMilliseconds int64 `json:"confirmed_ago_ms"`
-	// Budgets are the node's retry budgets that are used most.
+	// Budgets are the node's most used retry budgets.
 	Budgets []Budget `json:"budgets"`
 	// Quarantined are the requests that are suspected or quarantined on the node.
 	Quarantined []QuarantinedRequest `json:"quarantined"`
 }
 
-// Route is a route as an assignment of callers to a policy row.
+// Route is a configured route and the main settings of its policy.
 type Route struct {
 	Name       string  `json:"name"`
 	Host       string  `json:"host"`
@@ -84,37 +85,39 @@
 	// TimeoutMilliseconds and Objective are in milliseconds.
 	TimeoutMilliseconds   int64 `json:"timeout_ms"`
 	ObjectiveMilliseconds int64 `json:"objective_ms"`
-	// Shards counts those of a scattered route, Shares divide a plain one's
-	// requests.
+	// Shards is the number of shards of a scatter-gather route. Shares are the weights
+	// of the replica groups of any other route.
 	Shards int             `json:"shards"`
 	Shares []routing.Share `json:"shares"`
-	// Regions are those whose replicas may take a request; empty means all.
+	// Regions are the regions whose replicas may serve a request; empty means all.
 	Regions []string `json:"regions"`
 }
 
-// System is all nodes, and what the one that was asked knows.
+// System is the state of all nodes, and the routes and replicas known to the queried
+// node.
 type System struct {
-	// Version is the highest in force on any node.
+	// Version is the highest configuration version that is active on any node.
 	Version uint64 `json:"version"`
 	Nodes   []Node `json:"nodes"`
-	// Lagging names the nodes on which an older version is in force.
+	// Lagging lists the IDs of the nodes on which an older version is active.
 	Lagging     []string                 `json:"lagging"`
 	Unreachable []comparison.Unreachable `json:"unreachable"`
 	Routes      []Route                  `json:"routes"`
-	// Replicas counts those that serve, Leaving are the others.
+	// Replicas is the number of serving replicas. Leaving are the replicas that are
+	// leaving or have vanished.
 	Replicas int                `json:"replicas"`
 	Leaving  []topology.Replica `json:"leaving"`
-	// Cold counts the replicas that take no more than their rate.
+	// Cold is the number of serving replicas that are limited to their cold rate.
 	Cold int `json:"cold"`
-	// Evacuated counts the replicas of each evacuated zone that has any.
+	// Evacuated is the number of evacuated replicas by zone.
 	Evacuated map[string]int `json:"evacuated"`
 	// Quarantined are the requests that are suspected or quarantined on any node.
 	Quarantined []QuarantinedRequest `json:"quarantined"`
-	// Budgets adds up those that the nodes list, group by group.
+	// Budgets are the sums of the budgets that the nodes report, by group.
 	Budgets []Budget `json:"budgets"`
 }
 
-// The paths of the calls.
+// URL paths of the API.
 const (
 	pathNode       = "/v1/node"
 	pathSystem     = "/v1/system"
@@ -124,87 +127,86 @@
 )
 
 const (
-	// askTimeout bounds the question to one node.
-	askTimeout = time.Second
-	// askAtOnce bounds the nodes that are asked at the same time.
-	askAtOnce = 16
+	// queryTimeout bounds the request to one node.
+	queryTimeout = time.Second
+	// queryConcurrency bounds the number of nodes queried concurrently.
+	queryConcurrency = 16
 )
 
-// handler answers operators.
 type handler struct{ config Config }
 
-// New makes a handler of the operators' calls.
+// New returns the handler of the operators' API.
 func New(config Config) http.Handler {
 	if config.Quarantined == nil {
 		config.Quarantined = func() []quarantine.Record { return nil }
 	}
 	h := &handler{config: config}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathNode, func(w http.ResponseWriter, _ *http.Request) { write(w, h.node()) })
-	mux.HandleFunc("GET "+pathSystem, func(w http.ResponseWriter, r *http.Request) { write(w, h.system(r.Context())) })
+	mux.HandleFunc("GET "+pathNode, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.node()) })
+	mux.HandleFunc("GET "+pathSystem, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, h.system(r.Context())) })
 	mux.HandleFunc("GET "+pathStatistics, h.statistics)
 	mux.HandleFunc("GET "+pathCompare, h.compare)
 	mux.HandleFunc("POST "+pathRelease, h.release)
 	return mux
 }
 
-func write(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the operator is gone if this fails
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client disconnected
 }
 
 func (h *handler) node() Node {
-	described := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: requestsOf(h.config.Quarantined())}
-	described.Node.Loaded = h.config.Loaded()
+	state := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: describeRequests(h.config.Quarantined())}
+	state.Node.Loaded = h.config.Loaded()
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
-		described.Entry = nodes.SelfIsEntry()
+		state.Entry = nodes.SelfIsEntry()
 	}
 	if table := h.config.Board.Routes.Load(); table != nil {
-		described.Version = table.Version
+		state.Version = table.Version
 	}
 	if status := h.config.Board.Store.Load(); status != nil {
-		described.StoreReachable, described.StoreSince = status.Reachable, status.Since
+		state.StoreReachable, state.StoreSince = status.Reachable, status.Since
 	}
-	h.describeKnown(&described)
-	return described
+	h.addStoreProgress(&state)
+	return state
 }
 
-// describeKnown adds what the node knows of the store.
-func (h *handler) describeKnown(described *Node) {
-	described.ConfirmedAgoMilliseconds = -1
+// addStoreProgress sets the store revision that the node has applied, and its age.
+func (h *handler) addStoreProgress(state *Node) {
+	state.ConfirmedAgoMilliseconds = -1
 	if h.config.StoreProgress == nil {
 		return
 	}
 	revision, confirmedAt := h.config.StoreProgress()
-	described.StoreEra, described.StoreRevision = store.EraOf(revision), store.NumberOf(revision)
+	state.StoreEra, state.StoreRevision = store.EraOf(revision), store.NumberOf(revision)
 	if !confirmedAt.IsZero() {
-		described.ConfirmedAgoMilliseconds = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
+		state.ConfirmedAgoMilliseconds = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
 	}
 }
 
 func (h *handler) system(ctx context.Context) System {
-	known := System{Lagging: []string{}, Routes: []Route{}, Leaving: []topology.Replica{}, Evacuated: map[string]int{}}
-	known.Nodes, known.Unreachable = gather(ctx, h, pathNode, h.node())
-	for _, node := range known.Nodes {
-		known.Version = max(known.Version, node.Version)
+	system := System{Lagging: []string{}, Routes: []Route{}, Leaving: []topology.Replica{}, Evacuated: map[string]int{}}
+	system.Nodes, system.Unreachable = gather(ctx, h, pathNode, h.node())
+	for _, node := range system.Nodes {
+		system.Version = max(system.Version, node.Version)
 	}
-	for _, node := range known.Nodes {
-		if node.Version < known.Version {
-			known.Lagging = append(known.Lagging, node.Node.ID)
+	for _, node := range system.Nodes {
+		if node.Version < system.Version {
+			system.Lagging = append(system.Lagging, node.Node.ID)
 		}
 	}
 	if table := h.config.Board.Routes.Load(); table != nil {
 		for i := range table.Routes {
-			known.Routes = append(known.Routes, describe(&table.Routes[i]))
+			system.Routes = append(system.Routes, describeRoute(&table.Routes[i]))
 		}
 	}
-	h.countReplicas(&known)
-	known.Budgets = addBudgets(known.Nodes)
-	known.Quarantined = addRequests(known.Nodes)
-	return known
+	h.countReplicas(&system)
+	system.Budgets = mergeBudgets(system.Nodes)
+	system.Quarantined = mergeRequests(system.Nodes)
+	return system
 }
 
-func (h *handler) countReplicas(known *System) {
+func (h *handler) countReplicas(system *System) {
 	replicas := h.config.Board.Replicas.Load()
 	if replicas == nil {
 		return
@@ -213,20 +215,20 @@
 		for _, replica := range group {
 			switch replica.State {
 			case topology.ReplicaLeaving, topology.ReplicaVanished:
-				known.Leaving = append(known.Leaving, replica)
+				system.Leaving = append(system.Leaving, replica)
 			case topology.ReplicaEvacuated:
-				known.Evacuated[replica.Place.Zone]++
+				system.Evacuated[replica.Place.Zone]++
 			default:
-				known.Replicas++
+				system.Replicas++
 				if replica.ColdRate > 0 {
-					known.Cold++
+					system.Cold++
 				}
 			}
 		}
 	}
 }
 
-func describe(route *routing.Route) Route {
+func describeRoute(route *routing.Route) Route {
 	return Route{
 		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
 		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
@@ -241,7 +243,7 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	write(w, h.config.Statistics(last))
+	writeJSON(w, h.config.Statistics(last))
 }
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
@@ -253,27 +255,28 @@
 	path := pathStatistics + "?last=" + query.Last.String()
 	measured, unreachable := gather(r.Context(), h, path, h.config.Statistics(query.Last))
 	for _, name := range []string{query.A, query.B} {
-		if !h.known(measured, name) {
-			failure.WriteProblem(w, failure.New(failure.NotFound, "there is no route "+name))
+		if !h.routeKnown(measured, name) {
+			failure.WriteProblem(w, failure.New(failure.NotFound, "no such route: "+name))
 			return
 		}
 	}
-	write(w, comparison.NewLive(query, measured, unreachable))
+	writeJSON(w, comparison.NewLive(query, measured, unreachable))
 }
 
-// known tells whether a route is there or was measured.
-func (h *handler) known(measured [][]statistics.PolicyStatistics, name string) bool {
+// routeKnown reports whether a route is configured or has statistics.
+func (h *handler) routeKnown(measured [][]statistics.PolicyStatistics, name string) bool {
 	if table := h.config.Board.Routes.Load(); table != nil {
 		if slices.ContainsFunc(table.Routes, func(route routing.Route) bool { return route.Name == name }) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(measured, func(part []statistics.PolicyStatistics) bool {
-		return slices.ContainsFunc(part, func(one statistics.PolicyStatistics) bool { return one.Policy == name })
+	return slices.ContainsFunc(measured, func(entries []statistics.PolicyStatistics) bool {
+		return slices.ContainsFunc(entries, func(entry statistics.PolicyStatistics) bool { return entry.Policy == name })
 	})
 }
 
-// gather asks all other nodes, and returns their answers behind this node's own.
+// gather queries all other nodes. It returns the own value followed by the answers of
+// the other nodes, and the nodes that did not answer.
 func gather[T any](ctx context.Context, h *handler, path string, own T) ([]T, []comparison.Unreachable) {
 	var others []topology.Node
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
@@ -283,21 +286,21 @@
 			}
 		}
 	}
-	answers, problems := make([]T, len(others)), make([]error, len(others))
+	answers, failures := make([]T, len(others)), make([]error, len(others))
 	var group errgroup.Group
-	group.SetLimit(askAtOnce)
+	group.SetLimit(queryConcurrency)
 	for i, node := range others {
 		group.Go(func() error {
-			problems[i] = h.ask(ctx, node, path, &answers[i])
+			failures[i] = h.queryNode(ctx, node, path, &answers[i])
 			return nil
 		})
 	}
-	_ = group.Wait() // each error is kept in problems
+	_ = group.Wait() // errors are collected in failures
 	answered, unreachable := []T{own}, []comparison.Unreachable{}
 	for i, node := range others {
-		if problems[i] != nil {
+		if failures[i] != nil {
 			member := topology.Member{ID: node.ID, PeerAddress: node.PeerAddress, Place: node.Place}
-			unreachable = append(unreachable, comparison.Unreachable{Member: member, Reason: problems[i].Error()})
+			unreachable = append(unreachable, comparison.Unreachable{Member: member, Reason: failures[i].Error()})
 			continue
 		}
 		answered = append(answered, answers[i])
@@ -305,24 +308,24 @@
 	return answered, unreachable
 }
 
-func (h *handler) ask(ctx context.Context, node topology.Node, path string, into any) error {
+func (h *handler) queryNode(ctx context.Context, node topology.Node, path string, result any) error {
 	address, err := netip.ParseAddrPort(node.StateAddress)
 	if err != nil {
-		return eris.Wrapf(err, "read the address of %s", node.ID)
+		return eris.Wrapf(err, "parse address of node %s", node.ID)
 	}
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+address.String()+path, nil)
+	request, err := http.NewRequestWithContext(queryCtx, http.MethodGet, "http://"+address.String()+path, nil)
 	if err != nil {
-		return eris.Wrapf(err, "ask %s", node.ID)
+		return eris.Wrapf(err, "query node %s", node.ID)
 	}
 	response, err := h.config.Client.Do(request)
 	if err != nil {
-		return eris.Wrapf(err, "ask %s", node.ID)
+		return eris.Wrapf(err, "query node %s", node.ID)
 	}
-	defer func() { _ = response.Body.Close() }() // what matters was read
+	defer func() { _ = response.Body.Close() }() // the response was read
 	if response.StatusCode != http.StatusOK {
-		return eris.Errorf("%s answered %d", node.ID, response.StatusCode)
+		return eris.Errorf("query node %s: unexpected status %d", node.ID, response.StatusCode)
 	}
-	return eris.Wrapf(json.NewDecoder(response.Body).Decode(into), "decode the answer of %s", node.ID)
+	return eris.Wrapf(json.NewDecoder(response.Body).Decode(result), "decode response of node %s", node.ID)
 }
--- a/internal/inspect/quarantine.go
+++ b/internal/inspect/quarantine.go
@@ -9,22 +9,24 @@
 	"github.com/doorpond/doorpond/internal/quarantine"
 )
 
-// QuarantinedRequest is a request under which replicas have ended, on one node or on several.
+// QuarantinedRequest is a request that is suspected or quarantined because replicas crashed
+// while running it, on one node or merged from several.
 type QuarantinedRequest struct {
 	Identity string `json:"identity"`
 	quarantine.Record
-	// Nodes is the number of nodes that know of it, Refusing of those that refuse it.
+	// Nodes is the number of nodes that report the request. Refusing is the number of
+	// nodes that refuse it.
 	Nodes    int `json:"nodes"`
 	Refusing int `json:"refusing"`
 }
 
-// ReleaseResult is the answer to a release.
+// ReleaseResult is the response to a release.
 type ReleaseResult struct {
 	Identity string `json:"identity"`
 }
 
-// requestsOf describes what one node knows.
-func requestsOf(records []quarantine.Record) []QuarantinedRequest {
+// describeRequests converts one node's quarantine records.
+func describeRequests(records []quarantine.Record) []QuarantinedRequest {
 	requests := make([]QuarantinedRequest, 0, len(records))
 	for _, record := range records {
 		request := QuarantinedRequest{Identity: record.Identity.String(), Record: record, Nodes: 1}
@@ -36,28 +38,29 @@
 	return requests
 }
 
-// addRequests joins what the nodes list: first what most nodes refuse.
-func addRequests(nodes []Node) []QuarantinedRequest {
-	joined := make(map[string]QuarantinedRequest)
+// mergeRequests merges the requests that the nodes report, ordered by descending number of
+// refusing nodes.
+func mergeRequests(nodes []Node) []QuarantinedRequest {
+	merged := make(map[string]QuarantinedRequest)
 	for _, node := range nodes {
-		for _, one := range node.Quarantined {
-			known, found := joined[one.Identity]
+		for _, request := range node.Quarantined {
+			known, found := merged[request.Identity]
 			if !found {
-				joined[one.Identity] = one
+				merged[request.Identity] = request
 				continue
 			}
-			known.CrashedReplicas = max(known.CrashedReplicas, one.CrashedReplicas)
-			known.Rounds = max(known.Rounds, one.Rounds)
-			known.Blame = max(known.Blame, one.Blame)
-			known.RefuseMilliseconds = max(known.RefuseMilliseconds, one.RefuseMilliseconds)
-			known.Nodes += one.Nodes
-			known.Refusing += one.Refusing
-			joined[one.Identity] = known
+			known.CrashedReplicas = max(known.CrashedReplicas, request.CrashedReplicas)
+			known.Rounds = max(known.Rounds, request.Rounds)
+			known.Blame = max(known.Blame, request.Blame)
+			known.RefuseMilliseconds = max(known.RefuseMilliseconds, request.RefuseMilliseconds)
+			known.Nodes += request.Nodes
+			known.Refusing += request.Refusing
+			merged[request.Identity] = known
 		}
 	}
-	requests := make([]QuarantinedRequest, 0, len(joined))
-	for _, one := range joined {
-		requests = append(requests, one)
+	requests := make([]QuarantinedRequest, 0, len(merged))
+	for _, request := range merged {
+		requests = append(requests, request)
 	}
 	slices.SortFunc(requests, func(a, b QuarantinedRequest) int {
 		return cmp.Or(cmp.Compare(b.Refusing, a.Refusing), cmp.Compare(a.Identity, b.Identity))
@@ -65,15 +68,15 @@
 	return requests
 }
 
-// release ends the quarantine of the request that the query names.
+// release ends the quarantine of the request that the query parameter identifies.
 func (h *handler) release(w http.ResponseWriter, r *http.Request) {
-	named := r.URL.Query().Get("identity")
-	identity, valid := quarantine.ParseIdentity(named)
+	text := r.URL.Query().Get("identity")
+	identity, valid := quarantine.ParseIdentity(text)
 	if !valid {
-		failure.WriteProblem(w, failure.New(failure.InvalidRequest, "identity: 64 hexadecimal digits, as the system's list shows them"))
+		failure.WriteProblem(w, failure.New(failure.InvalidRequest, "identity must be 64 hexadecimal digits, as shown in the system's list"))
 		return
 	}
-	known := slices.ContainsFunc(h.system(r.Context()).Quarantined, func(one QuarantinedRequest) bool { return one.Identity == named })
+	known := slices.ContainsFunc(h.system(r.Context()).Quarantined, func(request QuarantinedRequest) bool { return request.Identity == text })
 	if !known {
 		failure.WriteProblem(w, failure.New(failure.NotFound, "no node suspects this request"))
 		return
@@ -82,5 +85,5 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	write(w, ReleaseResult{Identity: named})
+	writeJSON(w, ReleaseResult{Identity: text})
 }
