--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the administration port of a daemon: health, readiness,
-// metrics, profiles, and the operators' API that the command line uses.
+// Package admin serves a daemon's administration port: health, readiness, metrics,
+// profiles, and the operators' API that the command line tool uses.
 //
 //	GET  /healthz /readyz /metrics /debug/pprof/
 //	GET  /v1/table                 policy.Table in force on this daemon
@@ -9,7 +9,7 @@
 //	POST /v1/restore               RestoreRequest -> EditResult
 //	GET  /v1/status                Status of all daemons
 //	GET  /v1/members               topology.Members
-//	GET  /v1/replicas              Replicas as this daemon sees them
+//	GET  /v1/replicas              Replicas known to this daemon
 //	GET  /v1/compare?a=&b=         Comparison of two policies; ?group=, ?last=10m
 //
 // Errors are RFC 9457 problems.
@@ -31,7 +31,7 @@
 	"github.com/doorpond/doorpond/internal/replica"
 )
 
-// Editor changes the table; policytable.Editor is one.
+// Editor edits the policy table. It is implemented by policytable.Editor.
 type Editor interface {
 	Apply(ctx context.Context, edit policytable.Edit) (policy.Change, error)
 	Diff(ctx context.Context, edit policytable.Edit) ([]string, error)
@@ -39,38 +39,38 @@
 	Restore(ctx context.Context, author string) (policy.Change, error)
 }
 
-// Peers asks other daemons for their state; peer.Client is one.
+// Peers queries other daemons. It is implemented by peer.Client.
 type Peers interface {
 	State(ctx context.Context, address string) (peer.NodeState, error)
 	Statistics(ctx context.Context, address string, since time.Duration) ([]byte, error)
 }
 
-// Options configure the handler. Board, Editor, Peers and State are needed.
+// Options configures the handler. Board, Editor, Peers and State are required.
 type Options struct {
 	Board  *blackboard.Board
 	Editor Editor
 	Peers  Peers
-	// State is this daemon's own.
+	// State returns this daemon's state.
 	State func() peer.NodeState
-	// Statistics are this daemon's own, as a peer would send them; nil means
-	// none are kept.
+	// Statistics returns this daemon's statistics in the encoding used between
+	// peers; nil means that none are collected.
 	Statistics peer.StatisticsSource
-	// Replicas are the replicas that this daemon may send requests to; nil
-	// means not known.
+	// Replicas returns the replicas that this daemon may send requests to. It is
+	// optional.
 	Replicas func() []replica.Status
-	// Token is needed in "Authorization: Bearer" for changes and profiles;
-	// empty means that none is.
+	// Token is the bearer token required for changes and profiles; empty disables
+	// the check.
 	Token string
 	// Gatherer serves /metrics; nil means the default registry.
 	Gatherer   prometheus.Gatherer
 	Registerer prometheus.Registerer
-	// MaxBodyBytes bounds a request's body; 0 means 2 MiB.
+	// MaxBodyBytes bounds the size of a request body; 0 means 2 MiB.
 	MaxBodyBytes int64
-	// ExtraRoutes has further routes by pattern, such as "GET /v1/compare".
+	// ExtraRoutes are served in addition to those of this package.
 	ExtraRoutes []Route
 }
 
-// Route is a further route of the operators' API.
+// Route is an additional route of the operators' API.
 type Route struct {
 	Pattern string
 	Handler http.Handler
@@ -78,8 +78,8 @@
 
 const (
 	defaultMaxBodyBytes = 2 << 20
-	// maximumWait bounds ?wait.
-	maximumWait = 60 * time.Second
+	// maxPropagationWait is the maximum of ?wait.
+	maxPropagationWait = 60 * time.Second
 )
 
 type handler struct {
@@ -87,7 +87,7 @@
 	metrics *metrics
 }
 
-// New makes the handler of the administration port.
+// New returns the handler of the administration port.
 func New(options Options) http.Handler {
 	if options.MaxBodyBytes == 0 {
 		options.MaxBodyBytes = defaultMaxBodyBytes
@@ -96,50 +96,50 @@
 		options.Gatherer = prometheus.DefaultGatherer
 	}
 	h := &handler{options: options, metrics: newMetrics(options.Registerer)}
-	routes := http.NewServeMux()
-	h.addObservation(routes)
-	routes.HandleFunc("GET /v1/table", h.table)
-	routes.HandleFunc("GET /v1/policies/{name}", h.policy)
-	routes.HandleFunc("GET /v1/history", h.history)
-	routes.HandleFunc("GET /v1/status", h.status)
-	routes.HandleFunc("GET /v1/members", h.members)
-	routes.HandleFunc("GET /v1/replicas", h.replicas)
-	routes.HandleFunc("GET /v1/compare", h.compare)
-	routes.Handle("POST /v1/edits", h.guarded(h.edit))
-	routes.Handle("POST /v1/restore", h.guarded(h.restore))
-	for _, extra := range options.ExtraRoutes {
-		routes.Handle(extra.Pattern, extra.Handler)
+	mux := http.NewServeMux()
+	h.registerMonitoring(mux)
+	mux.HandleFunc("GET /v1/table", h.table)
+	mux.HandleFunc("GET /v1/policies/{name}", h.policy)
+	mux.HandleFunc("GET /v1/history", h.history)
+	mux.HandleFunc("GET /v1/status", h.status)
+	mux.HandleFunc("GET /v1/members", h.members)
+	mux.HandleFunc("GET /v1/replicas", h.replicas)
+	mux.HandleFunc("GET /v1/compare", h.compare)
+	mux.Handle("POST /v1/edits", h.requireToken(h.edit))
+	mux.Handle("POST /v1/restore", h.requireToken(h.restore))
+	for _, route := range options.ExtraRoutes {
+		mux.Handle(route.Pattern, route.Handler)
 	}
-	// a page in an operator's browser must not reach a port on loopback
-	return http.NewCrossOriginProtection().Handler(routes)
+	// Web pages open in an operator's browser must not be able to make changes
+	// through a port on loopback.
+	return http.NewCrossOriginProtection().Handler(mux)
 }
 
-func (h *handler) addObservation(routes *http.ServeMux) {
-	routes.HandleFunc("GET /healthz", h.healthy)
-	routes.HandleFunc("GET /readyz", h.ready)
-	routes.Handle("GET /metrics", promhttp.HandlerFor(h.options.Gatherer, promhttp.HandlerOpts{}))
-	routes.Handle("GET /debug/pprof/", h.guarded(pprof.Index))
-	routes.Handle("GET /debug/pprof/cmdline", h.guarded(pprof.Cmdline))
-	routes.Handle("GET /debug/pprof/profile", h.guarded(pprof.Profile))
-	routes.Handle("GET /debug/pprof/symbol", h.guarded(pprof.Symbol))
-	routes.Handle("GET /debug/pprof/trace", h.guarded(pprof.Trace))
+func (h *handler) registerMonitoring(mux *http.ServeMux) {
+	mux.HandleFunc("GET /healthz", h.healthy)
+	mux.HandleFunc("GET /readyz", h.ready)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(h.options.Gatherer, promhttp.HandlerOpts{}))
+	mux.Handle("GET /debug/pprof/", h.requireToken(pprof.Index))
+	mux.Handle("GET /debug/pprof/cmdline", h.requireToken(pprof.Cmdline))
+	mux.Handle("GET /debug/pprof/profile", h.requireToken(pprof.Profile))
+	mux.Handle("GET /debug/pprof/symbol", h.requireToken(pprof.Symbol))
+	mux.Handle("GET /debug/pprof/trace", h.requireToken(pprof.Trace))
 }
 
-// healthy answers as long as the process can answer.
 func (h *handler) healthy(w http.ResponseWriter, _ *http.Request) {
 	writeText(w, http.StatusOK, "ok")
 }
 
-// ready answers 200 while the daemon should be sent queries.
+// ready returns 200 while the daemon accepts queries.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
-	if reason := h.notReady(); reason != "" {
+	if reason := h.notReadyReason(); reason != "" {
 		writeText(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	writeText(w, http.StatusOK, "ready")
 }
 
-func (h *handler) notReady() string {
+func (h *handler) notReadyReason() string {
 	phase := h.options.Board.Phase.Load()
 	switch {
 	case phase == nil || *phase == blackboard.PhaseStarting:
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -46,34 +46,35 @@
 	return policy.Change{Author: author, Revision: 9}, e.err
 }
 
-// fakePeers reach a revision at a time since the start.
+// fakePeers activate revision 8 after a per-address delay. Other addresses are
+// unreachable.
 type fakePeers struct {
-	start   time.Time
-	reachAt map[string]time.Duration
+	start       time.Time
+	activeAfter map[string]time.Duration
 }
 
 func (p *fakePeers) State(_ context.Context, address string) (peer.NodeState, error) {
-	at, known := p.reachAt[address]
+	after, known := p.activeAfter[address]
 	if !known {
 		return peer.NodeState{}, failure.New(failure.NoReplica, "gone")
 	}
 	revision := uint64(7)
-	if time.Since(p.start) >= at {
+	if time.Since(p.start) >= after {
 		revision = 8
 	}
 	return peer.NodeState{Member: topology.Member{ID: address}, TableRevision: revision}, nil
 }
 
 func (p *fakePeers) Statistics(_ context.Context, address string, _ time.Duration) ([]byte, error) {
-	if _, known := p.reachAt[address]; !known {
+	if _, known := p.activeAfter[address]; !known {
 		return nil, failure.New(failure.NoReplica, "gone")
 	}
-	return encodedStatistics(address), nil
+	return encodeStatistics(address), nil
 }
 
-// encodedStatistics are 40 queries of policy fast and 60 of policy old; those
-// of address "broken" do not decode.
-func encodedStatistics(address string) []byte {
+// encodeStatistics returns statistics with 40 queries of policy fast and 60 of policy
+// old. Those of address "broken" are not decodable.
+func encodeStatistics(address string) []byte {
 	if address == "broken" {
 		return []byte{0xc1}
 	}
@@ -85,11 +86,11 @@
 		}
 		recorder.Record(policy, statistics.Sample{Group: "gate", Latency: time.Millisecond, Asked: 2, Answered: 2, Attempts: 3})
 	}
-	encoded, _ := msgpack.Marshal(recorder.Snapshot(time.Hour)) // cannot fail
+	encoded, _ := msgpack.Marshal(recorder.Snapshot(time.Hour)) // never fails
 	return encoded
 }
 
-func fixture(editor *fakeEditor, peers *fakePeers) Options {
+func newOptions(editor *fakeEditor, peers *fakePeers) Options {
 	board := &blackboard.Board{}
 	serving := blackboard.PhaseServing
 	board.Phase.Publish(&serving)
@@ -102,7 +103,7 @@
 		State: func() peer.NodeState { return peer.NodeState{Member: members[0], TableRevision: 8} }}
 }
 
-func ask(handler http.Handler, method, path, body, token string) *httptest.ResponseRecorder {
+func serve(handler http.Handler, method, path, body, token string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
@@ -112,7 +113,7 @@
 	return recorder
 }
 
-func TestAnswers(t *testing.T) {
+func TestHandlerResponses(t *testing.T) {
 	conflict := failure.New(failure.Conflict, "changed by ama")
 	cases := []struct {
 		name, method, path, body, token string
@@ -127,19 +128,19 @@
 		{name: "metrics", path: "/metrics", status: 200},
 		{name: "table", path: "/v1/table", status: 200, contains: `"revision":8`},
 		{name: "policy", path: "/v1/policies/fast", status: 200, contains: `"name":"fast"`},
-		{name: "no such policy", path: "/v1/policies/slow", status: 404, kind: failure.NotFound},
+		{name: "unknown policy", path: "/v1/policies/slow", status: 404, kind: failure.NotFound},
 		{name: "history", path: "/v1/history?limit=3", status: 200, contains: `"revision":3`},
-		{name: "history, bad limit", path: "/v1/history?limit=-1", status: 400, kind: failure.InvalidRequest},
+		{name: "history, invalid limit", path: "/v1/history?limit=-1", status: 400, kind: failure.InvalidRequest},
 		{name: "members", path: "/v1/members", status: 200, contains: `"id":"b"`},
 		{name: "replicas", path: "/v1/replicas", status: 200, contains: `"groups":{}`},
 		{name: "compare", path: "/v1/compare?a=fast&b=fast&last=1m", status: 200, contains: `"group":""`},
-		{name: "compare, a policy missing", path: "/v1/compare?a=fast", status: 400, kind: failure.InvalidRequest},
+		{name: "compare, missing policy", path: "/v1/compare?a=fast", status: 400, kind: failure.InvalidRequest},
 		{name: "compare, unknown policy", path: "/v1/compare?a=fast&b=none", status: 404, kind: failure.NotFound},
-		{name: "compare, time too long", path: "/v1/compare?a=fast&b=old&last=2h", status: 400, kind: failure.InvalidRequest},
-		{name: "compare, not a time", path: "/v1/compare?a=fast&b=old&last=soon", status: 400, kind: failure.InvalidRequest},
+		{name: "compare, period too long", path: "/v1/compare?a=fast&b=old&last=2h", status: 400, kind: failure.InvalidRequest},
+		{name: "compare, invalid period", path: "/v1/compare?a=fast&b=old&last=soon", status: 400, kind: failure.InvalidRequest},
 		{name: "edit", method: "POST", path: "/v1/edits", body: `{"author":"ama"}`, token: "secret", status: 200, contains: `"revision":8`, applied: 1},
 		{name: "dry run", method: "POST", path: "/v1/edits?dry_run=true", body: `{}`, token: "secret", status: 200, contains: `"diff":["line"]`},
-		{name: "dry run misspelt", method: "POST", path: "/v1/edits?dry_run=ja", body: `{}`, token: "secret", status: 400, kind: failure.InvalidRequest},
+		{name: "dry run, invalid value", method: "POST", path: "/v1/edits?dry_run=ja", body: `{}`, token: "secret", status: 400, kind: failure.InvalidRequest},
 		{name: "wait too long", method: "POST", path: "/v1/edits?wait=1h", body: `{}`, token: "secret", status: 400, kind: failure.InvalidRequest},
 		{name: "edit without token", method: "POST", path: "/v1/edits", body: `{}`, status: 401, kind: failure.Unauthorized},
 		{name: "edit with wrong token", method: "POST", path: "/v1/edits", body: `{}`, token: "other", status: 401, kind: failure.Unauthorized},
@@ -154,44 +155,44 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			editor := &fakeEditor{err: test.editError}
-			options := fixture(editor, &fakePeers{})
+			options := newOptions(editor, &fakePeers{})
 			options.Token = "secret"
 			method := test.method
 			if method == "" {
 				method = "GET"
 			}
-			got := ask(New(options), method, test.path, test.body, test.token)
+			got := serve(New(options), method, test.path, test.body, test.token)
 			if got.Code != test.status || !strings.Contains(got.Body.String(), test.contains) {
-				t.Errorf("got %d %s, want %d with %q", got.Code, got.Body, test.status, test.contains)
+				t.Errorf("got status %d and body %s, want status %d and a body with %q", got.Code, got.Body, test.status, test.contains)
 			}
 			if applied := editor.applied.Load(); applied != test.applied {
-				t.Errorf("applied %d edits, want %d", applied, test.applied)
+				t.Errorf("got %d edits applied, want %d", applied, test.applied)
 			}
 			if test.kind == "" {
 				return
 			}
 			var problem client.Problem
 			if err := json.Unmarshal(got.Body.Bytes(), &problem); err != nil || problem.Kind != string(test.kind) {
-				t.Errorf("problem %+v (%v), want kind %s", problem, err, test.kind)
+				t.Errorf("got problem %+v (error %v), want kind %s", problem, err, test.kind)
 			}
 		})
 	}
 }
 
-func TestEditFromAnotherOriginIsRefused(t *testing.T) {
+func TestEditRejectsCrossOrigin(t *testing.T) {
 	editor := &fakeEditor{}
 	request := httptest.NewRequest("POST", "/v1/edits", strings.NewReader(`{}`))
 	request.Header.Set("Sec-Fetch-Site", "cross-site")
 	recorder := httptest.NewRecorder()
-	New(fixture(editor, &fakePeers{})).ServeHTTP(recorder, request)
+	New(newOptions(editor, &fakePeers{})).ServeHTTP(recorder, request)
 	if recorder.Code != http.StatusForbidden || editor.applied.Load() != 0 {
-		t.Errorf("got %d, %d edits applied", recorder.Code, editor.applied.Load())
+		t.Errorf("got status %d and %d edits applied, want 403 and none", recorder.Code, editor.applied.Load())
 	}
 }
 
 func TestReadiness(t *testing.T) {
-	// knowing is a board with the first of table, catalogue and replicas.
-	knowing := func(phase blackboard.Phase, parts int) *blackboard.Board {
+	// newBoard publishes the first parts of policy table, catalogue and replicas.
+	newBoard := func(phase blackboard.Phase, parts int) *blackboard.Board {
 		board := &blackboard.Board{}
 		board.Phase.Publish(&phase)
 		for _, publish := range []func(){
@@ -203,27 +204,27 @@
 		}
 		return board
 	}
-	phase := func(phase blackboard.Phase) *blackboard.Board { return knowing(phase, 3) }
+	phase := func(phase blackboard.Phase) *blackboard.Board { return newBoard(phase, 3) }
 	cases := []struct {
 		name   string
 		board  *blackboard.Board
 		status int
 	}{
-		{"nothing known", &blackboard.Board{}, 503},
+		{"empty board", &blackboard.Board{}, 503},
 		{"starting", phase(blackboard.PhaseStarting), 503},
 		{"serving", phase(blackboard.PhaseServing), 200},
-		{"serving without table", knowing(blackboard.PhaseServing, 0), 503},
-		{"serving without catalogue", knowing(blackboard.PhaseServing, 1), 503},
-		{"serving without machine list", knowing(blackboard.PhaseServing, 2), 503},
+		{"serving without table", newBoard(blackboard.PhaseServing, 0), 503},
+		{"serving without catalogue", newBoard(blackboard.PhaseServing, 1), 503},
+		{"serving without machine list", newBoard(blackboard.PhaseServing, 2), 503},
 		{"closing", phase(blackboard.PhaseClosing), 503},
 		{"draining", phase(blackboard.PhaseDraining), 503},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			options := fixture(&fakeEditor{}, &fakePeers{})
+			options := newOptions(&fakeEditor{}, &fakePeers{})
 			options.Board = test.board
-			if got := ask(New(options), "GET", "/readyz", "", ""); got.Code != test.status {
-				t.Errorf("got %d, want %d", got.Code, test.status)
+			if got := serve(New(options), "GET", "/readyz", "", ""); got.Code != test.status {
+				t.Errorf("got status %d, want %d", got.Code, test.status)
 			}
 		})
 	}
@@ -232,12 +233,12 @@
 func TestWaitForPropagation(t *testing.T) {
 	cases := []struct {
 		name        string
-		reachAt     map[string]time.Duration
+		activeAfter map[string]time.Duration
 		complete    bool
 		lagging     []string
 		unreachable []string
 	}{
-		{"all at once", map[string]time.Duration{"b": 0, "c": 0}, true, nil, nil},
+		{"all immediately", map[string]time.Duration{"b": 0, "c": 0}, true, nil, nil},
 		{"one late", map[string]time.Duration{"b": 0, "c": 3 * time.Second}, true, nil, nil},
 		{"one too late", map[string]time.Duration{"b": 0, "c": time.Minute}, false, []string{"c"}, nil},
 		{"one unreachable", map[string]time.Duration{"b": 0}, false, nil, []string{"c"}},
@@ -245,62 +246,62 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				peers := &fakePeers{start: time.Now(), reachAt: test.reachAt}
-				got := ask(New(fixture(&fakeEditor{}, peers)), "POST", "/v1/edits?wait=5s", `{}`, "")
+				peers := &fakePeers{start: time.Now(), activeAfter: test.activeAfter}
+				got := serve(New(newOptions(&fakeEditor{}, peers)), "POST", "/v1/edits?wait=5s", `{}`, "")
 				var result EditResult
 				if err := json.Unmarshal(got.Body.Bytes(), &result); err != nil {
 					t.Fatal(err)
 				}
 				var lagging, unreachable []string
-				for _, one := range result.Propagation.Lagging {
-					lagging = append(lagging, one.ID)
+				for _, daemon := range result.Propagation.Lagging {
+					lagging = append(lagging, daemon.ID)
 				}
-				for _, one := range result.Propagation.Unreachable {
-					unreachable = append(unreachable, one.Member.ID)
+				for _, daemon := range result.Propagation.Unreachable {
+					unreachable = append(unreachable, daemon.Member.ID)
 				}
 				if result.Propagation.Complete != test.complete {
-					t.Errorf("complete %v, want %v", result.Propagation.Complete, test.complete)
+					t.Errorf("got complete %v, want %v", result.Propagation.Complete, test.complete)
 				}
 				if diff := cmp.Diff([][]string{test.lagging, test.unreachable}, [][]string{lagging, unreachable}); diff != "" {
-					t.Error(diff)
+					t.Errorf("lagging and unreachable (-want +got):\n%s", diff)
 				}
 			})
 		})
 	}
 }
 
-func TestStatusNamesWhoLagsAndWhoIsUnreachable(t *testing.T) {
-	peers := &fakePeers{start: time.Now(), reachAt: map[string]time.Duration{"b": time.Hour}}
-	got := ask(New(fixture(&fakeEditor{}, peers)), "GET", "/v1/status", "", "")
+func TestStatusLaggingAndUnreachable(t *testing.T) {
+	peers := &fakePeers{start: time.Now(), activeAfter: map[string]time.Duration{"b": time.Hour}}
+	got := serve(New(newOptions(&fakeEditor{}, peers)), "GET", "/v1/status", "", "")
 	var status Status
 	if err := json.Unmarshal(got.Body.Bytes(), &status); err != nil {
 		t.Fatal(err)
 	}
 	if status.Revision != 8 || len(status.Nodes) != 2 || len(status.Lagging) != 1 || status.Lagging[0].ID != "b" ||
 		len(status.Unreachable) != 1 || status.Unreachable[0].Member.ID != "c" {
-		t.Errorf("got %+v", status)
+		t.Errorf("got status %+v, want revision 8, 2 nodes, b lagging, c unreachable", status)
 	}
 }
 
-func TestCompareAddsUpTheDaemonsThatAnswer(t *testing.T) {
-	peers := &fakePeers{reachAt: map[string]time.Duration{"b": 0, "broken": 0}}
-	options := fixture(&fakeEditor{}, peers)
-	options.Statistics = func(time.Duration) ([]byte, error) { return encodedStatistics("a"), nil }
+func TestCompareMergesReachableDaemons(t *testing.T) {
+	peers := &fakePeers{activeAfter: map[string]time.Duration{"b": 0, "broken": 0}}
+	options := newOptions(&fakeEditor{}, peers)
+	options.Statistics = func(time.Duration) ([]byte, error) { return encodeStatistics("a"), nil }
 	members := []topology.Member{{ID: "a", PeerAddress: "a"}, {ID: "b", PeerAddress: "b"}, {ID: "broken", PeerAddress: "broken"}, {ID: "gone", PeerAddress: "gone"}}
 	options.Board.Members.Publish(&topology.Members{Self: members[0], Members: members})
-	var compared comparison.Live
-	answered := ask(New(options), http.MethodGet, "/v1/compare?a=fast&b=old&group=gate", "", "")
-	if err := json.Unmarshal(answered.Body.Bytes(), &compared); err != nil {
+	var result comparison.Live
+	response := serve(New(options), http.MethodGet, "/v1/compare?a=fast&b=old&group=gate", "", "")
+	if err := json.Unmarshal(response.Body.Bytes(), &result); err != nil {
 		t.Fatal(err)
 	}
-	if compared.A.Queries != 80 || compared.B.Queries != 120 || compared.Daemons != 2 {
-		t.Errorf("%d and %d queries of %d daemons; want 80 and 120 of 2", compared.A.Queries, compared.B.Queries, compared.Daemons)
+	if result.A.Queries != 80 || result.B.Queries != 120 || result.Daemons != 2 {
+		t.Errorf("got %d and %d queries of %d daemons, want 80 and 120 of 2", result.A.Queries, result.B.Queries, result.Daemons)
 	}
 	var unreachable []string
-	for _, one := range compared.Unreachable {
-		unreachable = append(unreachable, one.Member.ID)
+	for _, daemon := range result.Unreachable {
+		unreachable = append(unreachable, daemon.Member.ID)
 	}
 	if diff := cmp.Diff([]string{"broken", "gone"}, unreachable); diff != "" {
-		t.Error(diff)
+		t.Errorf("unreachable (-want +got):\n%s", diff)
 	}
 }
--- a/internal/admin/compare.go
+++ b/internal/admin/compare.go
@@ -16,8 +16,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// maxSeries bounds what is taken over from one peer.
-const maxSeries = 1024
+// maxPeerSeries bounds the number of series accepted from one peer.
+const maxPeerSeries = 1024
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
 	query, err := comparison.ReadQuery(r.URL.Query())
@@ -25,68 +25,68 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	measured, unreachable := h.gatherStatistics(r.Context(), query.Last)
-	if err := h.checkKnown(measured, query.A, query.B); err != nil {
+	collected, unreachable := h.gatherStatistics(r.Context(), query.Last)
+	if err := h.checkPoliciesKnown(collected, query.A, query.B); err != nil {
 		failure.WriteProblem(w, err)
 		return
 	}
-	writeJSON(w, comparison.NewLive(query, measured, unreachable))
+	writeJSON(w, comparison.NewLive(query, collected, unreachable))
 }
 
-// checkKnown refuses a policy that is neither in the table nor measured; one
-// that was deleted lately can still be compared.
-func (h *handler) checkKnown(measured [][]statistics.PolicyStatistics, names ...string) error {
+// checkPoliciesKnown returns an error if a policy is neither in the table nor in the
+// statistics. Recently deleted policies can still be compared.
+func (h *handler) checkPoliciesKnown(collected [][]statistics.PolicyStatistics, names ...string) error {
 	known := make(map[string]bool)
 	if index := h.options.Board.PolicyTable.Load(); index != nil {
 		for _, row := range index.Table.Policies {
 			known[row.Name] = true
 		}
 	}
-	for _, part := range measured {
-		for i := range part {
-			known[part[i].Policy] = true
+	for _, entries := range collected {
+		for i := range entries {
+			known[entries[i].Policy] = true
 		}
 	}
 	for _, name := range names {
 		if !known[name] {
-			return failure.New(failure.NotFound, "there is no policy "+strconv.Quote(name))
+			return failure.New(failure.NotFound, "no such policy: "+strconv.Quote(name))
 		}
 	}
 	return nil
 }
 
-// gatherStatistics asks all members; the first result has one item a daemon
-// that answered.
+// gatherStatistics queries all members. The first result has one item for each
+// daemon that answered.
 func (h *handler) gatherStatistics(ctx context.Context, since time.Duration) ([][]statistics.PolicyStatistics, []Unreachable) {
 	members := h.liveMembers()
-	parts := make([][]statistics.PolicyStatistics, len(members))
-	problems := make([]error, len(members))
+	answers := make([][]statistics.PolicyStatistics, len(members))
+	errs := make([]error, len(members))
 	var group errgroup.Group
 	group.SetLimit(gatherConcurrency)
 	for i, member := range members {
 		group.Go(func() error {
-			parts[i], problems[i] = h.statisticsOf(ctx, member, since)
+			answers[i], errs[i] = h.queryStatistics(ctx, member, since)
 			return nil
 		})
 	}
-	_ = group.Wait() // each error is kept in problems
-	answered := [][]statistics.PolicyStatistics{}
+	_ = group.Wait() // errors are collected in errs
+	results := [][]statistics.PolicyStatistics{}
 	unreachable := []Unreachable{}
 	for i, member := range members {
-		if problems[i] != nil {
-			unreachable = append(unreachable, Unreachable{Member: member, Reason: problems[i].Error()})
+		if errs[i] != nil {
+			unreachable = append(unreachable, Unreachable{Member: member, Reason: errs[i].Error()})
 			continue
 		}
-		answered = append(answered, parts[i])
+		results = append(results, answers[i])
 	}
-	return answered, unreachable
+	return results, unreachable
 }
 
-func (h *handler) statisticsOf(ctx context.Context, member topology.Member, since time.Duration) ([]statistics.PolicyStatistics, error) {
-	bounded, cancel := context.WithTimeout(ctx, stateTimeout)
+func (h *handler) queryStatistics(ctx context.Context, member topology.Member, since time.Duration) ([]statistics.PolicyStatistics, error) {
+	queryCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	source := peer.StatisticsSource(func(since time.Duration) ([]byte, error) {
-		return h.options.Peers.Statistics(bounded, member.PeerAddress, since)
+		return h.options.Peers.Statistics(queryCtx, member.PeerAddress, since)
 	})
 	if member.ID == h.options.State().Member.ID {
 		source = h.options.Statistics
@@ -102,12 +102,12 @@
 }
 
 func decodeStatistics(encoded []byte) ([]statistics.PolicyStatistics, error) {
-	var measured []statistics.PolicyStatistics
-	if err := msgpack.Unmarshal(encoded, &measured); err != nil {
+	var collected []statistics.PolicyStatistics
+	if err := msgpack.Unmarshal(encoded, &collected); err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "decode statistics")
 	}
-	if len(measured) > maxSeries {
-		return nil, failure.New(failure.Internal, "statistics of too many policies and groups")
+	if len(collected) > maxPeerSeries {
+		return nil, failure.New(failure.Internal, "decode statistics: too many series")
 	}
-	return measured, nil
+	return collected, nil
 }
--- a/internal/admin/guard.go
+++ b/internal/admin/guard.go
@@ -11,54 +11,54 @@
 	"github.com/doorpond/doorpond/internal/failure"
 )
 
-// guarded lets requests through that carry the operator's token, where one is
-// configured.
-func (h *handler) guarded(next http.HandlerFunc) http.Handler {
+// requireToken rejects requests without the operator's token, if one is configured.
+func (h *handler) requireToken(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !h.authorized(r) {
 			h.metrics.refused.Inc()
-			failure.WriteProblem(w, failure.New(failure.Unauthorized, "this needs the operator's token"))
+			failure.WriteProblem(w, failure.New(failure.Unauthorized, "missing or wrong operator token"))
 			return
 		}
 		next(w, r)
 	})
 }
 
-// authorized compares hashes, so that the time taken tells nothing.
+// authorized compares hashes, so that the duration reveals neither the token nor its
+// length.
 func (h *handler) authorized(r *http.Request) bool {
 	if h.options.Token == "" {
 		return true
 	}
-	given, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	wanted, offered := sha256.Sum256([]byte(h.options.Token)), sha256.Sum256([]byte(given))
-	return bearer && subtle.ConstantTimeCompare(wanted[:], offered[:]) == 1
+	token, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	wantHash, givenHash := sha256.Sum256([]byte(h.options.Token)), sha256.Sum256([]byte(token))
+	return bearer && subtle.ConstantTimeCompare(wantHash[:], givenHash[:]) == 1
 }
 
-// readJSON decodes a bounded body strictly.
-func (h *handler) readJSON(w http.ResponseWriter, r *http.Request, into any) error {
+// readJSON decodes a single JSON document of bounded size. Unknown fields are errors.
+func (h *handler) readJSON(w http.ResponseWriter, r *http.Request, result any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, h.options.MaxBodyBytes))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(into)
+	err := decoder.Decode(result)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return failure.Wrap(err, failure.TooLarge, "read the request")
+		return failure.Wrap(err, failure.TooLarge, "read request")
 	}
 	if err != nil {
-		return failure.Wrap(err, failure.InvalidRequest, "read the request")
+		return failure.Wrap(err, failure.InvalidRequest, "read request")
 	}
 	if decoder.More() {
-		return failure.New(failure.InvalidRequest, "read the request: more follows the JSON document")
+		return failure.New(failure.InvalidRequest, "read request: unexpected data after the JSON document")
 	}
 	return nil
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the operator is gone if this fails
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client disconnected
 }
 
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text + "\n")) // the asker is gone if this fails
+	_, _ = w.Write([]byte(text + "\n")) // fails only if the client disconnected
 }
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -16,30 +16,32 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// Status is what all daemons say of themselves, as gathered by one.
+// Status is the state of all daemons, as gathered by one of them.
 type Status struct {
-	// GatheredBy is the ID of the daemon that asked the others.
+	// GatheredBy is the ID of the daemon that queried the others.
 	GatheredBy string `json:"gathered_by"`
-	// Revision is the highest table revision in force on any daemon.
+	// Revision is the highest table revision that is active on any daemon.
 	Revision uint64           `json:"revision"`
 	Nodes    []peer.NodeState `json:"nodes"`
-	// Lagging names the daemons that are behind Revision.
+	// Lagging lists the daemons whose table is older than Revision.
 	Lagging     []LaggingDaemon `json:"lagging"`
 	Unreachable []Unreachable   `json:"unreachable"`
-	// Replicas are those that do not take their whole share, by address.
+	// Replicas are the replicas that do not receive their full share of requests,
+	// ordered by address.
 	Replicas []DegradedReplica `json:"replicas"`
-	// StoreUnreachableSince is since when no daemon that follows the store reaches it;
-	// nil while one does, or none can say.
+	// StoreUnreachableSince is the time since which no daemon that follows the store
+	// can reach it. It is nil if any of them can or if no daemon reports a status.
 	StoreUnreachableSince *time.Time `json:"store_out_since,omitempty"`
 }
 
-// DegradedReplica is a replica in trouble, and how many daemons see it so.
+// DegradedReplica is a replica that receives less than its full share of requests,
+// and the number of daemons that report it.
 type DegradedReplica struct {
 	peer.TroubledReplica
 	ReportedBy int `json:"seen_by"`
 }
 
-// LaggingDaemon is a daemon on which an older table is in force.
+// LaggingDaemon is a daemon whose active table is outdated.
 type LaggingDaemon struct {
 	ID       string         `json:"id"`
 	Place    topology.Place `json:"place"`
@@ -49,10 +51,10 @@
 // Unreachable is a live member that did not answer.
 type Unreachable = comparison.Unreachable
 
-// Propagation says how far a revision has come.
+// Propagation describes on which daemons a revision is active.
 type Propagation struct {
 	Revision uint64 `json:"revision"`
-	// Complete is true when the revision is in force on all daemons.
+	// Complete is true if the revision is active on all daemons.
 	Complete            bool            `json:"complete"`
 	ElapsedMilliseconds int64           `json:"took_ms"`
 	Daemons             int             `json:"daemons"`
@@ -61,52 +63,52 @@
 }
 
 const (
-	// gatherConcurrency bounds the peers asked at once.
+	// gatherConcurrency bounds the number of peers queried concurrently.
 	gatherConcurrency = 64
-	// stateTimeout bounds the wait for one peer.
-	stateTimeout = 2 * time.Second
-	// firstRecheck and longestRecheck bound the pause between two looks at
-	// the daemons that lag.
-	firstRecheck   = 20 * time.Millisecond
-	longestRecheck = 500 * time.Millisecond
+	// peerTimeout bounds the request to one peer.
+	peerTimeout = 2 * time.Second
+	// minRecheckInterval and maxRecheckInterval bound the interval between checks of
+	// lagging daemons.
+	minRecheckInterval = 20 * time.Millisecond
+	maxRecheckInterval = 500 * time.Millisecond
 )
 
-// answer is the state of one member, or why it is not known.
+// answer is the state of one member, or the error of its query.
 type answer struct {
 	state peer.NodeState
 	err   error
 }
 
-// gather asks members for their states; answers are in the members' order.
+// gather queries the states of the members. The answers are in the order of members.
 func (h *handler) gather(ctx context.Context, members []topology.Member) []answer {
 	answers := make([]answer, len(members))
 	var group errgroup.Group
 	group.SetLimit(gatherConcurrency)
 	for i, member := range members {
 		group.Go(func() error {
-			answers[i] = h.ask(ctx, member)
+			answers[i] = h.queryState(ctx, member)
 			return nil
 		})
 	}
-	_ = group.Wait() // each error is in its answer
+	_ = group.Wait() // each error is stored in its answer
 	return answers
 }
 
-func (h *handler) ask(ctx context.Context, member topology.Member) answer {
+func (h *handler) queryState(ctx context.Context, member topology.Member) answer {
 	own := h.options.State()
 	if member.ID == own.Member.ID {
 		return answer{state: own}
 	}
-	bounded, cancel := context.WithTimeout(ctx, stateTimeout)
+	queryCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	state, err := h.options.Peers.State(bounded, member.PeerAddress)
+	state, err := h.options.Peers.State(queryCtx, member.PeerAddress)
 	if err == nil && state.Member.ID != member.ID {
-		err = failure.New(failure.NotFound, "another daemon answers at "+member.PeerAddress)
+		err = failure.New(failure.NotFound, "unexpected daemon at "+member.PeerAddress)
 	}
 	return answer{state: state, err: err}
 }
 
-// liveMembers returns the members known, this daemon always included.
+// liveMembers returns the known members, which always include this daemon.
 func (h *handler) liveMembers() []topology.Member {
 	known := h.options.Board.Members.Load()
 	if known == nil {
@@ -135,25 +137,25 @@
 	}
 	for _, node := range status.Nodes {
 		if node.TableRevision < status.Revision {
-			status.Lagging = append(status.Lagging, laggingOf(node))
+			status.Lagging = append(status.Lagging, newLaggingDaemon(node))
 		}
 	}
-	status.Replicas = troubledReplicas(status.Nodes)
-	status.StoreUnreachableSince = storeOutSince(status.Nodes)
+	status.Replicas = mergeDegradedReplicas(status.Nodes)
+	status.StoreUnreachableSince = storeUnreachableSince(status.Nodes)
 	writeJSON(w, status)
 }
 
-// troubledReplicas merges what the daemons say of replicas.
-func troubledReplicas(nodes []peer.NodeState) []DegradedReplica {
-	seen := make(map[peer.TroubledReplica]int)
+// mergeDegradedReplicas merges the replicas that the daemons report as degraded.
+func mergeDegradedReplicas(nodes []peer.NodeState) []DegradedReplica {
+	counts := make(map[peer.TroubledReplica]int)
 	for _, node := range nodes {
-		for _, one := range node.Troubled {
-			seen[one]++
+		for _, report := range node.Troubled {
+			counts[report]++
 		}
 	}
-	merged := make([]DegradedReplica, 0, len(seen))
-	for one, count := range seen {
-		merged = append(merged, DegradedReplica{TroubledReplica: one, ReportedBy: count})
+	merged := make([]DegradedReplica, 0, len(counts))
+	for report, count := range counts {
+		merged = append(merged, DegradedReplica{TroubledReplica: report, ReportedBy: count})
 	}
 	slices.SortFunc(merged, func(a, b DegradedReplica) int {
 		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Trouble, b.Trouble))
@@ -161,8 +163,9 @@
 	return merged
 }
 
-// storeOutSince looks at the daemons that know the store's status.
-func storeOutSince(nodes []peer.NodeState) *time.Time {
+// storeUnreachableSince computes Status.StoreUnreachableSince. Daemons without a store
+// status are ignored.
+func storeUnreachableSince(nodes []peer.NodeState) *time.Time {
 	var since *time.Time
 	for _, node := range nodes {
 		switch {
@@ -177,38 +180,37 @@
 	return since
 }
 
-func laggingOf(node peer.NodeState) LaggingDaemon {
+func newLaggingDaemon(node peer.NodeState) LaggingDaemon {
 	return LaggingDaemon{ID: node.Member.ID, Place: node.Member.Place, Revision: node.TableRevision}
 }
 
-// awaitRevision asks the members again and again until the revision is in
-// force on all of them or the wait is over; only those that lag are asked
-// again.
+// awaitRevision polls the members until the revision is active on all of them or wait
+// has elapsed. Members that have reached the revision are not polled again.
 func (h *handler) awaitRevision(ctx context.Context, revision uint64, wait time.Duration) Propagation {
 	start := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	remaining := h.liveMembers()
 	propagation := Propagation{Revision: revision, Daemons: len(remaining)}
-	pause := firstRecheck
+	interval := minRecheckInterval
 	for {
-		remaining = h.recheck(bounded, &propagation, remaining)
-		if len(remaining) == 0 || !sleep(bounded, pause) {
+		remaining = h.recheck(waitCtx, &propagation, remaining)
+		if len(remaining) == 0 || !sleep(waitCtx, interval) {
 			break
 		}
-		pause = min(2*pause, longestRecheck)
+		interval = min(2*interval, maxRecheckInterval)
 	}
 	propagation.Complete = len(remaining) == 0
 	propagation.ElapsedMilliseconds = time.Since(start).Milliseconds()
 	return propagation
 }
 
-// recheck asks the members that lagged and returns those that still do. A
-// member that died or left meanwhile is no longer waited for. A round that
-// the deadline cut short does not replace what was known before.
+// recheck queries the given members and returns those that have not reached the
+// revision. Members that failed or left in the meantime are omitted. A round that the
+// deadline interrupted does not replace an earlier result.
 func (h *handler) recheck(ctx context.Context, propagation *Propagation, members []topology.Member) []topology.Member {
 	answers := h.gather(ctx, members)
-	cut := ctx.Err() != nil
+	interrupted := ctx.Err() != nil
 	live := h.liveIDs()
 	var remaining []topology.Member
 	var lagging []LaggingDaemon
@@ -218,7 +220,7 @@
 		case got.err == nil && got.state.TableRevision >= propagation.Revision:
 			continue
 		case got.err == nil:
-			lagging = append(lagging, laggingOf(got.state))
+			lagging = append(lagging, newLaggingDaemon(got.state))
 		case !live[members[i].ID]:
 			continue
 		default:
@@ -227,7 +229,7 @@
 		remaining = append(remaining, members[i])
 	}
 	known := len(propagation.Lagging)+len(propagation.Unreachable) > 0
-	if !cut || !known {
+	if !interrupted || !known {
 		propagation.Lagging, propagation.Unreachable = lagging, unreachable
 	}
 	return remaining
@@ -241,9 +243,9 @@
 	return live
 }
 
-// sleep returns false when ctx ended first.
-func sleep(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep returns false if ctx is done first.
+func sleep(ctx context.Context, interval time.Duration) bool {
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -261,11 +263,12 @@
 	writeJSON(w, known)
 }
 
-// Replicas is what one daemon knows of the replicas.
+// Replicas is the state of the replicas as known to one daemon.
 type Replicas struct {
-	// Groups are all replicas listed.
+	// Groups are all replicas of the machine list, by group.
 	Groups map[string][]topology.Replica `json:"groups"`
-	// Requests is how each replica that takes requests fares, by address.
+	// Requests is the request status of each replica that receives requests, ordered
+	// by address.
 	Requests []replica.Status `json:"requests"`
 }
 
--- a/internal/admin/table.go
+++ b/internal/admin/table.go
@@ -13,35 +13,35 @@
 
 // EditResult is the outcome of an accepted edit, or of a dry run.
 type EditResult struct {
-	// Change is absent for a dry run.
+	// Change is nil for a dry run.
 	Change *policy.Change `json:"change,omitempty"`
-	// Diff is what the edit changes, one line an item, for a dry run.
+	// Diff lists the lines that the edit would change. It is set only for a dry run.
 	Diff   []string `json:"diff,omitempty"`
 	DryRun bool     `json:"dry_run"`
-	// Propagation is present where ?wait was given.
+	// Propagation is set only if the request has ?wait.
 	Propagation *Propagation `json:"propagation,omitempty"`
 }
 
-// History is the last changes, newest first.
+// History contains the most recent changes, newest first.
 type History struct {
 	Changes []policy.Change `json:"changes"`
 }
 
-// RestoreRequest asks to write the table in force back to the store.
+// RestoreRequest requests that the active table is written back to the store.
 type RestoreRequest struct {
 	Author string `json:"author"`
 }
 
-func (h *handler) index() (*policy.Index, error) {
+func (h *handler) policyIndex() (*policy.Index, error) {
 	index := h.options.Board.PolicyTable.Load()
 	if index == nil {
-		return nil, failure.New(failure.NoTable, "this daemon knows no policy table yet")
+		return nil, failure.New(failure.NoTable, "the policy table is not loaded yet")
 	}
 	return index, nil
 }
 
 func (h *handler) table(w http.ResponseWriter, _ *http.Request) {
-	index, err := h.index()
+	index, err := h.policyIndex()
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -50,21 +50,21 @@
 }
 
 func (h *handler) policy(w http.ResponseWriter, r *http.Request) {
-	index, err := h.index()
+	index, err := h.policyIndex()
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
 	}
 	row := index.Row(r.PathValue("name"))
 	if row == nil {
-		failure.WriteProblem(w, failure.New(failure.NotFound, "there is no policy "+strconv.Quote(r.PathValue("name"))))
+		failure.WriteProblem(w, failure.New(failure.NotFound, "no such policy: "+strconv.Quote(r.PathValue("name"))))
 		return
 	}
 	writeJSON(w, row)
 }
 
 func (h *handler) history(w http.ResponseWriter, r *http.Request) {
-	limit, err := limitOf(r)
+	limit, err := parseLimit(r)
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -77,26 +77,26 @@
 	writeJSON(w, History{Changes: changes})
 }
 
-func limitOf(r *http.Request) (int, error) {
+func parseLimit(r *http.Request) (int, error) {
 	text := r.URL.Query().Get("limit")
 	if text == "" {
 		return 0, nil
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 {
-		return 0, failure.New(failure.InvalidRequest, "limit must be a whole number from 1, not "+strconv.Quote(text))
+		return 0, failure.New(failure.InvalidRequest, "limit must be a positive integer, not "+strconv.Quote(text))
 	}
 	return limit, nil
 }
 
-// editQuery is the query string of POST /v1/edits.
+// editQuery contains the query parameters of POST /v1/edits and /v1/restore.
 type editQuery struct {
 	dryRun bool
-	// wait is 0 where the result is wanted at once.
+	// wait is the maximum wait for propagation; 0 means not to wait.
 	wait time.Duration
 }
 
-func editQueryOf(r *http.Request) (editQuery, error) {
+func parseEditQuery(r *http.Request) (editQuery, error) {
 	var query editQuery
 	values := r.URL.Query()
 	if text := values.Get("dry_run"); text != "" {
@@ -108,9 +108,9 @@
 	}
 	if text := values.Get("wait"); text != "" {
 		wait, err := time.ParseDuration(text)
-		if err != nil || wait < 0 || wait > maximumWait {
+		if err != nil || wait < 0 || wait > maxPropagationWait {
 			return query, failure.New(failure.InvalidRequest,
-				"wait must be a duration up to "+maximumWait.String()+", not "+strconv.Quote(text))
+				"wait must be a duration up to "+maxPropagationWait.String()+", not "+strconv.Quote(text))
 		}
 		query.wait = wait
 	}
@@ -118,7 +118,7 @@
 }
 
 func (h *handler) edit(w http.ResponseWriter, r *http.Request) {
-	query, err := editQueryOf(r)
+	query, err := parseEditQuery(r)
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -145,10 +145,11 @@
 	if err != nil {
 		return EditResult{}, err
 	}
-	return h.accepted(ctx, change, query.wait), nil
+	return h.newEditResult(ctx, change, query.wait), nil
 }
 
-func (h *handler) accepted(ctx context.Context, change policy.Change, wait time.Duration) EditResult {
+// newEditResult waits up to wait for the change to become active on all daemons.
+func (h *handler) newEditResult(ctx context.Context, change policy.Change, wait time.Duration) EditResult {
 	result := EditResult{Change: &change}
 	if wait > 0 {
 		propagation := h.awaitRevision(ctx, change.Revision, wait)
@@ -158,7 +159,7 @@
 }
 
 func (h *handler) restore(w http.ResponseWriter, r *http.Request) {
-	query, err := editQueryOf(r)
+	query, err := parseEditQuery(r)
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -173,5 +174,5 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	writeJSON(w, h.accepted(r.Context(), change, query.wait))
+	writeJSON(w, h.newEditResult(r.Context(), change, query.wait))
 }
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -74,17 +74,16 @@
 
 // Route is a configured route and the main settings of its policy.
 type Route struct {
-	Name       string  `json:"name"`
-	Host       string  `json:"host"`
-	PathPrefix string  `json:"path_prefix"`
-	Rank       int     `json:"rank"`
-	Repeatable bool    `json:"repeatable"`
-	Attempts   int     `json:"attempts"`
-	LeastShare float64 `json:"least_share"`
-	TopRecords int     `json:"top_records"`
-	// TimeoutMilliseconds and Objective are in milliseconds.
-	TimeoutMilliseconds   int64 `json:"timeout_ms"`
-	ObjectiveMilliseconds int64 `json:"objective_ms"`
+	Name                  string  `json:"name"`
+	Host                  string  `json:"host"`
+	PathPrefix            string  `json:"path_prefix"`
+	Rank                  int     `json:"rank"`
+	Repeatable            bool    `json:"repeatable"`
+	Attempts              int     `json:"attempts"`
+	LeastShare            float64 `json:"least_share"`
+	TopRecords            int     `json:"top_records"`
+	TimeoutMilliseconds   int64   `json:"timeout_ms"`
+	ObjectiveMilliseconds int64   `json:"objective_ms"`
 	// Shards is the number of shards of a scatter-gather route. Shares are the weights
 	// of the replica groups of any other route.
 	Shards int             `json:"shards"`
@@ -253,30 +252,30 @@
 		return
 	}
 	path := pathStatistics + "?last=" + query.Last.String()
-	measured, unreachable := gather(r.Context(), h, path, h.config.Statistics(query.Last))
+	collected, unreachable := gather(r.Context(), h, path, h.config.Statistics(query.Last))
 	for _, name := range []string{query.A, query.B} {
-		if !h.routeKnown(measured, name) {
+		if !h.routeKnown(collected, name) {
 			failure.WriteProblem(w, failure.New(failure.NotFound, "no such route: "+name))
 			return
 		}
 	}
-	writeJSON(w, comparison.NewLive(query, measured, unreachable))
+	writeJSON(w, comparison.NewLive(query, collected, unreachable))
 }
 
 // routeKnown reports whether a route is configured or has statistics.
-func (h *handler) routeKnown(measured [][]statistics.PolicyStatistics, name string) bool {
+func (h *handler) routeKnown(collected [][]statistics.PolicyStatistics, name string) bool {
 	if table := h.config.Board.Routes.Load(); table != nil {
 		if slices.ContainsFunc(table.Routes, func(route routing.Route) bool { return route.Name == name }) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(measured, func(entries []statistics.PolicyStatistics) bool {
+	return slices.ContainsFunc(collected, func(entries []statistics.PolicyStatistics) bool {
 		return slices.ContainsFunc(entries, func(entry statistics.PolicyStatistics) bool { return entry.Policy == name })
 	})
 }
 
-// gather queries all other nodes. It returns the own value followed by the answers of
-// the other nodes, and the nodes that did not answer.
+// gather queries all other nodes. It returns own, followed by the answers of the other
+// nodes, and the nodes that did not answer.
 func gather[T any](ctx context.Context, h *handler, path string, own T) ([]T, []comparison.Unreachable) {
 	var others []topology.Node
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
@@ -286,21 +285,21 @@
 			}
 		}
 	}
-	answers, failures := make([]T, len(others)), make([]error, len(others))
+	answers, errs := make([]T, len(others)), make([]error, len(others))
 	var group errgroup.Group
 	group.SetLimit(queryConcurrency)
 	for i, node := range others {
 		group.Go(func() error {
-			failures[i] = h.queryNode(ctx, node, path, &answers[i])
+			errs[i] = h.queryNode(ctx, node, path, &answers[i])
 			return nil
 		})
 	}
-	_ = group.Wait() // errors are collected in failures
+	_ = group.Wait() // errors are collected in errs
 	answered, unreachable := []T{own}, []comparison.Unreachable{}
 	for i, node := range others {
-		if failures[i] != nil {
+		if errs[i] != nil {
 			member := topology.Member{ID: node.ID, PeerAddress: node.PeerAddress, Place: node.Place}
-			unreachable = append(unreachable, comparison.Unreachable{Member: member, Reason: failures[i].Error()})
+			unreachable = append(unreachable, comparison.Unreachable{Member: member, Reason: errs[i].Error()})
 			continue
 		}
 		answered = append(answered, answers[i])
