--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -53,7 +53,7 @@
 // encode returns an announcement as it is sent.
 func encode(news Announcement) ([]byte, error) {
 	return msgpack.Marshal(&datagram{
-		Number: store.NumberOf(news.Revision), Era: store.EraOf(news.Revision), AgeMilliseconds: news.AgeMilliseconds,
+		Number: store.SequenceOf(news.Revision), Era: store.EraOf(news.Revision), AgeMilliseconds: news.AgeMilliseconds,
 	})
 }
 
@@ -63,10 +63,10 @@
 	if err := msgpack.Unmarshal(content, &read); err != nil {
 		return Announcement{}, eris.Wrap(err, "decode an announcement")
 	}
-	if read.AgeMilliseconds < 0 || read.Number < 0 || read.Number > store.MostNumber || read.Era < 0 || read.Era > store.MostEra {
+	if read.AgeMilliseconds < 0 || read.Number < 0 || read.Number > store.MaxSequence || read.Era < 0 || read.Era > store.MaxEra {
 		return Announcement{}, errUnusable
 	}
-	return Announcement{Revision: store.RevisionIn(read.Era, read.Number), AgeMilliseconds: read.AgeMilliseconds}, nil
+	return Announcement{Revision: store.MakeRevision(read.Era, read.Number), AgeMilliseconds: read.AgeMilliseconds}, nil
 }
 
 // Age returns the time since the store said so.
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -59,7 +59,7 @@
 // TestAnAnnouncementNamesTheEra: a node of a version without eras reads the store's own number, and
 // what it sends is of era 0.
 func TestAnAnnouncementNamesTheEra(t *testing.T) {
-	news := Announcement{Revision: store.RevisionIn(3, 42), AgeMilliseconds: 7}
+	news := Announcement{Revision: store.MakeRevision(3, 42), AgeMilliseconds: 7}
 	sent, err := encode(news)
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 
 // FuzzDecode: no datagram makes a node panic, or brings a revision that no store has.
 func FuzzDecode(f *testing.F) {
-	for _, news := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.RevisionIn(store.MostEra, store.MostNumber)}} {
+	for _, news := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.MakeRevision(store.MaxEra, store.MaxSequence)}} {
 		sent, err := encode(news)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -339,8 +339,8 @@
 		return
 	}
 	f.options.Logger.Warn("the store has come back from a copy",
-		"era", store.EraOf(revision), "revision", store.NumberOf(revision),
-		"known_era", store.EraOf(applied), "known_revision", store.NumberOf(applied))
+		"era", store.EraOf(revision), "revision", store.SequenceOf(revision),
+		"known_era", store.EraOf(applied), "known_revision", store.SequenceOf(applied))
 	f.state.replaceAfterRestore(now, values)
 }
 
@@ -438,7 +438,7 @@
 // recordFailure records that the store has failed.
 func (f *Follower) recordFailure(err error) {
 	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging) {
-		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied))
+		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied))
 		return
 	}
 	if !f.storeReachable {
@@ -448,7 +448,7 @@
 	now := f.options.Now()
 	f.options.Board.Store.Publish(&blackboard.StoreStatus{Since: now, LastError: err.Error()})
 	f.options.Logger.Warn("store lost; going on with what is known",
-		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.NumberOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
+		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
 }
 
 // hasPrefix reports whether a key has a prefix. No key has an empty prefix, which stands for an
--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -55,7 +55,7 @@
 	departed, found := s.departed[value.Key]
 	return found &&
 		store.EraOf(value.ModRevision) > store.EraOf(departed.entry.ModRevision) &&
-		store.NumberOf(value.ModRevision) == store.NumberOf(departed.entry.ModRevision) &&
+		store.SequenceOf(value.ModRevision) == store.SequenceOf(departed.entry.ModRevision) &&
 		bytes.Equal(value.Value, departed.entry.Value)
 }
 
--- a/internal/follower/restore_test.go
+++ b/internal/follower/restore_test.go
@@ -16,7 +16,7 @@
 // withEra sets the era of the entries' revisions.
 func withEra(era int64, values ...store.KeyValue) []store.KeyValue {
 	for i := range values {
-		values[i].ModRevision = store.RevisionIn(era, values[i].ModRevision)
+		values[i].ModRevision = store.MakeRevision(era, values[i].ModRevision)
 	}
 	return values
 }
@@ -108,19 +108,19 @@
 // learn of a new era seconds apart.
 func TestStalenessIgnoresOldEra(t *testing.T) {
 	s := staleness{grace: time.Second}
-	s.markApplied(store.RevisionIn(1, 5))
-	s.confirm(start, start, store.RevisionIn(1, 5))
-	if s.confirm(start.Add(time.Second), start.Add(time.Second), store.RevisionIn(0, 99)) || !s.confirmedAt.Equal(start) {
+	s.markApplied(store.MakeRevision(1, 5))
+	s.confirm(start, start, store.MakeRevision(1, 5))
+	if s.confirm(start.Add(time.Second), start.Add(time.Second), store.MakeRevision(0, 99)) || !s.confirmedAt.Equal(start) {
 		t.Errorf("confirmed at %v by an earlier era", s.confirmedAt.Sub(start))
 	}
 	if !s.watchDeadline().IsZero() {
 		t.Error("revision of an earlier era counted as missing")
 	}
-	s.confirm(start, start, store.RevisionIn(1, 6))
+	s.confirm(start, start, store.MakeRevision(1, 6))
 	if got := s.watchDeadline(); !got.Equal(start.Add(time.Second)) {
 		t.Errorf("given up %v after the announcement of a change", got.Sub(start))
 	}
-	s.confirm(start, start, store.RevisionIn(2, 1))
+	s.confirm(start, start, store.MakeRevision(2, 1))
 	if got := s.watchDeadline(); !got.Equal(start) {
 		t.Errorf("given up %v after the announcement of a later era", got.Sub(start))
 	}
@@ -137,7 +137,7 @@
 		fake.setFaults(true, false)
 		fake.put(withEra(1, tableAt(t, 3, 2))[0])
 		announced := time.Now()
-		announcer.received <- announce.Announcement{Revision: store.RevisionIn(1, 3)}
+		announcer.received <- announce.Announcement{Revision: store.MakeRevision(1, 3)}
 		eventually(t, "the configuration of the later era is active", tableActive(board, 2))
 		if took := time.Since(announced); took > time.Second {
 			t.Errorf("active after %v", took)
@@ -177,10 +177,10 @@
 		t.Fatal(err)
 	}
 	table := withEra(1, tableAt(t, 3, 2))[0]
-	f.confirm(start, start, store.RevisionIn(1, 9)) // announced before it is delivered
+	f.confirm(start, start, store.MakeRevision(1, 9)) // announced before it is delivered
 	f.handleBatch(store.WatchBatch{Revision: table.ModRevision, Events: []store.Event{{KeyValue: table}}, Relayed: true})
 	if revision, _ := f.AppliedRevision(); revision != table.ModRevision {
-		t.Errorf("applied revision %d of era %d", store.NumberOf(revision), store.EraOf(revision))
+		t.Errorf("applied revision %d of era %d", store.SequenceOf(revision), store.EraOf(revision))
 	}
 }
 
--- a/internal/follower/validity_test.go
+++ b/internal/follower/validity_test.go
@@ -52,7 +52,7 @@
 	if want := start.Add(time.Hour + time.Minute); !v.expiresAt().Equal(want) {
 		t.Errorf("after a failed attempt: valid until %v, want %v", v.expiresAt(), want)
 	}
-	later := store.RevisionIn(1, 2)
+	later := store.MakeRevision(1, 2)
 	v.markApplied(later)
 	v.observe(observation{revision: 9, at: start.Add(3 * time.Hour)}, later)
 	if want := start.Add(time.Hour + time.Minute); !v.expiresAt().Equal(want) {
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -176,7 +176,7 @@
 		return
 	}
 	revision, confirmedAt := h.config.Known()
-	described.StoreEra, described.StoreRevision = store.EraOf(revision), store.NumberOf(revision)
+	described.StoreEra, described.StoreRevision = store.EraOf(revision), store.SequenceOf(revision)
 	if !confirmedAt.IsZero() {
 		described.ConfirmedAgo = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
 	}
--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -218,7 +218,7 @@
 	outcomes, err := b.committer.CommitAll(ctx, transactions)
 	b.metrics.committed(len(sent), err)
 	if err == nil && len(outcomes) != len(sent)+1 {
-		err = eris.Wrapf(store.ErrUnclear, "%d outcomes for %d transactions", len(outcomes), len(sent)+1)
+		err = eris.Wrapf(store.ErrOutcomeUnknown, "%d outcomes for %d transactions", len(outcomes), len(sent)+1)
 	}
 	b.leases.after(err)
 	if err != nil {
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -63,10 +63,10 @@
 	case faultRefused:
 		return nil, store.ErrNotApplied
 	case faultLostRequest:
-		return nil, store.ErrUnclear
+		return nil, store.ErrOutcomeUnknown
 	case faultHang:
 		<-ctx.Done()
-		return nil, store.ErrUnclear
+		return nil, store.ErrOutcomeUnknown
 	case faultLate:
 		<-ctx.Done()
 	}
@@ -85,7 +85,7 @@
 		outcomes[at].Revision = s.revision
 	}
 	if happens != faultNone {
-		return nil, store.ErrUnclear
+		return nil, store.ErrOutcomeUnknown
 	}
 	return outcomes, nil
 }
--- a/internal/once/regression.go
+++ b/internal/once/regression.go
@@ -140,7 +140,7 @@
 	}
 	outcomes, err := s.options.Store.CommitAll(ctx, []store.Transaction{transaction})
 	if err == nil && len(outcomes) != 1 {
-		err = store.ErrUnclear
+		err = store.ErrOutcomeUnknown
 	}
 	if err != nil {
 		return false, failure.Wrap(err, failure.OutcomeUnknown, "open the fence")
--- a/internal/policytable/fake_test.go
+++ b/internal/policytable/fake_test.go
@@ -87,11 +87,11 @@
 	case faultRefused:
 		return store.Outcome{}, store.ErrNotApplied
 	case faultLostRequest:
-		return store.Outcome{}, store.ErrUnclear
+		return store.Outcome{}, store.ErrOutcomeUnknown
 	}
 	outcome := s.apply(transaction)
 	if happens == faultLostAnswer {
-		return store.Outcome{}, store.ErrUnclear
+		return store.Outcome{}, store.ErrOutcomeUnknown
 	}
 	return outcome, nil
 }
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -27,7 +27,7 @@
 	f.calls++
 	f.ttl = ttl
 	if f.unavailable {
-		return 0, store.ErrUnclear
+		return 0, store.ErrOutcomeUnknown
 	}
 	return 7, nil
 }
@@ -39,7 +39,7 @@
 	defer f.mutex.Unlock()
 	f.calls++
 	if f.unavailable {
-		return store.Outcome{}, store.ErrUnclear
+		return store.Outcome{}, store.ErrOutcomeUnknown
 	}
 	for _, write := range transaction.Writes {
 		if write.Lease == 7 {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -122,9 +122,9 @@
 		{"recorded once, then kept", nil, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
 		{"a lapsed lease is replaced", []error{nil, nil, lapsed}, []string{"grant", "put k under 1", "keep 1", "grant", "put k under 2", "keep 2"}},
 		{"a lease that lapsed before the write", []error{nil, lapsed}, []string{"grant", "put k under 1", "grant", "put k under 2", "keep 2"}},
-		{"an unclear write is repeated", []error{nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
-		{"no lease, no entry", []error{store.ErrUnclear}, []string{"grant", "grant", "put k under 1", "keep 1"}},
-		{"a renewal without an answer", []error{nil, nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
+		{"an unclear write is repeated", []error{nil, store.ErrOutcomeUnknown}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
+		{"no lease, no entry", []error{store.ErrOutcomeUnknown}, []string{"grant", "grant", "put k under 1", "keep 1"}},
+		{"a renewal without an answer", []error{nil, nil, store.ErrOutcomeUnknown}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -312,11 +312,11 @@
 	gone := store.Event{KeyValue: store.KeyValue{Key: "a"}, Deleted: true}
 	feed.Publish(50, nil)
 	feed.Publish(58, nil)
-	inCopy := store.RevisionIn(1, 46)
+	inCopy := store.MakeRevision(1, 46)
 	if _, changed, known := feed.since(inCopy); !known || changed == nil {
 		t.Fatal("before the era is entered there is nothing to tell")
 	}
-	entered := store.RevisionIn(1, 74)
+	entered := store.MakeRevision(1, 74)
 	feed.Publish(entered, []store.Event{gone})
 	if found, _, known := feed.since(58); !known || len(found.Events) != 1 || found.Revision != entered {
 		t.Errorf("who followed is told %+v, %v", found, known)
--- a/internal/simulation/system/storeclient.go
+++ b/internal/simulation/system/storeclient.go
@@ -104,7 +104,7 @@
 	})
 	switch {
 	case !reply.done:
-		return nil, eris.Wrap(store.ErrUnclear, "commit")
+		return nil, eris.Wrap(store.ErrOutcomeUnknown, "commit")
 	case reply.refused:
 		return nil, eris.Wrap(store.ErrNotApplied, "commit")
 	default:
--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -164,8 +164,8 @@
 		want    error
 		applied bool
 	}{
-		{"acknowledgement lost", kv.Faults{LoseAcknowledgements: 1}, store.ErrUnclear, true},
-		{"outage", kv.Faults{Outage: true}, store.ErrUnclear, false},
+		{"acknowledgement lost", kv.Faults{LoseAcknowledgements: 1}, store.ErrOutcomeUnknown, true},
+		{"outage", kv.Faults{Outage: true}, store.ErrOutcomeUnknown, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/store/etcd/etcd_test.go
+++ b/internal/store/etcd/etcd_test.go
@@ -89,12 +89,12 @@
 		{"rate limit by code", 500, `{"code":8,"message":"etcdserver: too many requests"}`, store.ErrNotApplied},
 		{"malformed", 400, `{"code":3}`, store.ErrNotApplied},
 		{"lease lapsed", 404, `{"code":5,"message":"etcdserver: requested lease not found"}`, store.ErrLeaseNotFound},
-		{"unavailable", 503, `{"code":14,"message":"leader changed"}`, store.ErrUnclear},
-		{"internal error", 500, "oops", store.ErrUnclear},
-		{"gateway timeout", 504, `{"code":4}`, store.ErrUnclear},
-		{"client closed request", 499, `{"code":1}`, store.ErrUnclear},
-		{"redirect", 302, "", store.ErrUnclear},
-		{"reply not JSON", 200, "{", store.ErrUnclear},
+		{"unavailable", 503, `{"code":14,"message":"leader changed"}`, store.ErrOutcomeUnknown},
+		{"internal error", 500, "oops", store.ErrOutcomeUnknown},
+		{"gateway timeout", 504, `{"code":4}`, store.ErrOutcomeUnknown},
+		{"client closed request", 499, `{"code":1}`, store.ErrOutcomeUnknown},
+		{"redirect", 302, "", store.ErrOutcomeUnknown},
+		{"reply not JSON", 200, "{", store.ErrOutcomeUnknown},
 	}
 	transaction := store.Transaction{Writes: []store.Write{{Key: "/a", Value: []byte("v")}}}
 	for _, c := range cases {
@@ -105,11 +105,11 @@
 			if !errors.Is(err, c.want) {
 				t.Errorf("Commit: %v, want %v", err, c.want)
 			}
-			if errors.Is(err, store.ErrNotApplied) == errors.Is(err, store.ErrUnclear) {
+			if errors.Is(err, store.ErrNotApplied) == errors.Is(err, store.ErrOutcomeUnknown) {
 				t.Errorf("Commit: %v is both or neither", err)
 			}
 			_, _, _, err = client.Get(t.Context(), "/a")
-			if !errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnclear) || errors.Is(err, store.ErrNotApplied) {
+			if !errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotApplied) {
 				t.Errorf("Get: %v, want only %v", err, store.ErrUnavailable)
 			}
 			if got := fake.requests.Load(); got != 2 {
@@ -162,8 +162,8 @@
 	if _, err := client.Commit(t.Context(), transaction); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Commit(t.Context(), transaction); !errors.Is(err, store.ErrUnclear) {
-		t.Errorf("%v, want %v", err, store.ErrUnclear)
+	if _, err := client.Commit(t.Context(), transaction); !errors.Is(err, store.ErrOutcomeUnknown) {
+		t.Errorf("%v, want %v", err, store.ErrOutcomeUnknown)
 	}
 	if got := requests.Load(); got != 2 {
 		t.Errorf("%d requests reached the server, want 2", got)
@@ -187,8 +187,8 @@
 		<-received
 		cancel()
 	}()
-	if _, err := client.Commit(ctx, store.Transaction{}); !errors.Is(err, store.ErrUnclear) {
-		t.Errorf("%v, want %v", err, store.ErrUnclear)
+	if _, err := client.Commit(ctx, store.Transaction{}); !errors.Is(err, store.ErrOutcomeUnknown) {
+		t.Errorf("%v, want %v", err, store.ErrOutcomeUnknown)
 	}
 }
 
@@ -225,8 +225,8 @@
 		t.Run(name, func(t *testing.T) {
 			fake := &gateway{status: http.StatusOK, reply: reply}
 			_, err := serve(t, fake).CommitAll(t.Context(), make([]store.Transaction, 1))
-			if !errors.Is(err, store.ErrUnclear) {
-				t.Errorf("%v, want %v", err, store.ErrUnclear)
+			if !errors.Is(err, store.ErrOutcomeUnknown) {
+				t.Errorf("%v, want %v", err, store.ErrOutcomeUnknown)
 			}
 		})
 	}
--- a/internal/store/etcd/transport.go
+++ b/internal/store/etcd/transport.go
@@ -143,7 +143,7 @@
 // as nothing was written.
 func unavailable(cause error) error {
 	text := cause.Error()
-	for _, hidden := range []error{store.ErrUnclear, store.ErrNotApplied} {
+	for _, hidden := range []error{store.ErrOutcomeUnknown, store.ErrNotApplied} {
 		text = strings.TrimPrefix(text, hidden.Error()+": ")
 	}
 	return fmt.Errorf("%w: %s", store.ErrUnavailable, text)
@@ -154,5 +154,5 @@
 }
 
 func unclear(cause error, attempted string) error {
-	return fmt.Errorf("%w: %w", store.ErrUnclear, eris.Wrap(cause, attempted))
+	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, eris.Wrap(cause, attempted))
 }
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -4,21 +4,21 @@
 // changes of an era, at a thousand a second 34 years.
 const eraBits = 40
 
-// MostEra and MostNumber are the highest era and number that a revision can hold.
+// MaxEra and MaxSequence are the highest era and number that a revision can hold.
 const (
-	MostEra    = 1<<(63-eraBits) - 1
-	MostNumber = 1<<eraBits - 1
+	MaxEra    = 1<<(63-eraBits) - 1
+	MaxSequence = 1<<eraBits - 1
 )
 
-// RevisionIn returns the revision that a store's own number stands for in one of its eras. An
+// MakeRevision returns the revision that a store's own number stands for in one of its eras. An
 // era ends when the store comes back from a copy of an earlier state: its numbers go back and
 // are given out again. A revision of a later era is higher than all of those before, so that
 // the highest revision stands for the newest state, also across eras. A store without eras is
 // in era 0 for good, and its numbers are the revisions.
-func RevisionIn(era, number int64) int64 { return era<<eraBits | number }
+func MakeRevision(era, number int64) int64 { return era<<eraBits | number }
 
 // EraOf returns the era of a revision.
 func EraOf(revision int64) int64 { return revision >> eraBits }
 
-// NumberOf returns the store's own number of a revision.
-func NumberOf(revision int64) int64 { return revision & MostNumber }
+// SequenceOf returns the store's own number of a revision.
+func SequenceOf(revision int64) int64 { return revision & MaxSequence }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,8 +19,8 @@
 	// ErrNotApplied: the write was refused before it took effect (rate limit,
 	// connection refused).
 	ErrNotApplied = errors.New("store write not applied")
-	// ErrUnclear: the write may or may not have taken effect.
-	ErrUnclear = errors.New("store write unclear")
+	// ErrOutcomeUnknown: the write may or may not have taken effect.
+	ErrOutcomeUnknown = errors.New("store write unclear")
 	// ErrLeaseNotFound: a write named a lease that has lapsed; it comes with
 	// ErrNotApplied.
 	ErrLeaseNotFound = errors.New("store lease not found")
