--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -144,7 +144,7 @@
 		Registerer:   d.registry,
 		StoreTimeout: d.settings.Store.Timeout,
 		HasPeers:     d.seeds.mayHaveSeeds,
-		StoreTrouble: d.storeUnreachable,
+		StoreUnhealthy: d.storeUnreachable,
 		Announce:     d.announceMark,
 		WithTimeout:  d.meter.WithTimeout,
 	})
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -45,7 +45,7 @@
 	case membership.RecordDocument:
 		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
 	case membership.RecordStoreMark:
-		d.calls.Learn(once.MarkOf(record.Version))
+		d.calls.MergeWatermark(once.WatermarkFromVersion(record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, isWhole := strings.Cut(record.Key, incarnationSeparator)
 		if isWhole {
@@ -55,7 +55,7 @@
 }
 
 // announceMark tells peers how new the store must be.
-func (d *Daemon) announceMark(mark once.Mark) {
+func (d *Daemon) announceMark(mark once.Watermark) {
 	d.node.Announce(membership.Record{
 		Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
 	})
--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -34,7 +34,7 @@
 	begin func(lease store.Lease) (transaction store.Transaction, ok bool)
 	// finish is called with the outcome and what it says of the store, once, if
 	// begin returned ok. It must not block.
-	finish func(outcome store.Outcome, verdict Verdict, err error)
+	finish func(outcome store.Outcome, verdict FenceStatus, err error)
 	// refuse is called in place of begin when nothing can be sent.
 	refuse func(err error)
 	// leased is true when begin needs a lease.
@@ -48,7 +48,7 @@
 	leases    *leases
 	fence     *Fence
 	// judged is called after each verdict. It must not block.
-	judged  func(Verdict)
+	judged  func(FenceStatus)
 	timeout time.Duration
 	metrics *metrics
 
@@ -63,7 +63,7 @@
 		committer: committer,
 		leases:    leases,
 		fence:     fence,
-		judged:    func(Verdict) {},
+		judged:    func(FenceStatus) {},
 		timeout:   timeout,
 		metrics:   metrics,
 		wake:      make(chan struct{}, 1),
@@ -150,7 +150,7 @@
 func (b *batcher) commit(ctx context.Context, batch []*entry) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.timeout)
 	defer cancel()
-	if b.fence.Doubtful() {
+	if b.fence.ProbeRequired() {
 		if err := b.probe(ctx); err != nil {
 			b.postpone(batch, err)
 			return
@@ -161,7 +161,7 @@
 	var transactions []store.Transaction
 	for _, one := range batch {
 		if one.leased && err != nil {
-			b.fence.Doubt()
+			b.fence.RequireProbe()
 			one.refuse(err)
 			continue
 		}
@@ -178,7 +178,7 @@
 // probe finds out, without writing, whether the store that failed a while ago
 // is as new as it was.
 func (b *batcher) probe(ctx context.Context) error {
-	sent := b.fence.Mark()
+	sent := b.fence.Watermark()
 	outcomes, err := b.committer.CommitAll(ctx, []store.Transaction{b.fence.Probe()})
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 
 // send commits transactions together with a probe of the fence.
 func (b *batcher) send(ctx context.Context, sent []*entry, transactions []store.Transaction) {
-	mark := b.fence.Mark()
+	mark := b.fence.Watermark()
 	transactions = append(transactions, b.fence.Probe())
 	outcomes, err := b.committer.CommitAll(ctx, transactions)
 	b.metrics.committed(len(sent), err)
@@ -222,11 +222,11 @@
 	}
 	b.leases.after(err)
 	if err != nil {
-		b.fence.Doubt()
+		b.fence.RequireProbe()
 		for _, one := range sent {
-			one.finish(store.Outcome{}, VerdictCurrent, err)
+			one.finish(store.Outcome{}, FenceCurrent, err)
 		}
-		b.judged(VerdictCurrent)
+		b.judged(FenceCurrent)
 		return
 	}
 	verdict := b.fence.Check(mark, outcomes[len(sent)], Wrote(transactions, outcomes))
--- a/internal/once/fence.go
+++ b/internal/once/fence.go
@@ -23,19 +23,19 @@
 	Author string `json:"author"`
 }
 
-// Verdict is what the outcome of a commit says of the store.
-type Verdict int
+// FenceStatus is what the outcome of a commit says of the store.
+type FenceStatus int
 
 // The verdicts.
 const (
-	// VerdictCurrent: the store has all that this daemon knew of.
-	VerdictCurrent Verdict = iota
-	// VerdictMoved: the fence was written since it was last read; claims were
+	// FenceCurrent: the store has all that this daemon knew of.
+	FenceCurrent FenceStatus = iota
+	// FenceChanged: the fence was written since it was last read; claims were
 	// not applied and can be sent again.
-	VerdictMoved
-	// VerdictRegressed: the store went back to an older state, or a peer found
+	FenceChanged
+	// FenceRegressed: the store went back to an older state, or a peer found
 	// that it did. Nothing may be dispatched.
-	VerdictRegressed
+	FenceRegressed
 )
 
 // Fence tells whether the store went back to an older state, in which claims
@@ -47,7 +47,7 @@
 	holder string
 
 	mutex sync.Mutex
-	mark  Mark
+	mark  Watermark
 	// modRevision is the fence key's as last read; 0 while it was absent.
 	modRevision int64
 	// doubtful is true after trouble with the store, until a probe has shown
@@ -63,14 +63,14 @@
 	heardNew bool
 	// own is the newest mark that this daemon found by itself, announced the
 	// one that it has told last.
-	own, announced Mark
+	own, announced Watermark
 }
 
 // NewFence returns a Fence that knows nothing yet; holder is the daemon's ID.
 func NewFence(holder string) *Fence { return &Fence{holder: holder} }
 
-// Mark returns the newest mark known.
-func (f *Fence) Mark() Mark {
+// Watermark returns the newest mark known.
+func (f *Fence) Watermark() Watermark {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.mark
@@ -78,7 +78,7 @@
 
 // Admit returns why no call may be claimed or dispatched now, or nil.
 func (f *Fence) Admit() *failure.Error {
-	if f.Mark().Regressed {
+	if f.Watermark().Regressed {
 		return regressedFailure()
 	}
 	return nil
@@ -89,8 +89,8 @@
 		"calls are refused until an operator runs \"doorpond restore\"").WithNotRun(true)
 }
 
-// Learn takes over a peer's mark.
-func (f *Fence) Learn(mark Mark) {
+// Merge takes over a peer's mark.
+func (f *Fence) Merge(mark Watermark) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.heard = true
@@ -100,23 +100,23 @@
 	}
 }
 
-// Heard tells whether a peer has told its mark.
-func (f *Fence) Heard() bool {
+// HasPeerWatermark tells whether a peer has told its mark.
+func (f *Fence) HasPeerWatermark() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.heard
 }
 
-// Doubt says that an exchange with the store failed, as it does while a backup
+// RequireProbe says that an exchange with the store failed, as it does while a backup
 // is brought back.
-func (f *Fence) Doubt() {
+func (f *Fence) RequireProbe() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.doubtful = true
 }
 
-// Doubtful tells whether the store must be probed before the next commit.
-func (f *Fence) Doubtful() bool {
+// ProbeRequired tells whether the store must be probed before the next commit.
+func (f *Fence) ProbeRequired() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.doubtful
@@ -151,7 +151,7 @@
 // Check judges the outcome of a Probe that was sent, alone or with others in
 // one request, while sent was the mark; wrote is true if any of the others was
 // applied, so that the revision must have grown.
-func (f *Fence) Check(sent Mark, probed store.Outcome, wrote bool) Verdict {
+func (f *Fence) Check(sent Watermark, probed store.Outcome, wrote bool) FenceStatus {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.doubtful = false
@@ -163,18 +163,18 @@
 	if f.mark.Epoch == sent.Epoch && probed.Revision < least {
 		f.regress()
 	}
-	f.raise(Mark{Epoch: f.mark.Epoch, Regressed: f.mark.Regressed, Revision: probed.Revision})
+	f.raise(Watermark{Epoch: f.mark.Epoch, Regressed: f.mark.Regressed, Revision: probed.Revision})
 	switch {
 	case f.mark.Regressed:
-		return VerdictRegressed
+		return FenceRegressed
 	case moved:
-		return VerdictMoved
+		return FenceChanged
 	case f.mark.Epoch != sent.Epoch:
 		// A peer told of the next epoch while the answer was on its way, so
 		// the commit was of the one before.
-		return VerdictRegressed
+		return FenceRegressed
 	default:
-		return VerdictCurrent
+		return FenceCurrent
 	}
 }
 
@@ -190,7 +190,7 @@
 		f.regress()
 		return true
 	}
-	f.raise(Mark{Epoch: shown.Epoch, Regressed: shown.Closed, Revision: outcome.Revision})
+	f.raise(Watermark{Epoch: shown.Epoch, Regressed: shown.Closed, Revision: outcome.Revision})
 	return true
 }
 
@@ -214,12 +214,12 @@
 	if f.mark.Regressed {
 		return
 	}
-	f.raise(Mark{Epoch: f.mark.Epoch, Regressed: true, Revision: f.mark.Revision})
+	f.raise(Watermark{Epoch: f.mark.Epoch, Regressed: true, Revision: f.mark.Revision})
 	f.unclosed = true
 }
 
 // raise notes what this daemon found by itself.
-func (f *Fence) raise(mark Mark) {
+func (f *Fence) raise(mark Watermark) {
 	if mark.newerThan(f.mark) {
 		f.mark, f.own = mark, mark
 	}
@@ -227,7 +227,7 @@
 
 // Announcement returns a mark that peers should be told: one that this daemon
 // found, that it has not told, and that no peer has told better.
-func (f *Fence) Announcement() (Mark, bool) {
+func (f *Fence) Announcement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.announcement()
@@ -236,19 +236,19 @@
 // RoutineAnnouncement is Announcement for quiet times. It holds back while
 // peers announce, so that of any number of daemons only a few do in each
 // interval.
-func (f *Fence) RoutineAnnouncement() (Mark, bool) {
+func (f *Fence) RoutineAnnouncement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.heardNew {
 		f.heardNew = false
-		return Mark{}, false
+		return Watermark{}, false
 	}
 	return f.announcement()
 }
 
-func (f *Fence) announcement() (Mark, bool) {
+func (f *Fence) announcement() (Watermark, bool) {
 	if f.own != f.mark || !f.own.newerThan(f.announced) {
-		return Mark{}, false
+		return Watermark{}, false
 	}
 	f.announced = f.own
 	return f.own, true
@@ -322,5 +322,5 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.modRevision = revision
-	f.raise(Mark{Epoch: epoch, Revision: revision})
+	f.raise(Watermark{Epoch: epoch, Revision: revision})
 }
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -129,7 +129,7 @@
 	return f.service.fence.Guard(transaction), true
 }
 
-func (f *flight) finishClaim(outcome store.Outcome, verdict Verdict, err error) {
+func (f *flight) finishClaim(outcome store.Outcome, verdict FenceStatus, err error) {
 	f.step(ClaimEvent(outcome, verdict, err))
 }
 
--- a/internal/once/mark.go
+++ b/internal/once/mark.go
@@ -10,9 +10,9 @@
 	largestEpoch  = uint64(1)<<(64-epochShift) - 1
 )
 
-// Mark is the newest that is known of the store: a higher one replaces a lower
+// Watermark is the newest that is known of the store: a higher one replaces a lower
 // one, wherever it comes from.
-type Mark struct {
+type Watermark struct {
 	// Epoch counts the regressions that operators have acknowledged.
 	Epoch uint64
 	// Regressed is true from the regression that ends the epoch on.
@@ -24,7 +24,7 @@
 // Version packs a mark into a number that is higher for a newer mark, so that
 // it can spread as the version of a gossip record. Revisions over 2^43 are
 // held at the greatest that fits, which weakens the fence and breaks nothing.
-func (m Mark) Version() uint64 {
+func (m Watermark) Version() uint64 {
 	revision := min(uint64(max(0, m.Revision)), largestRecord)
 	version := min(m.Epoch, largestEpoch)<<epochShift | revision
 	if m.Regressed {
@@ -33,9 +33,9 @@
 	return version
 }
 
-// MarkOf unpacks a version.
-func MarkOf(version uint64) Mark {
-	return Mark{
+// WatermarkFromVersion unpacks a version.
+func WatermarkFromVersion(version uint64) Watermark {
+	return Watermark{
 		Epoch:     version >> epochShift,
 		Regressed: version&regressedBit != 0,
 		Revision:  int64(version & largestRecord),
@@ -43,4 +43,4 @@
 }
 
 // newerThan orders marks as their versions do.
-func (m Mark) newerThan(other Mark) bool { return m.Version() > other.Version() }
+func (m Watermark) newerThan(other Watermark) bool { return m.Version() > other.Version() }
--- a/internal/once/regression.go
+++ b/internal/once/regression.go
@@ -14,9 +14,9 @@
 	// of the store at most; in trouble with the store it tells them at once, as
 	// also of regressions and new epochs.
 	AnnounceInterval = 5 * time.Second
-	// AwaitMark bounds the wait of a daemon that has just started for a peer's
+	// PeerWatermarkTimeout bounds the wait of a daemon that has just started for a peer's
 	// mark, before its first commit.
-	AwaitMark = 1500 * time.Millisecond
+	PeerWatermarkTimeout = 1500 * time.Millisecond
 
 	awaitMarkPoll = 20 * time.Millisecond
 	// recheckTicks is how many AnnounceIntervals a daemon that refuses calls
@@ -25,25 +25,25 @@
 	recheckTicks = 3
 )
 
-// Learn takes over a peer's mark.
-func (s *Service) Learn(mark Mark) {
+// MergeWatermark takes over a peer's mark.
+func (s *Service) MergeWatermark(mark Watermark) {
 	before := s.Regressed()
-	s.fence.Learn(mark)
+	s.fence.Merge(mark)
 	if after := s.Regressed(); after != before {
 		s.options.Logger.Warn("a peer told of the store's state", slog.Bool("regressed", after), slog.Uint64("epoch", mark.Epoch))
 	}
 }
 
 // Regressed tells whether calls are refused because the store went back.
-func (s *Service) Regressed() bool { return s.fence.Mark().Regressed }
+func (s *Service) Regressed() bool { return s.fence.Watermark().Regressed }
 
 // awaitMark gives peers a moment to tell how new the store must be.
 func (s *Service) awaitMark(ctx context.Context) {
-	limit := time.NewTimer(AwaitMark)
+	limit := time.NewTimer(PeerWatermarkTimeout)
 	defer limit.Stop()
 	poll := time.NewTicker(awaitMarkPoll)
 	defer poll.Stop()
-	for s.options.HasPeers() && !s.fence.Heard() {
+	for s.options.HasPeers() && !s.fence.HasPeerWatermark() {
 		select {
 		case <-ctx.Done():
 			return
@@ -65,30 +65,30 @@
 			return
 		case <-ticker.C:
 		}
-		if s.options.StoreTrouble() {
-			s.fence.Doubt()
+		if s.options.StoreUnhealthy() {
+			s.fence.RequireProbe()
 		}
 		s.tell(s.fence.RoutineAnnouncement())
 		recheck := s.Regressed() && tick%recheckTicks == 0
-		if s.fence.Unclosed() || s.fence.Doubtful() || recheck {
+		if s.fence.Unclosed() || s.fence.ProbeRequired() || recheck {
 			s.tryFence()
 		}
 	}
 }
 
 // tell announces a mark if that is wanted.
-func (s *Service) tell(mark Mark, wanted bool) {
+func (s *Service) tell(mark Watermark, wanted bool) {
 	if wanted {
 		s.options.Announce(mark)
 	}
 }
 
 // judged reacts to a verdict at once.
-func (s *Service) judged(Verdict) {
+func (s *Service) judged(FenceStatus) {
 	if !s.fence.Urgent() {
 		return
 	}
-	mark := s.fence.Mark()
+	mark := s.fence.Watermark()
 	if mark.Regressed {
 		s.options.Logger.Error("the store was restored to an older state; calls are refused",
 			slog.Uint64("epoch", mark.Epoch), slog.Int64("revision", mark.Revision))
@@ -110,7 +110,7 @@
 			return transaction, err == nil
 		},
 		refuse: func(error) {},
-		finish: func(_ store.Outcome, _ Verdict, err error) {
+		finish: func(_ store.Outcome, _ FenceStatus, err error) {
 			if err == nil {
 				s.fence.Closed()
 			}
--- a/internal/once/regression_test.go
+++ b/internal/once/regression_test.go
@@ -26,7 +26,7 @@
 	for number := range size {
 		f.services = append(f.services, once.New(once.Options{
 			Store: f.store, Dispatcher: f.backend, Holder: string(rune('a' + number)),
-			Announce: func(mark once.Mark) { f.tell(number, mark) },
+			Announce: func(mark once.Watermark) { f.tell(number, mark) },
 		}))
 	}
 	for _, service := range f.services {
@@ -43,10 +43,10 @@
 	}
 }
 
-func (f *fleet) tell(from int, mark once.Mark) {
+func (f *fleet) tell(from int, mark once.Watermark) {
 	for number, service := range f.services {
 		if number != from && !f.deaf {
-			service.Learn(mark)
+			service.MergeWatermark(mark)
 		}
 	}
 }
--- a/internal/once/service.go
+++ b/internal/once/service.go
@@ -72,11 +72,11 @@
 	// HasPeers tells whether other daemons may exist, whose mark of the store
 	// is awaited for a moment after the start; nil means that none do.
 	HasPeers func() bool
-	// StoreTrouble tells whether the store is seen to be out by other means
+	// StoreUnhealthy tells whether the store is seen to be out by other means
 	// than calls; nil means that it never is.
-	StoreTrouble func() bool
+	StoreUnhealthy func() bool
 	// Announce tells peers of a mark; nil means that nobody is told.
-	Announce func(Mark)
+	Announce func(Watermark)
 }
 
 // Service runs at-most-once calls. It is safe for concurrent use; Run must be
@@ -111,11 +111,11 @@
 	if options.HasPeers == nil {
 		options.HasPeers = func() bool { return false }
 	}
-	if options.StoreTrouble == nil {
-		options.StoreTrouble = func() bool { return false }
+	if options.StoreUnhealthy == nil {
+		options.StoreUnhealthy = func() bool { return false }
 	}
 	if options.Announce == nil {
-		options.Announce = func(Mark) {}
+		options.Announce = func(Watermark) {}
 	}
 	fence := NewFence(options.Holder)
 	created := &Service{
--- a/internal/once/settle.go
+++ b/internal/once/settle.go
@@ -52,7 +52,7 @@
 		key:    t.flight.storeKey,
 		begin:  func(store.Lease) (store.Transaction, bool) { return transaction, true },
 		refuse: t.again,
-		finish: func(_ store.Outcome, _ Verdict, err error) {
+		finish: func(_ store.Outcome, _ FenceStatus, err error) {
 			if err != nil {
 				t.again(err)
 				return
--- a/internal/once/translate.go
+++ b/internal/once/translate.go
@@ -47,17 +47,17 @@
 
 // ClaimEvent turns the outcome of a ClaimTransaction, guarded by a fence whose
 // verdict is given, into an event.
-func ClaimEvent(outcome store.Outcome, verdict Verdict, err error) Event {
+func ClaimEvent(outcome store.Outcome, verdict FenceStatus, err error) Event {
 	switch {
 	case errors.Is(err, store.ErrNotApplied):
 		return Event{Kind: EventNotApplied, Failure: storeFailure(err)}
 	case err != nil:
 		return Event{Kind: EventUnclear}
-	case verdict == VerdictRegressed && outcome.Applied:
+	case verdict == FenceRegressed && outcome.Applied:
 		return Event{Kind: EventRegressed, ModRevision: outcome.Revision, Failure: regressedFailure()}
-	case verdict == VerdictRegressed:
+	case verdict == FenceRegressed:
 		return Event{Kind: EventNotApplied, Failure: regressedFailure()}
-	case verdict == VerdictMoved:
+	case verdict == FenceChanged:
 		return Event{Kind: EventMoved}
 	case outcome.Applied:
 		return Event{Kind: EventClaimed, ModRevision: outcome.Revision}
--- a/internal/simulation/system/calls.go
+++ b/internal/simulation/system/calls.go
@@ -34,7 +34,7 @@
 type claimEntry struct {
 	key    string
 	begin  func() (store.Transaction, bool)
-	finish func(store.Outcome, once.Verdict, error)
+	finish func(store.Outcome, once.FenceStatus, error)
 	// claim is set if the entry is one.
 	claim *flight
 }
@@ -100,7 +100,7 @@
 			transaction, err := once.ClaimTransaction(f.record, 0)
 			return s.fence.Guard(transaction), err == nil
 		},
-		finish: func(outcome store.Outcome, verdict once.Verdict, err error) {
+		finish: func(outcome store.Outcome, verdict once.FenceStatus, err error) {
 			f.step(once.ClaimEvent(outcome, verdict, err))
 		},
 		claim: f,
@@ -128,7 +128,7 @@
 	}()
 	s.awaitMark()
 	batch := s.take()
-	if s.fence.Doubtful() && !s.probe(batch) {
+	if s.fence.ProbeRequired() && !s.probe(batch) {
 		return
 	}
 	var sent []claimEntry
@@ -222,7 +222,7 @@
 	f.service.submit(claimEntry{
 		key:   f.storeKey,
 		begin: func() (store.Transaction, bool) { return transaction, true },
-		finish: func(_ store.Outcome, _ once.Verdict, err error) {
+		finish: func(_ store.Outcome, _ once.FenceStatus, err error) {
 			if err != nil {
 				f.later(tries, func() { f.settle(transaction, tries+1) })
 				return
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -211,7 +211,7 @@
 	case membership.RecordDocument:
 		d.announced(document.Name(learned.Record.Key), learned.Record.Version, learned.From)
 	case membership.RecordStoreMark:
-		d.calls.fence.Learn(once.MarkOf(learned.Record.Version))
+		d.calls.fence.Merge(once.WatermarkFromVersion(learned.Record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, _ := strings.Cut(learned.Record.Key, "|")
 		if d.tracker != nil {
--- a/internal/simulation/system/fence.go
+++ b/internal/simulation/system/fence.go
@@ -17,7 +17,7 @@
 // awaitMark gives peers a moment after the start to tell their marks.
 func (s *callService) awaitMark() {
 	const poll = 20 * time.Millisecond
-	for !s.fence.Heard() && s.daemon.now().Sub(s.started) < once.AwaitMark {
+	for !s.fence.HasPeerWatermark() && s.daemon.now().Sub(s.started) < once.PeerWatermarkTimeout {
 		s.daemon.world.sleep(poll)
 	}
 }
@@ -25,7 +25,7 @@
 // probe finds out whether the store that failed a while ago is as new as it
 // was; if that cannot be found out, the batch is put off.
 func (s *callService) probe(batch []claimEntry) bool {
-	sent := s.fence.Mark()
+	sent := s.fence.Watermark()
 	outcomes, err := storeClient{s.daemon}.CommitAll(context.Background(), []store.Transaction{s.fence.Probe()})
 	if err == nil {
 		s.fence.Check(sent, outcomes[0], false)
@@ -35,9 +35,9 @@
 	for _, entry := range batch {
 		switch {
 		case entry.claim == nil:
-			entry.finish(store.Outcome{}, once.VerdictCurrent, err)
+			entry.finish(store.Outcome{}, once.FenceCurrent, err)
 		case errors.Is(err, store.ErrNotApplied):
-			entry.claim.step(once.ClaimEvent(store.Outcome{}, once.VerdictCurrent, err))
+			entry.claim.step(once.ClaimEvent(store.Outcome{}, once.FenceCurrent, err))
 		default:
 			s.daemon.process.After(s.daemon.world.jitter(claimAgainWait), func() { s.submit(entry) })
 		}
@@ -47,13 +47,13 @@
 
 // send commits transactions together with a probe of the fence.
 func (s *callService) send(sent []claimEntry, transactions []store.Transaction) {
-	mark := s.fence.Mark()
+	mark := s.fence.Watermark()
 	guarded := append(transactions, s.fence.Probe())
 	outcomes, err := storeClient{s.daemon}.CommitAll(context.Background(), guarded)
 	if err != nil {
-		s.fence.Doubt()
+		s.fence.RequireProbe()
 		for _, entry := range sent {
-			entry.finish(store.Outcome{}, once.VerdictCurrent, err)
+			entry.finish(store.Outcome{}, once.FenceCurrent, err)
 		}
 		s.judged()
 		return
@@ -70,8 +70,8 @@
 	if !s.fence.Urgent() {
 		return
 	}
-	if s.fence.Mark().Regressed {
-		s.daemon.world.tracef("%s finds the store regressed, mark %+v", s.daemon.id, s.fence.Mark())
+	if s.fence.Watermark().Regressed {
+		s.daemon.world.tracef("%s finds the store regressed, mark %+v", s.daemon.id, s.fence.Watermark())
 		s.daemon.world.checks.regressionFound(s.daemon)
 		s.tryFence()
 		s.daemon.world.regressionFound()
@@ -90,13 +90,13 @@
 
 // recheck looks for the acknowledgment of a regression.
 func (s *callService) recheck() {
-	if s.fence.Mark().Regressed {
+	if s.fence.Watermark().Regressed {
 		s.tryFence()
 	}
 	s.daemon.process.After(recheckEvery, s.recheck)
 }
 
-func (s *callService) announce(mark once.Mark, wanted bool) {
+func (s *callService) announce(mark once.Watermark, wanted bool) {
 	if !wanted {
 		return
 	}
@@ -118,7 +118,7 @@
 			transaction, err := s.fence.Close()
 			return transaction, err == nil
 		},
-		finish: func(_ store.Outcome, _ once.Verdict, err error) {
+		finish: func(_ store.Outcome, _ once.FenceStatus, err error) {
 			if err == nil {
 				s.fence.Closed()
 			}
@@ -164,7 +164,7 @@
 
 // acknowledge is once.Service.Acknowledge on the virtual clock.
 func (s *callService) acknowledge(author string) (bool, error) {
-	if !s.fence.Mark().Regressed {
+	if !s.fence.Watermark().Regressed {
 		return false, nil
 	}
 	access := storeClient{s.daemon}
