--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -229,7 +229,7 @@
 		b.judged(FenceCurrent)
 		return
 	}
-	verdict := b.fence.Check(mark, outcomes[len(sent)], Wrote(transactions, outcomes))
+	verdict := b.fence.Check(mark, outcomes[len(sent)], AnyWritten(transactions, outcomes))
 	for at, one := range sent {
 		one.finish(outcomes[at], verdict, nil)
 	}
--- a/internal/once/fence.go
+++ b/internal/once/fence.go
@@ -134,8 +134,8 @@
 	return store.Compare{Key: FenceKey, Absent: f.modRevision == 0, ModRevision: f.modRevision}
 }
 
-// Wrote tells whether any of some transactions changed the store.
-func Wrote(transactions []store.Transaction, outcomes []store.Outcome) bool {
+// AnyWritten tells whether any of some transactions changed the store.
+func AnyWritten(transactions []store.Transaction, outcomes []store.Outcome) bool {
 	for at, outcome := range outcomes {
 		if outcome.Applied && len(transactions[at].Writes) > 0 {
 			return true
@@ -225,18 +225,18 @@
 	}
 }
 
-// Announcement returns a mark that peers should be told: one that this daemon
+// TakeAnnouncement returns a mark that peers should be told: one that this daemon
 // found, that it has not told, and that no peer has told better.
-func (f *Fence) Announcement() (Watermark, bool) {
+func (f *Fence) TakeAnnouncement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.announcement()
 }
 
-// RoutineAnnouncement is Announcement for quiet times. It holds back while
+// TakePeriodicAnnouncement is Announcement for quiet times. It holds back while
 // peers announce, so that of any number of daemons only a few do in each
 // interval.
-func (f *Fence) RoutineAnnouncement() (Watermark, bool) {
+func (f *Fence) TakePeriodicAnnouncement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.heardNew {
@@ -254,10 +254,10 @@
 	return f.own, true
 }
 
-// Urgent tells whether there is something to announce at once: a regression,
+// HasUrgentAnnouncement tells whether there is something to announce at once: a regression,
 // a new epoch, or a revision that peers need to see through trouble with the
 // store.
-func (f *Fence) Urgent() bool {
+func (f *Fence) HasUrgentAnnouncement() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.own != f.mark || !f.own.newerThan(f.announced) {
@@ -266,33 +266,33 @@
 	return f.doubtful || f.own.Regressed != f.announced.Regressed || f.own.Epoch != f.announced.Epoch
 }
 
-// Unclosed tells whether this daemon found a regression and has not closed the
+// NeedsClose tells whether this daemon found a regression and has not closed the
 // fence in the store yet.
-func (f *Fence) Unclosed() bool {
+func (f *Fence) NeedsClose() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.unclosed && f.mark.Regressed
 }
 
-// Close returns the transaction that stops the claims of all daemons. It is
+// CloseTransaction returns the transaction that stops the claims of all daemons. It is
 // guarded, so that it has no effect once an operator has acknowledged.
-func (f *Fence) Close() (store.Transaction, error) {
+func (f *Fence) CloseTransaction() (store.Transaction, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.write(fenceRecord{Epoch: f.mark.Epoch, Closed: true, Author: f.holder}, f.modRevision)
 }
 
-// Closed notes that the store has answered to Close. A comparison that failed
+// ConfirmClosed notes that the store has answered to Close. A comparison that failed
 // means that somebody else wrote the fence first.
-func (f *Fence) Closed() {
+func (f *Fence) ConfirmClosed() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.unclosed = false
 }
 
-// Open returns the transaction that begins the next epoch, after a read of the
+// OpenTransaction returns the transaction that begins the next epoch, after a read of the
 // fence, and the epoch. The value is empty and modRevision 0 if it was absent.
-func (f *Fence) Open(author string, value []byte, modRevision int64) (store.Transaction, uint64, error) {
+func (f *Fence) OpenTransaction(author string, value []byte, modRevision int64) (store.Transaction, uint64, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	held := fenceRecord{}
@@ -317,8 +317,8 @@
 	}, nil
 }
 
-// Opened notes that an epoch began at a revision of the store.
-func (f *Fence) Opened(epoch uint64, revision int64) {
+// ConfirmOpened notes that an epoch began at a revision of the store.
+func (f *Fence) ConfirmOpened(epoch uint64, revision int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.modRevision = revision
--- a/internal/once/fence_test.go
+++ b/internal/once/fence_test.go
@@ -106,34 +106,34 @@
 func TestFenceAnnouncesOnlyWhatItFound(t *testing.T) {
 	fence := once.NewFence("a")
 	fence.Merge(once.Watermark{Revision: 4})
-	if _, wanted := fence.Announcement(); wanted {
+	if _, wanted := fence.TakeAnnouncement(); wanted {
 		t.Error("a peer's mark was announced again")
 	}
 	fence.Check(fence.Watermark(), store.Outcome{Applied: true, Revision: 6}, false)
-	if fence.Urgent() {
+	if fence.HasUrgentAnnouncement() {
 		t.Error("a higher revision is urgent")
 	}
 	fence.RequireProbe()
-	if !fence.Urgent() {
+	if !fence.HasUrgentAnnouncement() {
 		t.Error("a higher revision is not urgent in trouble")
 	}
-	if mark, wanted := fence.Announcement(); !wanted || mark.Revision != 6 {
+	if mark, wanted := fence.TakeAnnouncement(); !wanted || mark.Revision != 6 {
 		t.Errorf("%+v %v", mark, wanted)
 	}
 	fence.Check(fence.Watermark(), store.Outcome{Applied: true, Revision: 8}, false)
 	fence.Merge(once.Watermark{Revision: 9})
 	fence.Check(fence.Watermark(), store.Outcome{Applied: true, Revision: 10}, false)
-	if _, wanted := fence.RoutineAnnouncement(); wanted {
+	if _, wanted := fence.TakePeriodicAnnouncement(); wanted {
 		t.Error("announced while a peer announces")
 	}
-	if mark, wanted := fence.RoutineAnnouncement(); !wanted || mark.Revision != 10 {
+	if mark, wanted := fence.TakePeriodicAnnouncement(); !wanted || mark.Revision != 10 {
 		t.Errorf("%+v %v", mark, wanted)
 	}
-	if _, wanted := fence.Announcement(); wanted || fence.Urgent() {
+	if _, wanted := fence.TakeAnnouncement(); wanted || fence.HasUrgentAnnouncement() {
 		t.Error("the same mark is announced twice")
 	}
 	fence.Check(fence.Watermark(), store.Outcome{Applied: true, Revision: 2}, false)
-	if !fence.Urgent() || !fence.Unclosed() {
+	if !fence.HasUrgentAnnouncement() || !fence.NeedsClose() {
 		t.Error("a regression is not urgent")
 	}
 }
--- a/internal/once/regression.go
+++ b/internal/once/regression.go
@@ -68,9 +68,9 @@
 		if s.options.StoreUnhealthy() {
 			s.fence.RequireProbe()
 		}
-		s.tell(s.fence.RoutineAnnouncement())
+		s.tell(s.fence.TakePeriodicAnnouncement())
 		recheck := s.Regressed() && tick%recheckTicks == 0
-		if s.fence.Unclosed() || s.fence.ProbeRequired() || recheck {
+		if s.fence.NeedsClose() || s.fence.ProbeRequired() || recheck {
 			s.tryFence()
 		}
 	}
@@ -85,7 +85,7 @@
 
 // judged reacts to a verdict at once.
 func (s *Service) judged(FenceStatus) {
-	if !s.fence.Urgent() {
+	if !s.fence.HasUrgentAnnouncement() {
 		return
 	}
 	mark := s.fence.Watermark()
@@ -94,7 +94,7 @@
 			slog.Uint64("epoch", mark.Epoch), slog.Int64("revision", mark.Revision))
 		s.tryFence()
 	}
-	s.tell(s.fence.Announcement())
+	s.tell(s.fence.TakeAnnouncement())
 }
 
 // tryFence closes the store's fence if this daemon should, and reads it in any
@@ -103,16 +103,16 @@
 	s.batcher.submit(&entry{
 		key: FenceKey,
 		begin: func(store.Lease) (store.Transaction, bool) {
-			if !s.fence.Unclosed() {
+			if !s.fence.NeedsClose() {
 				return s.fence.Probe(), true
 			}
-			transaction, err := s.fence.Close()
+			transaction, err := s.fence.CloseTransaction()
 			return transaction, err == nil
 		},
 		refuse: func(error) {},
 		finish: func(_ store.Outcome, _ FenceStatus, err error) {
 			if err == nil {
-				s.fence.Closed()
+				s.fence.ConfirmClosed()
 			}
 		},
 	})
@@ -134,7 +134,7 @@
 	if err != nil {
 		return false, failure.Wrap(err, failure.StoreUnavailable, "read the fence")
 	}
-	transaction, epoch, err := s.fence.Open(author, value.Value, value.ModRevision)
+	transaction, epoch, err := s.fence.OpenTransaction(author, value.Value, value.ModRevision)
 	if err != nil {
 		return false, failure.Wrap(err, failure.Internal, "open the fence").WithNotRun(true)
 	}
@@ -148,9 +148,9 @@
 	if !outcomes[0].Applied {
 		return false, failure.New(failure.Conflict, "the fence was written at the same time; look at the status again")
 	}
-	s.fence.Opened(epoch, outcomes[0].Revision)
+	s.fence.ConfirmOpened(epoch, outcomes[0].Revision)
 	s.options.Logger.Info("calls are run again after a restore of the store",
 		slog.Uint64("epoch", epoch), slog.String("author", author))
-	s.tell(s.fence.Announcement())
+	s.tell(s.fence.TakeAnnouncement())
 	return true, nil
 }
--- a/internal/simulation/system/fence.go
+++ b/internal/simulation/system/fence.go
@@ -58,7 +58,7 @@
 		s.judged()
 		return
 	}
-	verdict := s.fence.Check(mark, outcomes[len(sent)], once.Wrote(guarded, outcomes))
+	verdict := s.fence.Check(mark, outcomes[len(sent)], once.AnyWritten(guarded, outcomes))
 	for at, entry := range sent {
 		entry.finish(outcomes[at], verdict, nil)
 	}
@@ -67,7 +67,7 @@
 
 // judged announces what is urgent, and closes the fence after a regression.
 func (s *callService) judged() {
-	if !s.fence.Urgent() {
+	if !s.fence.HasUrgentAnnouncement() {
 		return
 	}
 	if s.fence.Watermark().Regressed {
@@ -76,13 +76,13 @@
 		s.tryFence()
 		s.daemon.world.regressionFound()
 	}
-	s.announce(s.fence.Announcement())
+	s.announce(s.fence.TakeAnnouncement())
 }
 
 // tend announces marks and tries the fence now and then.
 func (s *callService) tend() {
-	s.announce(s.fence.RoutineAnnouncement())
-	if s.fence.Unclosed() {
+	s.announce(s.fence.TakePeriodicAnnouncement())
+	if s.fence.NeedsClose() {
 		s.tryFence()
 	}
 	s.daemon.process.After(once.AnnounceInterval, s.tend)
@@ -112,15 +112,15 @@
 	s.submit(claimEntry{
 		key: once.FenceKey,
 		begin: func() (store.Transaction, bool) {
-			if !s.fence.Unclosed() {
+			if !s.fence.NeedsClose() {
 				return s.fence.Probe(), true
 			}
-			transaction, err := s.fence.Close()
+			transaction, err := s.fence.CloseTransaction()
 			return transaction, err == nil
 		},
 		finish: func(_ store.Outcome, _ once.FenceStatus, err error) {
 			if err == nil {
-				s.fence.Closed()
+				s.fence.ConfirmClosed()
 			}
 		},
 	})
@@ -172,7 +172,7 @@
 	if err != nil {
 		return false, err
 	}
-	transaction, epoch, err := s.fence.Open(author, value.Value, value.ModRevision)
+	transaction, epoch, err := s.fence.OpenTransaction(author, value.Value, value.ModRevision)
 	if err != nil {
 		return false, err
 	}
@@ -183,7 +183,7 @@
 	if !outcome.Applied {
 		return false, store.ErrNotApplied
 	}
-	s.fence.Opened(epoch, outcome.Revision)
-	s.announce(s.fence.Announcement())
+	s.fence.ConfirmOpened(epoch, outcome.Revision)
+	s.announce(s.fence.TakeAnnouncement())
 	return true, nil
 }
