--- a/internal/once/core.go
+++ b/internal/once/core.go
@@ -43,10 +43,10 @@
 	// EventNotApplied: the store certainly did not take the claim; Failure is
 	// set.
 	EventNotApplied
-	// EventUnclear: the store may have taken the claim.
-	EventUnclear
-	// EventMoved: the claim was not applied, as the fence was written meanwhile.
-	EventMoved
+	// EventOutcomeUnknown: the store may have taken the claim.
+	EventOutcomeUnknown
+	// EventFenceChanged: the claim was not applied, as the fence was written meanwhile.
+	EventFenceChanged
 	// EventRegressed: the claim was created at ModRevision, in a store that
 	// went back to an older state; Failure is set.
 	EventRegressed
@@ -68,10 +68,10 @@
 
 // The reasons.
 const (
-	// CallerLeft: the caller cancelled its request.
-	CallerLeft GiveUpReason = iota
-	// DeadlinePassed: the call's own time is over.
-	DeadlinePassed
+	// CallerCanceled: the caller cancelled its request.
+	CallerCanceled GiveUpReason = iota
+	// DeadlineExceeded: the call's own time is over.
+	DeadlineExceeded
 	// StoreTimeout: the store took too long; it counts only before dispatch.
 	StoreTimeout
 )
@@ -93,12 +93,12 @@
 const (
 	// ActionClaim: send the claim, create-if-absent.
 	ActionClaim ActionKind = iota
-	// ActionQueue: put the claim into the queue again.
-	ActionQueue
+	// ActionRequeue: put the claim into the queue again.
+	ActionRequeue
 	// ActionDispatch: call the back end.
 	ActionDispatch
-	// ActionAnswer: give the caller Result or Failure.
-	ActionAnswer
+	// ActionRespond: give the caller Result or Failure.
+	ActionRespond
 	// ActionRecord: write Result over the claim at ModRevision.
 	ActionRecord
 	// ActionRelease: delete the claim, guarded by its ID; its revision is
@@ -196,15 +196,15 @@
 		return m.heldByOther(now, event.Record)
 	case EventNotApplied:
 		return m.leaveQueue(event.Failure)
-	case EventUnclear:
+	case EventOutcomeUnknown:
 		// Sending the claim again reads back and claims in one transaction:
 		// if it is there already, the key is held under our own claim ID.
 		m.maybeWritten = true
 		m.state = StateQueued
-		return []Action{{Kind: ActionQueue}}
-	case EventMoved:
+		return []Action{{Kind: ActionRequeue}}
+	case EventFenceChanged:
 		m.state = StateQueued
-		return []Action{{Kind: ActionQueue}}
+		return []Action{{Kind: ActionRequeue}}
 	case EventRegressed:
 		m.modRevision = event.ModRevision
 		return m.release(event.Failure)
@@ -237,9 +237,9 @@
 			return m.release(nil)
 		}
 		m.state = StateEnded
-	case EventUnclear:
+	case EventOutcomeUnknown:
 		return m.release(nil)
-	case EventNotApplied, EventMoved:
+	case EventNotApplied, EventFenceChanged:
 		if m.maybeWritten {
 			return m.release(nil)
 		}
@@ -252,7 +252,7 @@
 	switch event.Kind {
 	case EventReplied:
 		m.state = StateRecording
-		actions := m.answer(Action{Kind: ActionAnswer, Result: event.Result})
+		actions := m.answer(Action{Kind: ActionRespond, Result: event.Result})
 		return append(actions, Action{Kind: ActionRecord, Result: event.Result, ModRevision: m.modRevision})
 	case EventRefused:
 		return m.release(event.Failure.WithNotRun(true))
@@ -281,7 +281,7 @@
 }
 
 func (m *Machine) fail(cause *failure.Error) []Action {
-	return m.answer(Action{Kind: ActionAnswer, Failure: cause})
+	return m.answer(Action{Kind: ActionRespond, Failure: cause})
 }
 
 // answer gives the caller its one answer; a later one is dropped.
--- a/internal/once/flight.go
+++ b/internal/once/flight.go
@@ -51,11 +51,11 @@
 	switch action.Kind {
 	case ActionClaim:
 		return true
-	case ActionQueue:
+	case ActionRequeue:
 		time.AfterFunc(rand.N(claimAgainWait), func() { f.service.queueClaim(f) })
 	case ActionDispatch:
 		go f.dispatch()
-	case ActionAnswer:
+	case ActionRespond:
 		f.answers <- action
 	case ActionRecord:
 		f.service.record(f, action)
@@ -84,7 +84,7 @@
 			f.step(Event{Kind: EventGiveUp, Reason: reasonOf(ctx)})
 		case <-deadline:
 			deadline = nil
-			f.step(Event{Kind: EventGiveUp, Reason: DeadlinePassed})
+			f.step(Event{Kind: EventGiveUp, Reason: DeadlineExceeded})
 		case <-storeLimit.C:
 			f.step(Event{Kind: EventGiveUp, Reason: StoreTimeout})
 		}
@@ -93,9 +93,9 @@
 
 func reasonOf(ctx context.Context) GiveUpReason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return DeadlinePassed
+		return DeadlineExceeded
 	}
-	return CallerLeft
+	return CallerCanceled
 }
 
 // queueClaim queues the claim of a call.
--- a/internal/once/held.go
+++ b/internal/once/held.go
@@ -23,7 +23,7 @@
 			record.Key, record.ResultBytes)
 		return m.fail(failure.New(failure.Conflict, detail).WithNotRun(false))
 	case record.State == RecordDone:
-		return m.answer(Action{Kind: ActionAnswer, Result: record.Result, Repeated: true})
+		return m.answer(Action{Kind: ActionRespond, Result: record.Result, Repeated: true})
 	case now.UnixMilli() > record.NotAfterUnixMilliseconds+lostHolderAfter.Milliseconds():
 		detail := fmt.Sprintf("key %q was claimed by %s, which recorded no outcome", record.Key, record.Holder)
 		return m.fail(failure.New(failure.OutcomeUnknown, detail))
@@ -41,9 +41,9 @@
 // notDispatched is the answer to a call given up before its dispatch.
 func notDispatched(reason GiveUpReason) *failure.Error {
 	switch reason {
-	case CallerLeft:
+	case CallerCanceled:
 		return failure.New(failure.Canceled, "the caller left before the call was dispatched").WithNotRun(true)
-	case DeadlinePassed:
+	case DeadlineExceeded:
 		return notClaimed("the deadline passed before the store confirmed the claim")
 	default:
 		return notClaimed("the store did not confirm the claim in time")
@@ -52,7 +52,7 @@
 
 // dispatched is the answer to a call given up after its dispatch.
 func dispatched(reason GiveUpReason) *failure.Error {
-	if reason == CallerLeft {
+	if reason == CallerCanceled {
 		return failure.New(failure.Canceled, "the caller left while the call was running").WithNotRun(false)
 	}
 	return failure.New(failure.OutcomeUnknown, "the deadline passed while the call was running").WithNotRun(false)
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -72,9 +72,9 @@
 	return buffer.Bytes()
 }
 
-// Done returns the record of a finished call; a result over maxResult bytes
+// WithResult returns the record of a finished call; a result over maxResult bytes
 // is left out.
-func (r Record) Done(result json.RawMessage, maxResult int, unixMilliseconds int64) Record {
+func (r Record) WithResult(result json.RawMessage, maxResult int, unixMilliseconds int64) Record {
 	r.State = RecordDone
 	r.TimeUnixMilliseconds = unixMilliseconds
 	if len(result) > maxResult {
--- a/internal/once/settle.go
+++ b/internal/once/settle.go
@@ -65,7 +65,7 @@
 // record writes the result over the claim.
 func (s *Service) record(f *flight, action Action) {
 	work := s.newSettling(f, "record")
-	finished := f.record.Done(action.Result, s.options.MaxResultBytes, s.options.Now().UnixMilli())
+	finished := f.record.WithResult(action.Result, s.options.MaxResultBytes, s.options.Now().UnixMilli())
 	f.mutex.Lock()
 	lease := f.lease
 	f.mutex.Unlock()
@@ -104,7 +104,7 @@
 		t.again(err)
 		return
 	}
-	if !OwnClaim(value.Value, t.flight.record.ClaimID) {
+	if !IsPendingClaim(value.Value, t.flight.record.ClaimID) {
 		t.end()
 		return
 	}
--- a/internal/once/translate.go
+++ b/internal/once/translate.go
@@ -52,13 +52,13 @@
 	case errors.Is(err, store.ErrNotApplied):
 		return Event{Kind: EventNotApplied, Failure: storeFailure(err)}
 	case err != nil:
-		return Event{Kind: EventUnclear}
+		return Event{Kind: EventOutcomeUnknown}
 	case verdict == FenceRegressed && outcome.Applied:
 		return Event{Kind: EventRegressed, ModRevision: outcome.Revision, Failure: regressedFailure()}
 	case verdict == FenceRegressed:
 		return Event{Kind: EventNotApplied, Failure: regressedFailure()}
 	case verdict == FenceChanged:
-		return Event{Kind: EventMoved}
+		return Event{Kind: EventFenceChanged}
 	case outcome.Applied:
 		return Event{Kind: EventClaimed, ModRevision: outcome.Revision}
 	default:
@@ -74,20 +74,20 @@
 			return heldBy(current)
 		}
 	}
-	return Event{Kind: EventUnclear}
+	return Event{Kind: EventOutcomeUnknown}
 }
 
 func heldBy(current store.KeyValue) Event {
 	held, err := decodeRecord(current.Value)
 	if err != nil {
-		return Event{Kind: EventUnclear}
+		return Event{Kind: EventOutcomeUnknown}
 	}
 	return Event{Kind: EventHeld, Record: held, ModRevision: current.ModRevision}
 }
 
-// OwnClaim tells whether a stored value is a claim of this ID that has no
+// IsPendingClaim tells whether a stored value is a claim of this ID that has no
 // result yet, so that its owner may release it.
-func OwnClaim(value []byte, claimID string) bool {
+func IsPendingClaim(value []byte, claimID string) bool {
 	held, err := decodeRecord(value)
 	return err == nil && held.ClaimID == claimID && held.State == RecordClaimed
 }
--- a/internal/simulation/system/actors.go
+++ b/internal/simulation/system/actors.go
@@ -193,7 +193,7 @@
 		})
 		if w.engine.Random().IntN(leaveEarlyOdds) == 0 {
 			target.process.After(w.jitter(leaveWithin), func() {
-				started.step(once.Event{Kind: once.EventGiveUp, Reason: once.CallerLeft})
+				started.step(once.Event{Kind: once.EventGiveUp, Reason: once.CallerCanceled})
 			})
 		}
 	}, again)
--- a/internal/simulation/system/calls.go
+++ b/internal/simulation/system/calls.go
@@ -77,7 +77,7 @@
 		return started
 	}
 	d.process.After(deadline.Sub(d.now()), func() {
-		started.step(once.Event{Kind: once.EventGiveUp, Reason: once.DeadlinePassed})
+		started.step(once.Event{Kind: once.EventGiveUp, Reason: once.DeadlineExceeded})
 	})
 	d.process.After(storeTimeout, func() {
 		started.step(once.Event{Kind: once.EventGiveUp, Reason: once.StoreTimeout})
@@ -174,11 +174,11 @@
 	switch action.Kind {
 	case once.ActionClaim:
 		return true
-	case once.ActionQueue:
+	case once.ActionRequeue:
 		d.process.After(d.world.jitter(claimAgainWait), func() { f.service.claim(f) })
 	case once.ActionDispatch:
 		d.process.After(0, func() { d.world.spawn(d.process, func(t *task) { t.flight = f }, f.dispatch) })
-	case once.ActionAnswer:
+	case once.ActionRespond:
 		f.saidNotRun = action.Failure != nil && action.Failure.NotRun
 		if f.answered {
 			f.service.daemon.world.violate(PromiseAnswer, "call %s at %s was answered twice", f.call.Key, f.service.daemon.id)
@@ -186,7 +186,7 @@
 		f.answered = true
 		f.answer(action)
 	case once.ActionRecord:
-		finished := f.record.Done(action.Result, keptResult, d.now().UnixMilli())
+		finished := f.record.WithResult(action.Result, keptResult, d.now().UnixMilli())
 		if transaction, err := once.ResultTransaction(finished, action.ModRevision, 0); err == nil {
 			f.settle(transaction, 0)
 		}
@@ -261,7 +261,7 @@
 			switch {
 			case err != nil || !found:
 				f.later(tries, func() { f.find(tries + 1) })
-			case !once.OwnClaim(value.Value, f.record.ClaimID):
+			case !once.IsPendingClaim(value.Value, f.record.ClaimID):
 				f.step(once.Event{Kind: once.EventSettled})
 			default:
 				f.settle(once.ReleaseTransaction(f.storeKey, value.ModRevision), 0)
