--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,16 +137,16 @@
 	d.assembleMembership(place)
 	d.assembleDocuments()
 	d.calls = once.New(once.Options{
-		Store:        d.store,
-		Dispatcher:   d.pool,
-		Holder:       d.id,
-		Logger:       d.logger,
-		Registerer:   d.registry,
-		StoreTimeout: d.settings.Store.Timeout,
-		HasPeers:     d.seeds.mayHaveSeeds,
+		Store:          d.store,
+		Dispatcher:     d.pool,
+		Holder:         d.id,
+		Logger:         d.logger,
+		Registerer:     d.registry,
+		StoreTimeout:   d.settings.Store.Timeout,
+		HasPeers:       d.seeds.mayHaveSeeds,
 		StoreUnhealthy: d.storeUnreachable,
-		Announce:     d.announceMark,
-		WithTimeout:  d.meter.WithTimeout,
+		Announce:       d.announceMark,
+		WithTimeout:    d.meter.WithTimeout,
 	})
 	d.queries = query.NewService(query.Options{
 		Board:      d.board,
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -6,7 +6,7 @@
 
 // MaxEra and MaxSequence are the highest era and number that a revision can hold.
 const (
-	MaxEra    = 1<<(63-eraBits) - 1
+	MaxEra      = 1<<(63-eraBits) - 1
 	MaxSequence = 1<<eraBits - 1
 )
 
