--- a/internal/once/activecall.go
+++ b/internal/once/activecall.go
@@ -13,147 +13,146 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// claimAgainWait is the greatest wait before an unclear claim is sent again.
-const claimAgainWait = 50 * time.Millisecond
+// maxClaimRetryDelay is the maximum delay before a claim is sent again.
+const maxClaimRetryDelay = 50 * time.Millisecond
 
-// flight is one call under way.
-type flight struct {
-	service  *Service
-	call     client.Call
-	storeKey string
-	record   Record
-	deadline time.Time
-	answers  chan Action
+// activeCall drives the Machine of one call.
+type activeCall struct {
+	service   *Service
+	call      client.Call
+	storeKey  string
+	record    Record
+	deadline  time.Time
+	responses chan Action
 
 	mutex   sync.Mutex
 	machine *Machine
 	lease   store.Lease
 }
 
-// step gives the machine an event and runs what it wants, except a claim,
-// which it returns as wanted.
-func (f *flight) step(event Event) (claim bool) {
-	f.mutex.Lock()
-	before := f.machine.State()
-	actions := f.machine.Step(f.service.options.Now(), event)
-	ended := before != StateEnded && f.machine.State() == StateEnded
-	f.mutex.Unlock()
+// step passes an event to the machine and executes the resulting actions, except
+// ActionClaim: claim reports whether the caller must send the claim.
+func (c *activeCall) step(event Event) (claim bool) {
+	c.mutex.Lock()
+	before := c.machine.State()
+	actions := c.machine.Step(c.service.options.Now(), event)
+	ended := before != StateEnded && c.machine.State() == StateEnded
+	c.mutex.Unlock()
 	for _, action := range actions {
-		claim = f.execute(action) || claim
+		claim = c.execute(action) || claim
 	}
 	if ended {
-		f.service.flights.done()
+		c.service.activeCalls.done()
 	}
 	return claim
 }
 
-func (f *flight) execute(action Action) (claim bool) {
+func (c *activeCall) execute(action Action) (claim bool) {
 	switch action.Kind {
 	case ActionClaim:
 		return true
 	case ActionRequeue:
-		time.AfterFunc(rand.N(claimAgainWait), func() { f.service.queueClaim(f) })
+		time.AfterFunc(rand.N(maxClaimRetryDelay), func() { c.service.queueClaim(c) })
 	case ActionDispatch:
-		go f.dispatch()
+		go c.dispatch()
 	case ActionRespond:
-		f.answers <- action
+		c.responses <- action
 	case ActionRecord:
-		f.service.record(f, action)
+		c.service.recordResult(c, action)
 	case ActionRelease:
-		f.service.release(f, action)
+		c.service.releaseClaim(c, action)
 	}
 	return false
 }
 
-// await returns the call's answer, giving up when the caller leaves or a time
-// limit passes.
-func (f *flight) await(ctx context.Context) Action {
-	left := f.deadline.Sub(f.service.options.Now())
-	bounded, cancel := f.service.options.WithTimeout(context.Background(), left)
+// await returns the response to the caller. It gives the call up when ctx is
+// done or a timeout expires.
+func (c *activeCall) await(ctx context.Context) Action {
+	remaining := c.deadline.Sub(c.service.options.Now())
+	deadlineCtx, cancel := c.service.options.WithTimeout(context.Background(), remaining)
 	defer cancel()
-	deadline := bounded.Done()
-	storeLimit := time.NewTimer(f.service.options.StoreTimeout)
-	defer storeLimit.Stop()
-	leaving := ctx.Done()
+	deadline := deadlineCtx.Done()
+	storeTimer := time.NewTimer(c.service.options.StoreTimeout)
+	defer storeTimer.Stop()
+	canceled := ctx.Done()
 	for {
 		select {
-		case given := <-f.answers:
-			return given
-		case <-leaving:
-			leaving = nil
-			f.step(Event{Kind: EventGiveUp, Reason: reasonOf(ctx)})
+		case response := <-c.responses:
+			return response
+		case <-canceled:
+			canceled = nil
+			c.step(Event{Kind: EventGiveUp, Reason: giveUpReason(ctx)})
 		case <-deadline:
 			deadline = nil
-			f.step(Event{Kind: EventGiveUp, Reason: DeadlineExceeded})
-		case <-storeLimit.C:
-			f.step(Event{Kind: EventGiveUp, Reason: StoreTimeout})
+			c.step(Event{Kind: EventGiveUp, Reason: DeadlineExceeded})
+		case <-storeTimer.C:
+			c.step(Event{Kind: EventGiveUp, Reason: StoreTimeout})
 		}
 	}
 }
 
-func reasonOf(ctx context.Context) GiveUpReason {
+func giveUpReason(ctx context.Context) GiveUpReason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return DeadlineExceeded
 	}
 	return CallerCanceled
 }
 
-// queueClaim queues the claim of a call.
-func (s *Service) queueClaim(f *flight) {
-	s.batcher.submit(&entry{
-		key:    f.storeKey,
-		leased: true,
-		begin:  f.beginClaim,
-		finish: f.finishClaim,
-		refuse: func(err error) { f.step(Event{Kind: EventNotApplied, Failure: storeFailure(err)}) },
+func (s *Service) queueClaim(c *activeCall) {
+	s.batcher.submit(&queuedTransaction{
+		key:        c.storeKey,
+		needsLease: true,
+		prepare:    c.prepareClaim,
+		complete:   c.completeClaim,
+		reject:     func(err error) { c.step(Event{Kind: EventNotApplied, Failure: storeFailure(err)}) },
 	})
 }
 
-func (f *flight) beginClaim(lease store.Lease) (store.Transaction, bool) {
-	if !f.step(Event{Kind: EventSending}) {
+func (c *activeCall) prepareClaim(lease store.Lease) (store.Transaction, bool) {
+	if !c.step(Event{Kind: EventSending}) {
 		return store.Transaction{}, false
 	}
-	f.mutex.Lock()
-	f.lease = lease
-	f.mutex.Unlock()
-	if refused := f.service.fence.Admit(); refused != nil {
-		f.step(Event{Kind: EventNotApplied, Failure: refused})
+	c.mutex.Lock()
+	c.lease = lease
+	c.mutex.Unlock()
+	if rejection := c.service.fence.Admit(); rejection != nil {
+		c.step(Event{Kind: EventNotApplied, Failure: rejection})
 		return store.Transaction{}, false
 	}
-	transaction, err := ClaimTransaction(f.record, lease)
+	transaction, err := ClaimTransaction(c.record, lease)
 	if err != nil {
-		cause := failure.Wrap(err, failure.Internal, "encode the claim").WithNotRun(true)
-		f.step(Event{Kind: EventNotApplied, Failure: cause})
+		cause := failure.Wrap(err, failure.Internal, "encode claim").WithNotRun(true)
+		c.step(Event{Kind: EventNotApplied, Failure: cause})
 		return store.Transaction{}, false
 	}
-	return f.service.fence.Guard(transaction), true
+	return c.service.fence.Guard(transaction), true
 }
 
-func (f *flight) finishClaim(outcome store.Outcome, verdict FenceStatus, err error) {
-	f.step(ClaimEvent(outcome, verdict, err))
+func (c *activeCall) completeClaim(outcome store.Outcome, status FenceStatus, err error) {
+	c.step(ClaimEvent(outcome, status, err))
 }
 
-// dispatch calls the back end. The call goes on when the caller leaves, so
+// dispatch calls the back end. The call continues when the caller cancels, so
 // that its result can be recorded.
-func (f *flight) dispatch() {
-	left := f.deadline.Sub(f.service.options.Now())
-	if left < time.Millisecond {
-		late := failure.New(failure.DeadlineExceeded, "the deadline passed before dispatch")
-		f.step(Event{Kind: EventRefused, Failure: late})
+func (c *activeCall) dispatch() {
+	remaining := c.deadline.Sub(c.service.options.Now())
+	if remaining < time.Millisecond {
+		cause := failure.New(failure.DeadlineExceeded, "deadline passed before dispatch")
+		c.step(Event{Kind: EventRefused, Failure: cause})
 		return
 	}
-	if refused := f.service.fence.Admit(); refused != nil {
-		f.step(Event{Kind: EventRefused, Failure: refused})
+	if rejection := c.service.fence.Admit(); rejection != nil {
+		c.step(Event{Kind: EventRefused, Failure: rejection})
 		return
 	}
-	ctx, cancel := f.service.options.WithTimeout(context.Background(), left)
+	ctx, cancel := c.service.options.WithTimeout(context.Background(), remaining)
 	defer cancel()
-	reply, err := f.service.options.Dispatcher.Call(ctx, f.call.Service, backendapi.CallRequest{
-		Key:                      f.call.Key,
-		Operation:                f.call.Operation,
-		Payload:                  f.call.Payload,
-		TimeoutMilliseconds:      left.Milliseconds(),
-		NotAfterUnixMilliseconds: f.record.NotAfterUnixMilliseconds,
+	reply, err := c.service.options.Dispatcher.Call(ctx, c.call.Service, backendapi.CallRequest{
+		Key:                      c.call.Key,
+		Operation:                c.call.Operation,
+		Payload:                  c.call.Payload,
+		TimeoutMilliseconds:      remaining.Milliseconds(),
+		NotAfterUnixMilliseconds: c.record.NotAfterUnixMilliseconds,
 	})
-	f.step(DispatchEvent(f.call.Key, reply, err))
+	c.step(DispatchEvent(c.call.Key, reply, err))
 }
--- a/internal/once/activecalls.go
+++ b/internal/once/activecalls.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// flights counts the calls under way, so that a stop can wait for them.
-type flights struct {
-	mutex   sync.Mutex
-	count   int
-	closing bool
-	idle    chan struct{}
+// activeCalls counts active calls, so that shutdown can wait for them.
+type activeCalls struct {
+	mutex    sync.Mutex
+	count    int
+	draining bool
+	idle     chan struct{}
 }
 
-func newFlights() *flights {
-	return &flights{idle: make(chan struct{})}
+func newActiveCalls() *activeCalls {
+	return &activeCalls{idle: make(chan struct{})}
 }
 
-// open counts a new call; it is false after close.
-func (f *flights) open() bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if f.closing {
+// begin adds a call. It returns false once drain was called.
+func (a *activeCalls) begin() bool {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if a.draining {
 		return false
 	}
-	f.count++
+	a.count++
 	return true
 }
 
-func (f *flights) done() {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.count--
-	if f.closing && f.count == 0 {
-		close(f.idle)
+func (a *activeCalls) done() {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	a.count--
+	if a.draining && a.count == 0 {
+		close(a.idle)
 	}
 }
 
-func (f *flights) closed() bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return f.closing
+func (a *activeCalls) isDraining() bool {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	return a.draining
 }
 
-// close refuses new calls and waits for those under way, at most for limit.
-func (f *flights) close(limit time.Duration) {
-	f.mutex.Lock()
-	f.closing = true
-	waiting := f.count > 0
-	f.mutex.Unlock()
-	if !waiting {
+// drain rejects new calls and waits for active ones, at most for timeout.
+func (a *activeCalls) drain(timeout time.Duration) {
+	a.mutex.Lock()
+	a.draining = true
+	hasCalls := a.count > 0
+	a.mutex.Unlock()
+	if !hasCalls {
 		return
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-f.idle:
+	case <-a.idle:
 	case <-timer.C:
 	}
 }
--- a/internal/once/batcher.go
+++ b/internal/once/batcher.go
@@ -13,47 +13,46 @@
 )
 
 const (
-	// maxBatch is the greatest number of transactions in one request; etcd
-	// allows 128 operations.
-	maxBatch = 64
-	// maxQueue bounds the transactions that wait.
-	maxQueue = 20000
+	// maxBatchTransactions is the maximum number of transactions in a request.
+	// etcd allows 128 operations per transaction.
+	maxBatchTransactions = 64
+	// maxQueuedTransactions limits the length of the queue.
+	maxQueuedTransactions = 20000
 )
 
-// errStopped says that the service runs no more.
-var errStopped = eris.New("the service of at-most-once calls has stopped")
+var errServiceStopped = eris.New("at-most-once service stopped")
 
-// errQueueFull says that too many transactions wait.
-var errQueueFull = eris.New("too many claims wait for the store")
+var errQueueFull = eris.New("too many transactions queued for the store")
 
-// entry is one transaction that waits to be committed.
-type entry struct {
+// queuedTransaction is a transaction waiting to be committed.
+type queuedTransaction struct {
 	key string
-	// begin is called when the transaction is about to be sent; ok is false
-	// when it is no longer wanted.
-	begin func(lease store.Lease) (transaction store.Transaction, ok bool)
-	// finish is called with the outcome and what it says of the store, once, if
-	// begin returned ok. It must not block.
-	finish func(outcome store.Outcome, verdict FenceStatus, err error)
-	// refuse is called in place of begin when nothing can be sent.
-	refuse func(err error)
-	// leased is true when begin needs a lease.
-	leased bool
+	// prepare returns the transaction when it is about to be sent. ok is false
+	// if it is no longer needed.
+	prepare func(lease store.Lease) (transaction store.Transaction, ok bool)
+	// complete is called once with the outcome and the fence status if prepare
+	// returned ok. It must not block.
+	complete func(outcome store.Outcome, status FenceStatus, err error)
+	// reject is called instead of prepare if the transaction cannot be sent.
+	reject func(err error)
+	// needsLease is set if prepare needs a lease.
+	needsLease bool
 }
 
-// batcher commits transactions one request at a time; those that come
-// meanwhile form the next request, so that grouping adds no wait.
+// batcher commits transactions in batches, one request at a time. Transactions
+// submitted during a request form the next batch, so that batching adds no
+// delay.
 type batcher struct {
 	committer store.Committer
 	leases    *leases
 	fence     *Fence
-	// judged is called after each verdict. It must not block.
-	judged  func(FenceStatus)
-	timeout time.Duration
-	metrics *metrics
+	// onStatus is called after each commit or probe. It must not block.
+	onStatus func(FenceStatus)
+	timeout  time.Duration
+	metrics  *metrics
 
 	mutex   sync.Mutex
-	queue   []*entry
+	queue   []*queuedTransaction
 	stopped bool
 	wake    chan struct{}
 }
@@ -63,17 +62,18 @@
 		committer: committer,
 		leases:    leases,
 		fence:     fence,
-		judged:    func(FenceStatus) {},
+		onStatus:  func(FenceStatus) {},
 		timeout:   timeout,
 		metrics:   metrics,
 		wake:      make(chan struct{}, 1),
 	}
 }
 
-// submit queues a transaction, or refuses it at once.
-func (b *batcher) submit(one *entry) {
-	if err := b.push(one); err != nil {
-		one.refuse(err)
+// submit queues a transaction, or rejects it if the batcher has stopped or the
+// queue is full.
+func (b *batcher) submit(queued *queuedTransaction) {
+	if err := b.enqueue(queued); err != nil {
+		queued.reject(err)
 		return
 	}
 	select {
@@ -82,23 +82,23 @@
 	}
 }
 
-func (b *batcher) push(one *entry) error {
+func (b *batcher) enqueue(queued *queuedTransaction) error {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.stopped {
-		return errStopped
+		return errServiceStopped
 	}
-	if len(b.queue) >= maxQueue {
+	if len(b.queue) >= maxQueuedTransactions {
 		return errQueueFull
 	}
-	b.queue = append(b.queue, one)
+	b.queue = append(b.queue, queued)
 	return nil
 }
 
-// run commits until ctx ends, then refuses what waits.
+// run commits batches until ctx is done, then rejects the queued transactions.
 func (b *batcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		batch := b.take()
+		batch := b.nextBatch()
 		if len(batch) > 0 {
 			b.commit(ctx, batch)
 			continue
@@ -108,65 +108,65 @@
 		case <-b.wake:
 		}
 	}
-	for _, one := range b.stop() {
-		one.refuse(errStopped)
+	for _, queued := range b.stop() {
+		queued.reject(errServiceStopped)
 	}
 }
 
-func (b *batcher) stop() []*entry {
+func (b *batcher) stop() []*queuedTransaction {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.stopped = true
-	left := b.queue
+	remaining := b.queue
 	b.queue = nil
-	return left
+	return remaining
 }
 
-// take removes the next batch from the queue; a key that is in it already
-// waits for the next.
-func (b *batcher) take() []*entry {
+// nextBatch removes the next batch from the queue. Each key occurs at most once
+// in a batch; further transactions on it stay queued.
+func (b *batcher) nextBatch() []*queuedTransaction {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	keys := make(map[string]bool)
-	var batch, left []*entry
-	for at, one := range b.queue {
-		if len(batch) == maxBatch {
-			left = append(left, b.queue[at:]...)
+	var batch, remaining []*queuedTransaction
+	for i, queued := range b.queue {
+		if len(batch) == maxBatchTransactions {
+			remaining = append(remaining, b.queue[i:]...)
 			break
 		}
-		if keys[one.key] {
-			left = append(left, one)
+		if keys[queued.key] {
+			remaining = append(remaining, queued)
 			continue
 		}
-		keys[one.key] = true
-		batch = append(batch, one)
+		keys[queued.key] = true
+		batch = append(batch, queued)
 	}
-	b.queue = left
+	b.queue = remaining
 	return batch
 }
 
-// commit sends one batch. The request outlives ctx, as breaking it off would
-// make its outcome unclear.
-func (b *batcher) commit(ctx context.Context, batch []*entry) {
+// commit sends one batch. It is not canceled with ctx, as the outcome of a
+// canceled request is unknown.
+func (b *batcher) commit(ctx context.Context, batch []*queuedTransaction) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.timeout)
 	defer cancel()
 	if b.fence.ProbeRequired() {
 		if err := b.probe(ctx); err != nil {
-			b.postpone(batch, err)
+			b.requeue(batch, err)
 			return
 		}
 	}
 	lease, err := b.leaseFor(ctx, batch)
-	var sent []*entry
+	var sent []*queuedTransaction
 	var transactions []store.Transaction
-	for _, one := range batch {
-		if one.leased && err != nil {
+	for _, queued := range batch {
+		if queued.needsLease && err != nil {
 			b.fence.RequireProbe()
-			one.refuse(err)
+			queued.reject(err)
 			continue
 		}
-		if transaction, ok := one.begin(lease); ok {
-			sent = append(sent, one)
+		if transaction, ok := queued.prepare(lease); ok {
+			sent = append(sent, queued)
 			transactions = append(transactions, transaction)
 		}
 	}
@@ -175,63 +175,64 @@
 	}
 }
 
-// probe finds out, without writing, whether the store that failed a while ago
-// is as new as it was.
+// probe checks, without writing, whether the store was restored to an older
+// state since a request failed.
 func (b *batcher) probe(ctx context.Context) error {
-	sent := b.fence.Watermark()
+	before := b.fence.Watermark()
 	outcomes, err := b.committer.CommitAll(ctx, []store.Transaction{b.fence.Probe()})
 	if err != nil {
 		return err
 	}
 	if len(outcomes) != 1 {
-		return eris.Wrapf(store.ErrUnavailable, "%d outcomes for a probe", len(outcomes))
+		return eris.Wrapf(store.ErrUnavailable, "got %d outcomes for a probe", len(outcomes))
 	}
-	b.judged(b.fence.Check(sent, outcomes[0], false))
+	b.onStatus(b.fence.Check(before, outcomes[0], false))
 	return nil
 }
 
-// postpone queues what can wait again after a probe failed; what the store
-// refuses at once is refused at once.
-func (b *batcher) postpone(batch []*entry, cause error) {
-	for _, one := range batch {
-		if !one.leased || errors.Is(cause, store.ErrNotApplied) {
-			one.refuse(cause)
+// requeue handles a batch after a failed probe. Transactions with a lease are
+// submitted again after a delay, unless the store rejected the probe; the others
+// are rejected.
+func (b *batcher) requeue(batch []*queuedTransaction, cause error) {
+	for _, queued := range batch {
+		if !queued.needsLease || errors.Is(cause, store.ErrNotApplied) {
+			queued.reject(cause)
 			continue
 		}
-		time.AfterFunc(rand.N(claimAgainWait), func() { b.submit(one) })
+		time.AfterFunc(rand.N(maxClaimRetryDelay), func() { b.submit(queued) })
 	}
 }
 
-func (b *batcher) leaseFor(ctx context.Context, batch []*entry) (store.Lease, error) {
-	for _, one := range batch {
-		if one.leased {
+func (b *batcher) leaseFor(ctx context.Context, batch []*queuedTransaction) (store.Lease, error) {
+	for _, queued := range batch {
+		if queued.needsLease {
 			return b.leases.current(ctx)
 		}
 	}
 	return 0, nil
 }
 
-// send commits transactions together with a probe of the fence.
-func (b *batcher) send(ctx context.Context, sent []*entry, transactions []store.Transaction) {
-	mark := b.fence.Watermark()
+// send commits transactions and a probe of the fence in one request.
+func (b *batcher) send(ctx context.Context, sent []*queuedTransaction, transactions []store.Transaction) {
+	before := b.fence.Watermark()
 	transactions = append(transactions, b.fence.Probe())
 	outcomes, err := b.committer.CommitAll(ctx, transactions)
-	b.metrics.committed(len(sent), err)
+	b.metrics.observeCommit(len(sent), err)
 	if err == nil && len(outcomes) != len(sent)+1 {
-		err = eris.Wrapf(store.ErrOutcomeUnknown, "%d outcomes for %d transactions", len(outcomes), len(sent)+1)
+		err = eris.Wrapf(store.ErrOutcomeUnknown, "got %d outcomes for %d transactions", len(outcomes), len(sent)+1)
 	}
-	b.leases.after(err)
+	b.leases.handleCommitError(err)
 	if err != nil {
 		b.fence.RequireProbe()
-		for _, one := range sent {
-			one.finish(store.Outcome{}, FenceCurrent, err)
+		for _, queued := range sent {
+			queued.complete(store.Outcome{}, FenceCurrent, err)
 		}
-		b.judged(FenceCurrent)
+		b.onStatus(FenceCurrent)
 		return
 	}
-	verdict := b.fence.Check(mark, outcomes[len(sent)], AnyWritten(transactions, outcomes))
-	for at, one := range sent {
-		one.finish(outcomes[at], verdict, nil)
+	status := b.fence.Check(before, outcomes[len(sent)], AnyWritten(transactions, outcomes))
+	for i, queued := range sent {
+		queued.complete(outcomes[i], status, nil)
 	}
-	b.judged(verdict)
+	b.onStatus(status)
 }
--- a/internal/once/fence.go
+++ b/internal/once/fence.go
@@ -10,119 +10,119 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// FenceKey is the store's key that every claim compares with. It is absent
-// until the first regression of the store was found.
+// FenceKey is the key in the store that every claim transaction compares. It
+// does not exist until a regression of the store has been detected.
 const FenceKey = "/doorpond/fence"
 
-// fenceRecord is the value of FenceKey, as JSON.
+// fenceRecord is the value of FenceKey, encoded as JSON.
 type fenceRecord struct {
 	Epoch  uint64 `json:"epoch"`
 	Closed bool   `json:"closed"`
-	// Author is the operator who acknowledged the regression, or the daemon
-	// that found it.
+	// Author is the operator who acknowledged the regression, or the ID of the
+	// daemon that detected it.
 	Author string `json:"author"`
 }
 
-// FenceStatus is what the outcome of a commit says of the store.
+// FenceStatus is the state of the store as shown by the outcome of a commit.
 type FenceStatus int
 
-// The verdicts.
+// Values of FenceStatus.
 const (
-	// FenceCurrent: the store has all that this daemon knew of.
+	// FenceCurrent means that the store is at least as new as the watermark.
 	FenceCurrent FenceStatus = iota
-	// FenceChanged: the fence was written since it was last read; claims were
-	// not applied and can be sent again.
+	// FenceChanged means that the fence was written since it was last read.
+	// Claims were not applied and can be sent again.
 	FenceChanged
-	// FenceRegressed: the store went back to an older state, or a peer found
-	// that it did. Nothing may be dispatched.
+	// FenceRegressed means that this daemon or a peer has detected that the
+	// store was restored to an older state. No call may be dispatched.
 	FenceRegressed
 )
 
-// Fence tells whether the store went back to an older state, in which claims
-// of calls that ran are missing. It keeps the newest Mark known and the state
-// of FenceKey; each claim compares with that key, so that one daemon that finds
-// a regression stops the claims of all by one write. It does no I/O. It is safe
-// for concurrent use.
+// Fence detects whether the store was restored to an older state, in which
+// claims of executed calls may be missing. It holds the newest known Watermark
+// and the state of FenceKey. Each claim compares that key, so that a daemon that
+// detects a regression stops the claims of all daemons with a single write.
+// A Fence does no I/O and is safe for concurrent use.
 type Fence struct {
 	holder string
 
-	mutex sync.Mutex
-	mark  Watermark
-	// modRevision is the fence key's as last read; 0 while it was absent.
+	mutex     sync.Mutex
+	watermark Watermark
+	// modRevision is that of FenceKey when last read, or 0 if it was absent.
 	modRevision int64
-	// doubtful is true after trouble with the store, until a probe has shown
-	// that the store is no older than before.
-	doubtful bool
-	// unclosed is true from a regression that this daemon found until the fence
+	// probeRequired is set when a request to the store failed, until the next
+	// successful commit or probe.
+	probeRequired bool
+	// needsClose is set when this daemon detects a regression, until the fence
 	// in the store is closed.
-	unclosed bool
-	// heard is true once a peer has told its mark.
-	heard bool
-	// heardNew is true while a peer told a newer mark since the last
-	// RoutineAnnouncement.
-	heardNew bool
-	// own is the newest mark that this daemon found by itself, announced the
-	// one that it has told last.
-	own, announced Watermark
+	needsClose bool
+	// hasPeerWatermark is set once a peer's watermark was received.
+	hasPeerWatermark bool
+	// peerAdvanced is set if a peer sent a newer watermark since the last
+	// TakePeriodicAnnouncement.
+	peerAdvanced bool
+	// ownWatermark is the newest watermark that this daemon observed itself,
+	// announcedWatermark the last one that it announced.
+	ownWatermark, announcedWatermark Watermark
 }
 
-// NewFence returns a Fence that knows nothing yet; holder is the daemon's ID.
+// NewFence returns a Fence with the zero Watermark. holder is the daemon's ID.
 func NewFence(holder string) *Fence { return &Fence{holder: holder} }
 
-// Watermark returns the newest mark known.
+// Watermark returns the newest known watermark.
 func (f *Fence) Watermark() Watermark {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.mark
+	return f.watermark
 }
 
-// Admit returns why no call may be claimed or dispatched now, or nil.
+// Admit returns an error if calls must not be claimed or dispatched.
 func (f *Fence) Admit() *failure.Error {
 	if f.Watermark().Regressed {
-		return regressedFailure()
+		return storeRegressedFailure()
 	}
 	return nil
 }
 
-func regressedFailure() *failure.Error {
-	return failure.New(failure.StoreRegressed, "the store was restored to an older state; "+
+func storeRegressedFailure() *failure.Error {
+	return failure.New(failure.StoreRegressed, "store was restored to an older state; "+
 		"calls are refused until an operator runs \"doorpond restore\"").WithNotRun(true)
 }
 
-// Merge takes over a peer's mark.
-func (f *Fence) Merge(mark Watermark) {
+// Merge adopts a peer's watermark if it is newer.
+func (f *Fence) Merge(watermark Watermark) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.heard = true
-	if mark.newerThan(f.mark) {
-		f.mark = mark
-		f.heardNew = true
+	f.hasPeerWatermark = true
+	if watermark.newerThan(f.watermark) {
+		f.watermark = watermark
+		f.peerAdvanced = true
 	}
 }
 
-// HasPeerWatermark tells whether a peer has told its mark.
+// HasPeerWatermark reports whether a peer's watermark was received.
 func (f *Fence) HasPeerWatermark() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.heard
+	return f.hasPeerWatermark
 }
 
-// RequireProbe says that an exchange with the store failed, as it does while a backup
-// is brought back.
+// RequireProbe records that a request to the store failed. The store may have
+// been restored from a backup in the meantime.
 func (f *Fence) RequireProbe() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.doubtful = true
+	f.probeRequired = true
 }
 
-// ProbeRequired tells whether the store must be probed before the next commit.
+// ProbeRequired reports whether the store must be probed before the next commit.
 func (f *Fence) ProbeRequired() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.doubtful
+	return f.probeRequired
 }
 
-// Guard makes a transaction depend on the fence.
+// Guard adds a comparison of FenceKey to a transaction.
 func (f *Fence) Guard(transaction store.Transaction) store.Transaction {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -134,182 +134,186 @@
 	return store.Compare{Key: FenceKey, Absent: f.modRevision == 0, ModRevision: f.modRevision}
 }
 
-// AnyWritten tells whether any of some transactions changed the store.
+// AnyWritten reports whether any of the transactions changed the store.
 func AnyWritten(transactions []store.Transaction, outcomes []store.Outcome) bool {
-	for at, outcome := range outcomes {
-		if outcome.Applied && len(transactions[at].Writes) > 0 {
+	for i, outcome := range outcomes {
+		if outcome.Applied && len(transactions[i].Writes) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Probe returns a transaction that writes nothing. Unlike a read it never
-// shows an old state, and it leaves the store's revision as it is.
+// Probe returns a transaction that compares FenceKey and writes nothing. Unlike
+// a read it never returns stale state, and it does not advance the store's
+// revision.
 func (f *Fence) Probe() store.Transaction { return f.Guard(store.Transaction{}) }
 
-// Check judges the outcome of a Probe that was sent, alone or with others in
-// one request, while sent was the mark; wrote is true if any of the others was
-// applied, so that the revision must have grown.
-func (f *Fence) Check(sent Watermark, probed store.Outcome, wrote bool) FenceStatus {
+// Check updates the fence by the outcome of a Probe. before is the watermark
+// when the request was sent. wrote reports whether another transaction in the
+// same request changed the store, so that its revision must have advanced.
+func (f *Fence) Check(before Watermark, probe store.Outcome, wrote bool) FenceStatus {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.doubtful = false
-	moved := !probed.Applied && f.read(probed)
-	least := sent.Revision
+	f.probeRequired = false
+	changed := !probe.Applied && f.observe(probe)
+	minRevision := before.Revision
 	if wrote {
-		least++
+		minRevision++
 	}
-	if f.mark.Epoch == sent.Epoch && probed.Revision < least {
-		f.regress()
+	if f.watermark.Epoch == before.Epoch && probe.Revision < minRevision {
+		f.endEpoch()
 	}
-	f.raise(Watermark{Epoch: f.mark.Epoch, Regressed: f.mark.Regressed, Revision: probed.Revision})
+	f.advance(Watermark{Epoch: f.watermark.Epoch, Regressed: f.watermark.Regressed, Revision: probe.Revision})
 	switch {
-	case f.mark.Regressed:
+	case f.watermark.Regressed:
 		return FenceRegressed
-	case moved:
+	case changed:
 		return FenceChanged
-	case f.mark.Epoch != sent.Epoch:
-		// A peer told of the next epoch while the answer was on its way, so
-		// the commit was of the one before.
+	case f.watermark.Epoch != before.Epoch:
+		// A peer announced a newer epoch before the response arrived, so the
+		// commit belongs to an earlier one.
 		return FenceRegressed
 	default:
 		return FenceCurrent
 	}
 }
 
-// read takes over the fence that a failed comparison has shown; it is false
-// when that is known already.
-func (f *Fence) read(outcome store.Outcome) bool {
-	shown, modRevision := shownFence(outcome)
+// observe updates the fence from the values returned by a failed comparison. It
+// reports whether the fence has changed.
+func (f *Fence) observe(outcome store.Outcome) bool {
+	current, modRevision := currentFence(outcome)
 	if modRevision == f.modRevision {
 		return false
 	}
 	f.modRevision = modRevision
-	if shown.Epoch < f.mark.Epoch {
-		f.regress()
+	if current.Epoch < f.watermark.Epoch {
+		f.endEpoch()
 		return true
 	}
-	f.raise(Watermark{Epoch: shown.Epoch, Regressed: shown.Closed, Revision: outcome.Revision})
+	f.advance(Watermark{Epoch: current.Epoch, Regressed: current.Closed, Revision: outcome.Revision})
 	return true
 }
 
-// shownFence finds the fence among the current values; one that is absent has
-// epoch 0. A record that cannot be read counts as closed.
-func shownFence(outcome store.Outcome) (record fenceRecord, modRevision int64) {
+// currentFence returns the fence record among the current values, or the zero
+// record if it is absent. A record that cannot be decoded counts as closed.
+func currentFence(outcome store.Outcome) (record fenceRecord, modRevision int64) {
 	for _, value := range outcome.Current {
 		if value.Key != FenceKey {
 			continue
 		}
 		if json.Unmarshal(value.Value, &record) != nil {
-			record = fenceRecord{Epoch: largestEpoch, Closed: true}
+			record = fenceRecord{Epoch: maxEpoch, Closed: true}
 		}
 		return record, value.ModRevision
 	}
 	return fenceRecord{}, 0
 }
 
-// regress ends the epoch; the fence in the store must be closed.
-func (f *Fence) regress() {
-	if f.mark.Regressed {
+// endEpoch marks the current epoch as regressed. The fence in the store must
+// then be closed.
+func (f *Fence) endEpoch() {
+	if f.watermark.Regressed {
 		return
 	}
-	f.raise(Watermark{Epoch: f.mark.Epoch, Regressed: true, Revision: f.mark.Revision})
-	f.unclosed = true
+	f.advance(Watermark{Epoch: f.watermark.Epoch, Regressed: true, Revision: f.watermark.Revision})
+	f.needsClose = true
 }
 
-// raise notes what this daemon found by itself.
-func (f *Fence) raise(mark Watermark) {
-	if mark.newerThan(f.mark) {
-		f.mark, f.own = mark, mark
+// advance adopts a watermark that this daemon observed itself, if it is newer.
+func (f *Fence) advance(watermark Watermark) {
+	if watermark.newerThan(f.watermark) {
+		f.watermark, f.ownWatermark = watermark, watermark
 	}
 }
 
-// TakeAnnouncement returns a mark that peers should be told: one that this daemon
-// found, that it has not told, and that no peer has told better.
+// TakeAnnouncement returns the watermark to announce to peers and marks it as
+// announced. It returns false if this daemon did not observe the newest
+// watermark itself or has announced it.
 func (f *Fence) TakeAnnouncement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.announcement()
+	return f.takeAnnouncement()
 }
 
-// TakePeriodicAnnouncement is Announcement for quiet times. It holds back while
-// peers announce, so that of any number of daemons only a few do in each
-// interval.
+// TakePeriodicAnnouncement is TakeAnnouncement for periodic announcements. It
+// returns false if a peer has sent a newer watermark since the last call, which
+// limits how many daemons announce in each interval.
 func (f *Fence) TakePeriodicAnnouncement() (Watermark, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.heardNew {
-		f.heardNew = false
+	if f.peerAdvanced {
+		f.peerAdvanced = false
 		return Watermark{}, false
 	}
-	return f.announcement()
+	return f.takeAnnouncement()
 }
 
-func (f *Fence) announcement() (Watermark, bool) {
-	if f.own != f.mark || !f.own.newerThan(f.announced) {
+func (f *Fence) takeAnnouncement() (Watermark, bool) {
+	if f.ownWatermark != f.watermark || !f.ownWatermark.newerThan(f.announcedWatermark) {
 		return Watermark{}, false
 	}
-	f.announced = f.own
-	return f.own, true
+	f.announcedWatermark = f.ownWatermark
+	return f.ownWatermark, true
 }
 
-// HasUrgentAnnouncement tells whether there is something to announce at once: a regression,
-// a new epoch, or a revision that peers need to see through trouble with the
-// store.
+// HasUrgentAnnouncement reports whether to announce immediately: a regression, a
+// new epoch, or a new revision while requests to the store fail.
 func (f *Fence) HasUrgentAnnouncement() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.own != f.mark || !f.own.newerThan(f.announced) {
+	if f.ownWatermark != f.watermark || !f.ownWatermark.newerThan(f.announcedWatermark) {
 		return false
 	}
-	return f.doubtful || f.own.Regressed != f.announced.Regressed || f.own.Epoch != f.announced.Epoch
+	return f.probeRequired || f.ownWatermark.Regressed != f.announcedWatermark.Regressed || f.ownWatermark.Epoch != f.announcedWatermark.Epoch
 }
 
-// NeedsClose tells whether this daemon found a regression and has not closed the
-// fence in the store yet.
+// NeedsClose reports whether this daemon has detected a regression and not yet
+// closed the fence in the store.
 func (f *Fence) NeedsClose() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.unclosed && f.mark.Regressed
+	return f.needsClose && f.watermark.Regressed
 }
 
-// CloseTransaction returns the transaction that stops the claims of all daemons. It is
-// guarded, so that it has no effect once an operator has acknowledged.
+// CloseTransaction returns the transaction that closes the fence, which stops
+// the claims of all daemons. It compares the revision of FenceKey, so that it
+// has no effect after an operator has acknowledged the regression.
 func (f *Fence) CloseTransaction() (store.Transaction, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.write(fenceRecord{Epoch: f.mark.Epoch, Closed: true, Author: f.holder}, f.modRevision)
+	return f.writeTransaction(fenceRecord{Epoch: f.watermark.Epoch, Closed: true, Author: f.holder}, f.modRevision)
 }
 
-// ConfirmClosed notes that the store has answered to Close. A comparison that failed
-// means that somebody else wrote the fence first.
+// ConfirmClosed records that the store has processed CloseTransaction. If its
+// comparison failed, the fence was written by another daemon or an operator.
 func (f *Fence) ConfirmClosed() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.unclosed = false
+	f.needsClose = false
 }
 
-// OpenTransaction returns the transaction that begins the next epoch, after a read of the
-// fence, and the epoch. The value is empty and modRevision 0 if it was absent.
+// OpenTransaction returns the transaction that begins the next epoch, and the
+// epoch. value and modRevision are those of FenceKey as read from the store:
+// empty and 0 if it is absent.
 func (f *Fence) OpenTransaction(author string, value []byte, modRevision int64) (store.Transaction, uint64, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	held := fenceRecord{}
+	current := fenceRecord{}
 	if len(value) > 0 {
-		if err := json.Unmarshal(value, &held); err != nil {
-			return store.Transaction{}, 0, eris.Wrap(err, "decode the fence")
+		if err := json.Unmarshal(value, &current); err != nil {
+			return store.Transaction{}, 0, eris.Wrap(err, "decode fence")
 		}
 	}
-	opened := fenceRecord{Epoch: max(held.Epoch, f.mark.Epoch) + 1, Author: author}
-	transaction, err := f.write(opened, modRevision)
-	return transaction, opened.Epoch, err
+	next := fenceRecord{Epoch: max(current.Epoch, f.watermark.Epoch) + 1, Author: author}
+	transaction, err := f.writeTransaction(next, modRevision)
+	return transaction, next.Epoch, err
 }
 
-func (f *Fence) write(record fenceRecord, modRevision int64) (store.Transaction, error) {
+func (f *Fence) writeTransaction(record fenceRecord, modRevision int64) (store.Transaction, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
-		return store.Transaction{}, eris.Wrap(err, "encode the fence")
+		return store.Transaction{}, eris.Wrap(err, "encode fence")
 	}
 	return store.Transaction{
 		Compares: []store.Compare{{Key: FenceKey, Absent: modRevision == 0, ModRevision: modRevision}},
@@ -317,10 +321,10 @@
 	}, nil
 }
 
-// ConfirmOpened notes that an epoch began at a revision of the store.
+// ConfirmOpened records that an epoch began at a revision of the store.
 func (f *Fence) ConfirmOpened(epoch uint64, revision int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.modRevision = revision
-	f.raise(Watermark{Epoch: epoch, Revision: revision})
+	f.advance(Watermark{Epoch: epoch, Revision: revision})
 }
--- a/internal/once/leases.go
+++ b/internal/once/leases.go
@@ -11,41 +11,40 @@
 )
 
 const (
-	// leaseTTL keeps a claim for at least a day: a lease is used for new
-	// claims for leaseUse only, and a commit may last minutes at most.
-	leaseTTL = 25 * time.Hour
-	leaseUse = 50 * time.Minute
+	// leaseTTL keeps claims for at least a day: a lease is used for new claims
+	// only for leaseRotationInterval, and commits take minutes at most.
+	leaseTTL              = 25 * time.Hour
+	leaseRotationInterval = 50 * time.Minute
 )
 
-// leases grants the lease that claims share: one for each leaseUse in which
-// there are claims. It is never renewed, so that old claims vanish. One
-// goroutine uses it.
+// leases provides the lease that claims share. A new lease is granted on demand
+// once the current one is older than leaseRotationInterval. Leases are never
+// renewed, so that old claims expire. It is not safe for concurrent use.
 type leases struct {
-	leaser store.Leaser
-	now    func() time.Time
-	lease  store.Lease
-	since  time.Time
+	leaser    store.Leaser
+	now       func() time.Time
+	lease     store.Lease
+	grantedAt time.Time
 }
 
-// current returns a lease for new claims. An error means that no claim was
-// sent.
+// current returns the lease for new claims. If it fails, no claim was sent.
 func (l *leases) current(ctx context.Context) (store.Lease, error) {
-	began := l.now()
-	if l.lease != 0 && began.Sub(l.since) < leaseUse {
+	requestedAt := l.now()
+	if l.lease != 0 && requestedAt.Sub(l.grantedAt) < leaseRotationInterval {
 		return l.lease, nil
 	}
 	granted, err := l.leaser.Grant(ctx, leaseTTL)
 	if err != nil {
-		return 0, eris.Wrap(err, "grant the claims' lease")
+		return 0, eris.Wrap(err, "grant claim lease")
 	}
 	l.lease = granted
-	l.since = began
+	l.grantedAt = requestedAt
 	return granted, nil
 }
 
-// after drops the lease when a commit failed because the store does not know
-// it, as after the store was restored.
-func (l *leases) after(err error) {
+// handleCommitError discards the lease if the store does not know it, for
+// example after a restore.
+func (l *leases) handleCommitError(err error) {
 	if errors.Is(err, store.ErrLeaseNotFound) {
 		l.lease = 0
 	}
--- a/internal/once/machine.go
+++ b/internal/once/machine.go
@@ -7,32 +7,33 @@
 	"github.com/doorpond/doorpond/internal/failure"
 )
 
-// State is where a call is.
+// State is the state of a call.
 type State int
 
-// The states of a call.
+// Values of State.
 const (
-	// StateQueued: the claim waits to be sent.
+	// StateQueued: the claim is waiting to be sent.
 	StateQueued State = iota
-	// StateClaiming: the claim is sent, its outcome not known.
+	// StateClaiming: the claim was sent; its outcome is not known yet.
 	StateClaiming
-	// StateAbandoned: given up while claiming; the claim may be in the store.
+	// StateAbandoned: the call was given up while claiming; the claim may be in
+	// the store.
 	StateAbandoned
-	// StateDispatching: the claim is ours and the call was dispatched.
+	// StateDispatching: the key was claimed and the call was dispatched.
 	StateDispatching
-	// StateRecording: the call ran; its result is being written.
+	// StateRecording: the call ran; its result is being recorded.
 	StateRecording
-	// StateReleasing: the call certainly did not run; the claim is being
-	// removed.
+	// StateReleasing: the call certainly did not run; its claim is being
+	// deleted.
 	StateReleasing
-	// StateEnded: nothing is left to do.
+	// StateEnded: the call is complete.
 	StateEnded
 )
 
-// EventKind names what happened to a call.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The events.
+// Values of EventKind.
 const (
 	// EventSending: the claim is about to be sent.
 	EventSending EventKind = iota
@@ -40,43 +41,44 @@
 	EventClaimed
 	// EventHeld: the key exists, with Record at ModRevision.
 	EventHeld
-	// EventNotApplied: the store certainly did not take the claim; Failure is
-	// set.
+	// EventNotApplied: the claim was certainly not applied; Failure is set.
 	EventNotApplied
-	// EventOutcomeUnknown: the store may have taken the claim.
+	// EventOutcomeUnknown: the claim may have been applied.
 	EventOutcomeUnknown
-	// EventFenceChanged: the claim was not applied, as the fence was written meanwhile.
+	// EventFenceChanged: the claim was not applied because the fence was written
+	// since it was last read.
 	EventFenceChanged
-	// EventRegressed: the claim was created at ModRevision, in a store that
-	// went back to an older state; Failure is set.
+	// EventRegressed: the claim was created at ModRevision in a store that was
+	// restored to an older state; Failure is set.
 	EventRegressed
-	// EventGiveUp: the caller left, or a time limit passed; Reason says which.
+	// EventGiveUp: the caller canceled or a timeout expired; Reason is set.
 	EventGiveUp
 	// EventReplied: the back end ran the call; Result is set.
 	EventReplied
-	// EventRefused: every attempt was provably refused; Failure is set.
+	// EventRefused: the call certainly did not run; Failure is set.
 	EventRefused
 	// EventFailed: the call may or may not have run; Failure is set.
 	EventFailed
-	// EventSettled: the result was recorded or the claim released, or that
-	// was given up.
+	// EventSettled: the result was recorded or the claim was released, or its
+	// retries were exhausted.
 	EventSettled
 )
 
-// GiveUpReason says why a call is given up.
+// GiveUpReason is the reason why a call is given up.
 type GiveUpReason int
 
-// The reasons.
+// Values of GiveUpReason.
 const (
-	// CallerCanceled: the caller cancelled its request.
+	// CallerCanceled: the caller canceled its request.
 	CallerCanceled GiveUpReason = iota
-	// DeadlineExceeded: the call's own time is over.
+	// DeadlineExceeded: the call's deadline passed.
 	DeadlineExceeded
-	// StoreTimeout: the store took too long; it counts only before dispatch.
+	// StoreTimeout: the store did not respond in time. It is ignored after
+	// dispatch.
 	StoreTimeout
 )
 
-// Event is one thing that happened to a call.
+// Event is an input of a Machine.
 type Event struct {
 	Kind        EventKind
 	ModRevision int64
@@ -86,27 +88,27 @@
 	Reason      GiveUpReason
 }
 
-// ActionKind names what the shell must do.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
+// Values of ActionKind.
 const (
-	// ActionClaim: send the claim, create-if-absent.
+	// ActionClaim: send the claim, which is created if absent.
 	ActionClaim ActionKind = iota
-	// ActionRequeue: put the claim into the queue again.
+	// ActionRequeue: queue the claim again.
 	ActionRequeue
 	// ActionDispatch: call the back end.
 	ActionDispatch
-	// ActionRespond: give the caller Result or Failure.
+	// ActionRespond: return Result or Failure to the caller.
 	ActionRespond
-	// ActionRecord: write Result over the claim at ModRevision.
+	// ActionRecord: replace the claim at ModRevision by Result.
 	ActionRecord
-	// ActionRelease: delete the claim, guarded by its ID; its revision is
-	// ModRevision, or unknown when 0.
+	// ActionRelease: delete the claim if it still has the call's claim ID. Its
+	// revision is ModRevision, or unknown if that is 0.
 	ActionRelease
 )
 
-// Action is one thing that the shell must do.
+// Action is an output of a Machine that its driver must carry out.
 type Action struct {
 	Kind        ActionKind
 	ModRevision int64
@@ -115,30 +117,31 @@
 	Failure     *failure.Error
 }
 
-// Machine is the state of one call. It has no I/O, clock or goroutine; the
-// shell holds a lock around Step, so that giving up and dispatching cannot
-// both happen.
+// Machine is the state machine of one call. It does no I/O and uses no clock or
+// goroutine. Its driver must hold a lock around Step, so that a call cannot be
+// both given up and dispatched.
 type Machine struct {
 	claimID     string
 	fingerprint string
 	deadline    time.Time
 	state       State
-	answered    bool
-	// maybeWritten is true once a claim was sent whose outcome is not known.
+	responded   bool
+	// maybeWritten is set once the outcome of sending the claim is unknown.
 	maybeWritten bool
 	modRevision  int64
 }
 
-// NewMachine returns a queued call. The deadline is compared with the times
-// given to Step.
+// NewMachine returns the Machine of a queued call. The deadline is compared with
+// the times passed to Step.
 func NewMachine(claimID, fingerprint string, deadline time.Time) *Machine {
 	return &Machine{claimID: claimID, fingerprint: fingerprint, deadline: deadline}
 }
 
-// State returns where the call is.
+// State returns the current state of the call.
 func (m *Machine) State() State { return m.state }
 
-// Step takes an event at a time and returns what to do, in order.
+// Step handles an event at the given time and returns the actions to carry out,
+// in order.
 func (m *Machine) Step(now time.Time, event Event) []Action {
 	switch m.state {
 	case StateQueued:
@@ -161,22 +164,22 @@
 	switch event.Kind {
 	case EventSending:
 		if !now.Before(m.deadline) {
-			return m.leaveQueue(notClaimed("the deadline passed before the key was claimed"))
+			return m.abortUnsent(claimFailure("deadline passed before the key was claimed"))
 		}
 		m.state = StateClaiming
 		return []Action{{Kind: ActionClaim}}
 	case EventGiveUp:
-		return m.leaveQueue(notDispatched(event.Reason))
+		return m.abortUnsent(failureBeforeDispatch(event.Reason))
 	case EventNotApplied:
-		return m.leaveQueue(event.Failure)
+		return m.abortUnsent(event.Failure)
 	default:
 		return nil
 	}
 }
 
-// leaveQueue ends a call whose claim is not under way; an earlier one may be
-// in the store.
-func (m *Machine) leaveQueue(cause *failure.Error) []Action {
+// abortUnsent ends a call that has no claim in flight. If an earlier claim may
+// be in the store, it is released.
+func (m *Machine) abortUnsent(cause *failure.Error) []Action {
 	if m.maybeWritten {
 		return m.release(cause)
 	}
@@ -187,18 +190,18 @@
 func (m *Machine) stepClaiming(now time.Time, event Event) []Action {
 	switch event.Kind {
 	case EventClaimed:
-		return m.claimed(now, event.ModRevision)
+		return m.onClaimed(now, event.ModRevision)
 	case EventHeld:
 		if event.Record.ClaimID == m.claimID {
-			return m.claimed(now, event.ModRevision)
+			return m.onClaimed(now, event.ModRevision)
 		}
 		m.state = StateEnded
-		return m.heldByOther(now, event.Record)
+		return m.respondHeld(now, event.Record)
 	case EventNotApplied:
-		return m.leaveQueue(event.Failure)
+		return m.abortUnsent(event.Failure)
 	case EventOutcomeUnknown:
-		// Sending the claim again reads back and claims in one transaction:
-		// if it is there already, the key is held under our own claim ID.
+		// Sending the claim again either creates it or returns the existing
+		// one, which has this claim ID if the first attempt was applied.
 		m.maybeWritten = true
 		m.state = StateQueued
 		return []Action{{Kind: ActionRequeue}}
@@ -210,17 +213,18 @@
 		return m.release(event.Failure)
 	case EventGiveUp:
 		m.state = StateAbandoned
-		return m.fail(notDispatched(event.Reason))
+		return m.fail(failureBeforeDispatch(event.Reason))
 	default:
 		return nil
 	}
 }
 
-// claimed dispatches unless it is too late.
-func (m *Machine) claimed(now time.Time, modRevision int64) []Action {
+// onClaimed dispatches the call, or releases its claim if the deadline has
+// passed.
+func (m *Machine) onClaimed(now time.Time, modRevision int64) []Action {
 	m.modRevision = modRevision
 	if !now.Before(m.deadline) {
-		return m.release(notClaimed("the deadline passed while the key was claimed"))
+		return m.release(claimFailure("deadline passed while the key was being claimed"))
 	}
 	m.state = StateDispatching
 	return []Action{{Kind: ActionDispatch}}
@@ -252,25 +256,25 @@
 	switch event.Kind {
 	case EventReplied:
 		m.state = StateRecording
-		actions := m.answer(Action{Kind: ActionRespond, Result: event.Result})
+		actions := m.respond(Action{Kind: ActionRespond, Result: event.Result})
 		return append(actions, Action{Kind: ActionRecord, Result: event.Result, ModRevision: m.modRevision})
 	case EventRefused:
 		return m.release(event.Failure.WithNotRun(true))
 	case EventFailed:
-		m.state = StateEnded // the claim stays, as the call may have run
+		m.state = StateEnded // keep the claim, as the call may have run
 		return m.fail(event.Failure.WithNotRun(false))
 	case EventGiveUp:
 		if event.Reason == StoreTimeout {
 			return nil
 		}
-		return m.fail(dispatched(event.Reason))
+		return m.fail(failureAfterDispatch(event.Reason))
 	default:
 		return nil
 	}
 }
 
-// release removes the claim of a call that was not dispatched, or that every
-// back end provably refused.
+// release deletes the claim of a call that certainly did not run, and responds
+// with cause unless it is nil.
 func (m *Machine) release(cause *failure.Error) []Action {
 	m.state = StateReleasing
 	var actions []Action
@@ -281,14 +285,14 @@
 }
 
 func (m *Machine) fail(cause *failure.Error) []Action {
-	return m.answer(Action{Kind: ActionRespond, Failure: cause})
+	return m.respond(Action{Kind: ActionRespond, Failure: cause})
 }
 
-// answer gives the caller its one answer; a later one is dropped.
-func (m *Machine) answer(action Action) []Action {
-	if m.answered {
+// respond responds to the caller. Only the first response is sent.
+func (m *Machine) respond(action Action) []Action {
+	if m.responded {
 		return nil
 	}
-	m.answered = true
+	m.responded = true
 	return []Action{action}
 }
--- a/internal/once/metrics.go
+++ b/internal/once/metrics.go
@@ -9,16 +9,16 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// metrics are the counters of a Service.
+// metrics holds the Prometheus metrics of a Service.
 type metrics struct {
 	calls     *prometheus.CounterVec
 	commits   *prometheus.CounterVec
-	batches   prometheus.Histogram
+	batchSize prometheus.Histogram
 	unsettled *prometheus.CounterVec
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	kept := &metrics{
+	m := &metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "doorpondd_once_calls_total",
 			Help: "At-most-once calls, by outcome: ran, repeated, or the kind of error.",
@@ -27,7 +27,7 @@
 			Name: "doorpondd_once_commits_total",
 			Help: "Requests to the store for claims, results and releases, by outcome.",
 		}, []string{"outcome"}),
-		batches: prometheus.NewHistogram(prometheus.HistogramOpts{
+		batchSize: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "doorpondd_once_commit_transactions",
 			Help:    "Transactions grouped into one request to the store.",
 			Buckets: prometheus.ExponentialBuckets(1, 2, 7),
@@ -38,23 +38,23 @@
 		}, []string{"work"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(kept.calls, kept.commits, kept.batches, kept.unsettled)
+		registerer.MustRegister(m.calls, m.commits, m.batchSize, m.unsettled)
 	}
-	return kept
+	return m
 }
 
-func (m *metrics) called(given Action, err error) {
+func (m *metrics) observeCall(response Action, err error) {
 	outcome := "ran"
 	switch {
 	case err != nil:
 		outcome = string(failure.KindOf(err))
-	case given.Repeated:
+	case response.Repeated:
 		outcome = "repeated"
 	}
 	m.calls.WithLabelValues(outcome).Inc()
 }
 
-func (m *metrics) committed(transactions int, err error) {
+func (m *metrics) observeCommit(transactions int, err error) {
 	outcome := "answered"
 	switch {
 	case errors.Is(err, store.ErrNotApplied):
@@ -63,5 +63,5 @@
 		outcome = "unclear"
 	}
 	m.commits.WithLabelValues(outcome).Inc()
-	m.batches.Observe(float64(transactions))
+	m.batchSize.Observe(float64(transactions))
 }
--- a/internal/once/regression.go
+++ b/internal/once/regression.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// AnnounceInterval is how often a daemon tells peers of a higher revision
-	// of the store at most; in trouble with the store it tells them at once, as
-	// also of regressions and new epochs.
+	// AnnounceInterval is the minimum interval between announcements of newer
+	// revisions to peers. Regressions, new epochs, and revisions while requests
+	// to the store fail are announced immediately.
 	AnnounceInterval = 5 * time.Second
-	// PeerWatermarkTimeout bounds the wait of a daemon that has just started for a peer's
-	// mark, before its first commit.
+	// PeerWatermarkTimeout limits how long a daemon waits after its start for a
+	// peer's watermark before its first commit.
 	PeerWatermarkTimeout = 1500 * time.Millisecond
 
-	awaitMarkPoll = 20 * time.Millisecond
-	// recheckTicks is how many AnnounceIntervals a daemon that refuses calls
-	// waits between two looks at the store's fence, in case no peer told it of
-	// the next epoch.
-	recheckTicks = 3
+	peerWatermarkPollInterval = 20 * time.Millisecond
+	// fenceRecheckTicks is the interval, in units of AnnounceInterval, at which
+	// a daemon that refuses calls reads the fence from the store, in case it
+	// missed the announcement of the next epoch.
+	fenceRecheckTicks = 3
 )
 
-// MergeWatermark takes over a peer's mark.
-func (s *Service) MergeWatermark(mark Watermark) {
+// MergeWatermark adopts a peer's watermark if it is newer.
+func (s *Service) MergeWatermark(watermark Watermark) {
 	before := s.Regressed()
-	s.fence.Merge(mark)
+	s.fence.Merge(watermark)
 	if after := s.Regressed(); after != before {
-		s.options.Logger.Warn("a peer told of the store's state", slog.Bool("regressed", after), slog.Uint64("epoch", mark.Epoch))
+		s.options.Logger.Warn("store regression state changed by a peer's watermark", slog.Bool("regressed", after), slog.Uint64("epoch", watermark.Epoch))
 	}
 }
 
-// Regressed tells whether calls are refused because the store went back.
+// Regressed reports whether calls are refused because the store was restored to
+// an older state.
 func (s *Service) Regressed() bool { return s.fence.Watermark().Regressed }
 
-// awaitMark gives peers a moment to tell how new the store must be.
-func (s *Service) awaitMark(ctx context.Context) {
-	limit := time.NewTimer(PeerWatermarkTimeout)
-	defer limit.Stop()
-	poll := time.NewTicker(awaitMarkPoll)
+// awaitPeerWatermark waits for a peer's watermark for at most
+// PeerWatermarkTimeout.
+func (s *Service) awaitPeerWatermark(ctx context.Context) {
+	timeout := time.NewTimer(PeerWatermarkTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(peerWatermarkPollInterval)
 	defer poll.Stop()
 	for s.options.HasPeers() && !s.fence.HasPeerWatermark() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit.C:
+		case <-timeout.C:
 			return
 		case <-poll.C:
 		}
 	}
 }
 
-// tendFence announces marks, closes the fence after a regression and looks
-// for its acknowledgment, until ctx ends.
-func (s *Service) tendFence(ctx context.Context) {
+// maintainFence periodically announces the watermark, closes the fence after a
+// regression and checks for its acknowledgment, until ctx is done.
+func (s *Service) maintainFence(ctx context.Context) {
 	ticker := time.NewTicker(AnnounceInterval)
 	defer ticker.Stop()
 	for tick := 1; ; tick++ {
@@ -68,49 +70,50 @@
 		if s.options.StoreUnhealthy() {
 			s.fence.RequireProbe()
 		}
-		s.tell(s.fence.TakePeriodicAnnouncement())
-		recheck := s.Regressed() && tick%recheckTicks == 0
+		s.announce(s.fence.TakePeriodicAnnouncement())
+		recheck := s.Regressed() && tick%fenceRecheckTicks == 0
 		if s.fence.NeedsClose() || s.fence.ProbeRequired() || recheck {
-			s.tryFence()
+			s.syncFence()
 		}
 	}
 }
 
-// tell announces a mark if that is wanted.
-func (s *Service) tell(mark Watermark, wanted bool) {
+// announce announces a watermark to peers if wanted is set.
+func (s *Service) announce(watermark Watermark, wanted bool) {
 	if wanted {
-		s.options.Announce(mark)
+		s.options.Announce(watermark)
 	}
 }
 
-// judged reacts to a verdict at once.
-func (s *Service) judged(FenceStatus) {
+// handleStatus announces urgent changes after a commit or probe, and closes the
+// fence after a regression.
+func (s *Service) handleStatus(FenceStatus) {
 	if !s.fence.HasUrgentAnnouncement() {
 		return
 	}
-	mark := s.fence.Watermark()
-	if mark.Regressed {
-		s.options.Logger.Error("the store was restored to an older state; calls are refused",
-			slog.Uint64("epoch", mark.Epoch), slog.Int64("revision", mark.Revision))
-		s.tryFence()
+	watermark := s.fence.Watermark()
+	if watermark.Regressed {
+		s.options.Logger.Error("store was restored to an older state; refusing calls",
+			slog.Uint64("epoch", watermark.Epoch), slog.Int64("revision", watermark.Revision))
+		s.syncFence()
 	}
-	s.tell(s.fence.TakeAnnouncement())
+	s.announce(s.fence.TakeAnnouncement())
 }
 
-// tryFence closes the store's fence if this daemon should, and reads it in any
-// case, as each commit does.
-func (s *Service) tryFence() {
-	s.batcher.submit(&entry{
+// syncFence closes the fence in the store if this daemon needs to, and otherwise
+// probes it.
+func (s *Service) syncFence() {
+	s.batcher.submit(&queuedTransaction{
 		key: FenceKey,
-		begin: func(store.Lease) (store.Transaction, bool) {
+		prepare: func(store.Lease) (store.Transaction, bool) {
 			if !s.fence.NeedsClose() {
 				return s.fence.Probe(), true
 			}
 			transaction, err := s.fence.CloseTransaction()
 			return transaction, err == nil
 		},
-		refuse: func(error) {},
-		finish: func(_ store.Outcome, _ FenceStatus, err error) {
+		reject: func(error) {},
+		complete: func(_ store.Outcome, _ FenceStatus, err error) {
 			if err == nil {
 				s.fence.ConfirmClosed()
 			}
@@ -118,39 +121,39 @@
 	})
 }
 
-// Acknowledge begins a new epoch, in which calls are run again: an operator
-// says that no caller will repeat a call made before the store was restored.
-// It is false when calls are not refused. The errors are of the kinds
-// StoreUnavailable, Conflict (another acknowledged at the same time) and
-// OutcomeUnknown; repeating it does no harm.
+// Acknowledge begins a new epoch, in which calls are accepted again. With it an
+// operator confirms that no caller will repeat a call made before the store was
+// restored. It returns false if the store is not regressed. Error kinds include
+// StoreUnavailable, Conflict (the fence was written concurrently) and
+// OutcomeUnknown. Acknowledge can safely be retried.
 func (s *Service) Acknowledge(ctx context.Context, author string) (bool, error) {
 	if !s.Regressed() {
 		return false, nil
 	}
 	if author == "" {
-		return false, failure.New(failure.InvalidRequest, "acknowledge the restore: the author is missing")
+		return false, failure.New(failure.InvalidRequest, "acknowledge restore: author is missing")
 	}
 	value, _, _, err := s.options.Store.Get(ctx, FenceKey)
 	if err != nil {
-		return false, failure.Wrap(err, failure.StoreUnavailable, "read the fence")
+		return false, failure.Wrap(err, failure.StoreUnavailable, "read fence")
 	}
 	transaction, epoch, err := s.fence.OpenTransaction(author, value.Value, value.ModRevision)
 	if err != nil {
-		return false, failure.Wrap(err, failure.Internal, "open the fence").WithNotRun(true)
+		return false, failure.Wrap(err, failure.Internal, "open fence").WithNotRun(true)
 	}
 	outcomes, err := s.options.Store.CommitAll(ctx, []store.Transaction{transaction})
 	if err == nil && len(outcomes) != 1 {
 		err = store.ErrOutcomeUnknown
 	}
 	if err != nil {
-		return false, failure.Wrap(err, failure.OutcomeUnknown, "open the fence")
+		return false, failure.Wrap(err, failure.OutcomeUnknown, "open fence")
 	}
 	if !outcomes[0].Applied {
-		return false, failure.New(failure.Conflict, "the fence was written at the same time; look at the status again")
+		return false, failure.New(failure.Conflict, "fence was written concurrently; check the status before retrying")
 	}
 	s.fence.ConfirmOpened(epoch, outcomes[0].Revision)
-	s.options.Logger.Info("calls are run again after a restore of the store",
+	s.options.Logger.Info("store restore acknowledged; accepting calls",
 		slog.Uint64("epoch", epoch), slog.String("author", author))
-	s.tell(s.fence.TakeAnnouncement())
+	s.announce(s.fence.TakeAnnouncement())
 	return true, nil
 }
--- a/internal/once/service.go
+++ b/internal/once/service.go
@@ -1,7 +1,7 @@
-// Package once runs calls that may not be repeated, such as a refund credit,
-// at most once across all daemons: a claim on the call's key is created in
-// the store before the call is dispatched, and is never handed to another
-// holder. Machine is the pure state of one call; Service runs it.
+// Package once runs calls that must not be repeated, such as crediting a refund,
+// at most once across all daemons. A claim on the call's key is created in the
+// store before the call is dispatched, and is never transferred to another
+// holder. Machine is the state machine of a call; Service drives it.
 package once
 
 import (
@@ -20,76 +20,78 @@
 )
 
 const (
-	defaultDeadline     = 10 * time.Second
-	defaultStoreTimeout = 2 * time.Second
-	defaultMaxResult    = 64 << 10
-	// settleTime bounds the retries of recording a result and of releasing a
+	defaultDeadline       = 10 * time.Second
+	defaultStoreTimeout   = 2 * time.Second
+	defaultMaxResultBytes = 64 << 10
+	// settleTimeout limits the retries of recording a result or releasing a
 	// claim.
-	settleTime = time.Minute
-	// stopTime bounds how long Run waits for calls under way when it ends.
-	stopTime = 5 * time.Second
+	settleTimeout = time.Minute
+	// drainTimeout limits how long Run waits for active calls when it stops.
+	drainTimeout = 5 * time.Second
 
-	maxKey     = 512
-	maxName    = 128
-	maxPayload = 1 << 20
+	maxKeyBytes     = 512
+	maxNameBytes    = 128
+	maxPayloadBytes = 1 << 20
 )
 
 // Dispatcher calls a replica of a back-end service. Its errors are
-// *failure.Error; NotRun is true only if the call provably did not run.
+// *failure.Error, with NotRun set only if the call certainly did not run.
 type Dispatcher interface {
 	Call(ctx context.Context, service string, request backendapi.CallRequest) (backendapi.CallReply, error)
 }
 
-// Store is the part of the store that a Service uses.
+// Store is the subset of store.Store that a Service uses.
 type Store interface {
 	store.Reader
 	store.Committer
 	store.Leaser
 }
 
-// Options are the parts and settings of a Service.
+// Options configures a Service.
 type Options struct {
 	Store      Store
 	Dispatcher Dispatcher
-	// Holder is the daemon's ID, for operators to read in a claim.
+	// Holder is the daemon's ID, which claims show to operators.
 	Holder string
-	// Now is the clock, with a monotonic reading; nil means time.Now.
+	// Now returns the time with a monotonic reading. The default is time.Now.
 	Now    func() time.Time
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil means none are kept.
+	// Registerer registers the metrics. If nil, they are not registered.
 	Registerer prometheus.Registerer
-	// StoreTimeout bounds the wait for the store before a call is refused as
-	// not run; 0 means 2 s.
+	// StoreTimeout limits how long a call waits for its claim before it is
+	// refused as not run. It is also the timeout of requests to the store. The
+	// default is 2 s.
 	StoreTimeout time.Duration
-	// WithTimeout bounds the wait for the answer of a call that runs; nil means
-	// context.WithTimeout. That of an elapsed.Meter does not count a pause of the
-	// process, after which the answer may be there at the same moment as the deadline.
+	// WithTimeout limits how long a call waits for its response. The default is
+	// context.WithTimeout. That of an elapsed.Meter does not count the time for
+	// which the process was paused, so that a response received during a pause
+	// is not lost to the deadline.
 	WithTimeout func(parent context.Context, lasting time.Duration) (context.Context, context.CancelFunc)
-	// MaxResultBytes is the greatest result that is kept for repeats; a
-	// larger one is given to its caller only, and a repeat gets a Conflict
-	// that says so. 0 means 64 KiB.
+	// MaxResultBytes is the maximum size of a result that is stored for repeated
+	// calls. A larger one is returned only to the first caller; repeated calls
+	// fail with Conflict. The default is 64 KiB.
 	MaxResultBytes int
-	// HasPeers tells whether other daemons may exist, whose mark of the store
-	// is awaited for a moment after the start; nil means that none do.
+	// HasPeers reports whether there may be other daemons. If so, Run waits for a
+	// peer's watermark when it starts. If nil, there are no peers.
 	HasPeers func() bool
-	// StoreUnhealthy tells whether the store is seen to be out by other means
-	// than calls; nil means that it never is.
+	// StoreUnhealthy reports whether the store is known to be unavailable from
+	// requests other than those of calls. If nil, it never is.
 	StoreUnhealthy func() bool
-	// Announce tells peers of a mark; nil means that nobody is told.
+	// Announce sends a watermark to peers. If nil, none is sent.
 	Announce func(Watermark)
 }
 
-// Service runs at-most-once calls. It is safe for concurrent use; Run must be
-// running.
+// Service runs at-most-once calls while Run is running. It is safe for
+// concurrent use.
 type Service struct {
-	options Options
-	batcher *batcher
-	metrics *metrics
-	flights *flights
-	fence   *Fence
+	options     Options
+	batcher     *batcher
+	metrics     *metrics
+	activeCalls *activeCalls
+	fence       *Fence
 }
 
-// New returns a Service.
+// New returns a Service. Its Run must be called for calls to proceed.
 func New(options Options) *Service {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -101,10 +103,10 @@
 		options.StoreTimeout = defaultStoreTimeout
 	}
 	if options.MaxResultBytes <= 0 {
-		options.MaxResultBytes = defaultMaxResult
+		options.MaxResultBytes = defaultMaxResultBytes
 	}
-	kept := newMetrics(options.Registerer)
-	granted := &leases{leaser: options.Store, now: options.Now}
+	serviceMetrics := newMetrics(options.Registerer)
+	claimLeases := &leases{leaser: options.Store, now: options.Now}
 	if options.WithTimeout == nil {
 		options.WithTimeout = context.WithTimeout
 	}
@@ -118,50 +120,50 @@
 		options.Announce = func(Watermark) {}
 	}
 	fence := NewFence(options.Holder)
-	created := &Service{
-		options: options,
-		metrics: kept,
-		batcher: newBatcher(options.Store, granted, fence, options.StoreTimeout, kept),
-		flights: newFlights(),
-		fence:   fence,
-	}
-	created.batcher.judged = created.judged
-	return created
+	service := &Service{
+		options:     options,
+		metrics:     serviceMetrics,
+		batcher:     newBatcher(options.Store, claimLeases, fence, options.StoreTimeout, serviceMetrics),
+		activeCalls: newActiveCalls(),
+		fence:       fence,
+	}
+	service.batcher.onStatus = service.handleStatus
+	return service
 }
 
-// Run sends claims, results and releases to the store until ctx ends. Then it
-// refuses new calls, waits a while for those under way, and returns ctx's
-// error.
+// Run sends claims, results and releases to the store until ctx is done. It then
+// refuses new calls, waits for active ones for a limited time, and returns the
+// error of ctx.
 func (s *Service) Run(ctx context.Context) error {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
-		s.awaitMark(running)
-		s.batcher.run(running)
+		defer close(stopped)
+		s.awaitPeerWatermark(runCtx)
+		s.batcher.run(runCtx)
 	}()
-	s.tendFence(ctx)
-	s.flights.close(stopTime)
+	s.maintainFence(ctx)
+	s.activeCalls.drain(drainTimeout)
 	cancel()
-	<-ended
+	<-stopped
 	return ctx.Err()
 }
 
-// Call runs a call, or tells the result of the earlier call with its key. The
-// error is a *failure.Error whose NotRun is true only if this call's key was
-// certainly not run by this call.
+// Call runs a call, or returns the result of the earlier call with the same key.
+// Errors are *failure.Error, with NotRun set only if this request certainly did
+// not run the call.
 func (s *Service) Call(ctx context.Context, call client.Call) (client.CallResult, error) {
 	arrival := s.options.Now()
-	given, err := s.call(ctx, call, arrival)
-	s.metrics.called(given, err)
+	response, err := s.call(ctx, call, arrival)
+	s.metrics.observeCall(response, err)
 	if err != nil {
 		return client.CallResult{}, err
 	}
 	return client.CallResult{
 		Key:              call.Key,
-		Result:           given.Result,
-		Repeated:         given.Repeated,
+		Result:           response.Result,
+		Repeated:         response.Repeated,
 		TookMicroseconds: s.options.Now().Sub(arrival).Microseconds(),
 	}, nil
 }
@@ -170,44 +172,44 @@
 	if err := validate(call); err != nil {
 		return Action{}, err
 	}
-	if refused := s.fence.Admit(); refused != nil {
-		return Action{}, refused
+	if rejection := s.fence.Admit(); rejection != nil {
+		return Action{}, rejection
 	}
-	if !s.flights.open() {
-		return Action{}, failure.New(failure.Draining, "the daemon is stopping")
+	if !s.activeCalls.begin() {
+		return Action{}, failure.New(failure.Draining, "daemon is stopping")
 	}
-	current := s.newFlight(call, arrival)
-	s.queueClaim(current)
-	given := current.await(ctx)
-	if given.Failure != nil {
-		return given, given.Failure
+	active := s.newActiveCall(call, arrival)
+	s.queueClaim(active)
+	response := active.await(ctx)
+	if response.Failure != nil {
+		return response, response.Failure
 	}
-	return given, nil
+	return response, nil
 }
 
 func validate(call client.Call) error {
 	switch {
-	case call.Key == "" || len(call.Key) > maxKey:
-		return failure.New(failure.InvalidRequest, "call: the key must have 1 to 512 bytes")
-	case call.Service == "" || len(call.Service) > maxName:
-		return failure.New(failure.InvalidRequest, "call: the service must have 1 to 128 bytes")
-	case call.Operation == "" || len(call.Operation) > maxName:
-		return failure.New(failure.InvalidRequest, "call: the operation must have 1 to 128 bytes")
-	case len(call.Payload) > maxPayload:
-		return failure.New(failure.TooLarge, "call: the payload is over 1 MiB")
+	case call.Key == "" || len(call.Key) > maxKeyBytes:
+		return failure.New(failure.InvalidRequest, "call: key must have 1 to 512 bytes")
+	case call.Service == "" || len(call.Service) > maxNameBytes:
+		return failure.New(failure.InvalidRequest, "call: service must have 1 to 128 bytes")
+	case call.Operation == "" || len(call.Operation) > maxNameBytes:
+		return failure.New(failure.InvalidRequest, "call: operation must have 1 to 128 bytes")
+	case len(call.Payload) > maxPayloadBytes:
+		return failure.New(failure.TooLarge, "call: payload exceeds 1 MiB")
 	case call.DeadlineMilliseconds < 0:
-		return failure.New(failure.InvalidRequest, "call: the deadline is negative")
+		return failure.New(failure.InvalidRequest, "call: deadline is negative")
 	default:
 		return nil
 	}
 }
 
-func (s *Service) newFlight(call client.Call, arrival time.Time) *flight {
-	allowed := defaultDeadline
+func (s *Service) newActiveCall(call client.Call, arrival time.Time) *activeCall {
+	timeout := defaultDeadline
 	if call.DeadlineMilliseconds > 0 {
-		allowed = time.Duration(call.DeadlineMilliseconds) * time.Millisecond
+		timeout = time.Duration(call.DeadlineMilliseconds) * time.Millisecond
 	}
-	deadline := arrival.Add(allowed)
+	deadline := arrival.Add(timeout)
 	record := Record{
 		ClaimID:                  ulid.Make().String(),
 		Holder:                   s.options.Holder,
@@ -219,25 +221,25 @@
 		State:                    RecordClaimed,
 		TimeUnixMilliseconds:     arrival.UnixMilli(),
 	}
-	return &flight{
-		service:  s,
-		call:     call,
-		storeKey: StoreKey(call.Key),
-		record:   record,
-		deadline: deadline,
-		machine:  NewMachine(record.ClaimID, record.Fingerprint, deadline),
-		answers:  make(chan Action, 1),
+	return &activeCall{
+		service:   s,
+		call:      call,
+		storeKey:  StoreKey(call.Key),
+		record:    record,
+		deadline:  deadline,
+		machine:   NewMachine(record.ClaimID, record.Fingerprint, deadline),
+		responses: make(chan Action, 1),
 	}
 }
 
-// storeFailure gives a store's error before dispatch its kind.
+// storeFailure converts an error that prevented a claim to a failure.Error.
 func storeFailure(err error) *failure.Error {
 	switch {
-	case errors.Is(err, errStopped):
-		return failure.Wrap(err, failure.Draining, "claim the key")
+	case errors.Is(err, errServiceStopped):
+		return failure.Wrap(err, failure.Draining, "claim key")
 	case errors.Is(err, errQueueFull):
-		return failure.Wrap(err, failure.Overloaded, "claim the key")
+		return failure.Wrap(err, failure.Overloaded, "claim key")
 	default:
-		return failure.Wrap(err, failure.StoreUnavailable, "claim the key")
+		return failure.Wrap(err, failure.StoreUnavailable, "claim key")
 	}
 }
--- a/internal/once/settle.go
+++ b/internal/once/settle.go
@@ -10,103 +10,104 @@
 )
 
 const (
-	settleFirstWait   = 100 * time.Millisecond
-	settleLongestWait = 5 * time.Second
+	settleInitialBackoff = 100 * time.Millisecond
+	settleMaxBackoff     = 5 * time.Second
 )
 
-// settling is the bounded background work that ends a call: recording its
-// result or releasing its claim.
+// settling records the result of a call or releases its claim in the
+// background, with retries until the deadline.
 type settling struct {
-	flight  *flight
-	what    string
-	until   time.Time
-	tries   int
-	attempt func()
+	activeCall *activeCall
+	operation  string
+	deadline   time.Time
+	retries    int
+	attempt    func()
 }
 
-func (s *Service) newSettling(f *flight, what string) *settling {
-	return &settling{flight: f, what: what, until: s.options.Now().Add(settleTime)}
+func (s *Service) newSettling(c *activeCall, operation string) *settling {
+	return &settling{activeCall: c, operation: operation, deadline: s.options.Now().Add(settleTimeout)}
 }
 
-func (t *settling) end() { t.flight.step(Event{Kind: EventSettled}) }
+func (t *settling) finish() { t.activeCall.step(Event{Kind: EventSettled}) }
 
-// again tries later, or gives up when the time is over or the service stops.
-func (t *settling) again(cause error) {
-	service := t.flight.service
-	if service.flights.closed() || !service.options.Now().Before(t.until) {
-		service.metrics.unsettled.WithLabelValues(t.what).Inc()
-		service.options.Logger.Warn("an at-most-once claim was left unsettled", slog.String("work", t.what),
-			slog.String("key", t.flight.call.Key), slog.Any("error", cause))
-		t.end()
+// retry schedules another attempt, or gives up if the deadline has passed or the
+// service is stopping.
+func (t *settling) retry(cause error) {
+	service := t.activeCall.service
+	if service.activeCalls.isDraining() || !service.options.Now().Before(t.deadline) {
+		service.metrics.unsettled.WithLabelValues(t.operation).Inc()
+		service.options.Logger.Warn("gave up settling an at-most-once claim", slog.String("work", t.operation),
+			slog.String("key", t.activeCall.call.Key), slog.Any("error", cause))
+		t.finish()
 		return
 	}
-	limit := min(settleLongestWait, settleFirstWait<<min(t.tries, 10))
-	t.tries++
-	time.AfterFunc(rand.N(limit), t.attempt)
+	backoff := min(settleMaxBackoff, settleInitialBackoff<<min(t.retries, 10))
+	t.retries++
+	time.AfterFunc(rand.N(backoff), t.attempt)
 }
 
-// submit commits a transaction that is guarded by the claim's revision, so
-// that a repeat does no harm and a failed comparison means that it is done.
-func (t *settling) submit(transaction store.Transaction) {
-	t.flight.service.batcher.submit(&entry{
-		key:    t.flight.storeKey,
-		begin:  func(store.Lease) (store.Transaction, bool) { return transaction, true },
-		refuse: t.again,
-		finish: func(_ store.Outcome, _ FenceStatus, err error) {
+// commit commits a transaction that compares the claim's revision. It can
+// therefore be retried, and a failed comparison needs no further attempt.
+func (t *settling) commit(transaction store.Transaction) {
+	t.activeCall.service.batcher.submit(&queuedTransaction{
+		key:     t.activeCall.storeKey,
+		prepare: func(store.Lease) (store.Transaction, bool) { return transaction, true },
+		reject:  t.retry,
+		complete: func(_ store.Outcome, _ FenceStatus, err error) {
 			if err != nil {
-				t.again(err)
+				t.retry(err)
 				return
 			}
-			t.end()
+			t.finish()
 		},
 	})
 }
 
-// record writes the result over the claim.
-func (s *Service) record(f *flight, action Action) {
-	work := s.newSettling(f, "record")
-	finished := f.record.WithResult(action.Result, s.options.MaxResultBytes, s.options.Now().UnixMilli())
-	f.mutex.Lock()
-	lease := f.lease
-	f.mutex.Unlock()
-	transaction, err := ResultTransaction(finished, action.ModRevision, lease)
+// recordResult replaces the claim by the result.
+func (s *Service) recordResult(c *activeCall, action Action) {
+	work := s.newSettling(c, "record")
+	completed := c.record.WithResult(action.Result, s.options.MaxResultBytes, s.options.Now().UnixMilli())
+	c.mutex.Lock()
+	lease := c.lease
+	c.mutex.Unlock()
+	transaction, err := ResultTransaction(completed, action.ModRevision, lease)
 	if err != nil {
-		// The back end's result is not JSON; that the call ran is still kept.
-		finished.Result = nil
-		finished.ResultBytes = max(1, len(action.Result))
-		transaction, _ = ResultTransaction(finished, action.ModRevision, lease)
+		// The result is not valid JSON; record only that the call ran.
+		completed.Result = nil
+		completed.ResultBytes = max(1, len(action.Result))
+		transaction, _ = ResultTransaction(completed, action.ModRevision, lease)
 	}
-	work.attempt = func() { work.submit(transaction) }
+	work.attempt = func() { work.commit(transaction) }
 	work.attempt()
 }
 
-// release deletes the claim of a call that certainly did not run.
-func (s *Service) release(f *flight, action Action) {
-	work := s.newSettling(f, "release")
+// releaseClaim deletes the claim of a call that certainly did not run.
+func (s *Service) releaseClaim(c *activeCall, action Action) {
+	work := s.newSettling(c, "release")
 	if action.ModRevision > 0 {
-		transaction := ReleaseTransaction(f.storeKey, action.ModRevision)
-		work.attempt = func() { work.submit(transaction) }
+		transaction := ReleaseTransaction(c.storeKey, action.ModRevision)
+		work.attempt = func() { work.commit(transaction) }
 		work.attempt()
 		return
 	}
-	work.attempt = func() { work.find() }
+	work.attempt = func() { work.findClaim() }
 	go work.attempt()
 }
 
-// find looks for a claim that may have been written. One that is not there
-// may still arrive, so it is looked for again for a while.
-func (t *settling) find() {
-	service := t.flight.service
+// findClaim reads and releases a claim that may have been written. If it is
+// absent, the read is retried, since the write may still be applied.
+func (t *settling) findClaim() {
+	service := t.activeCall.service
 	ctx, cancel := context.WithTimeout(context.Background(), service.options.StoreTimeout)
 	defer cancel()
-	value, found, _, err := service.options.Store.Get(ctx, t.flight.storeKey)
+	value, found, _, err := service.options.Store.Get(ctx, t.activeCall.storeKey)
 	if err != nil || !found {
-		t.again(err)
+		t.retry(err)
 		return
 	}
-	if !IsPendingClaim(value.Value, t.flight.record.ClaimID) {
-		t.end()
+	if !IsPendingClaim(value.Value, t.activeCall.record.ClaimID) {
+		t.finish()
 		return
 	}
-	t.submit(ReleaseTransaction(t.flight.storeKey, value.ModRevision))
+	t.commit(ReleaseTransaction(t.activeCall.storeKey, value.ModRevision))
 }
--- a/internal/once/translate.go
+++ b/internal/once/translate.go
@@ -11,11 +11,12 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// ClaimTransaction creates a claim if its key is absent.
+// ClaimTransaction returns a transaction that creates a claim if its key is
+// absent.
 func ClaimTransaction(record Record, lease store.Lease) (store.Transaction, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
-		return store.Transaction{}, eris.Wrap(err, "encode a claim")
+		return store.Transaction{}, eris.Wrap(err, "encode claim")
 	}
 	key := StoreKey(record.Key)
 	return store.Transaction{
@@ -24,20 +25,22 @@
 	}, nil
 }
 
-// ResultTransaction writes the record of a finished call over its claim.
-func ResultTransaction(finished Record, modRevision int64, lease store.Lease) (store.Transaction, error) {
-	value, err := json.Marshal(finished)
+// ResultTransaction returns a transaction that replaces a claim by the record of
+// the completed call.
+func ResultTransaction(completed Record, modRevision int64, lease store.Lease) (store.Transaction, error) {
+	value, err := json.Marshal(completed)
 	if err != nil {
-		return store.Transaction{}, eris.Wrap(err, "encode a result")
+		return store.Transaction{}, eris.Wrap(err, "encode result")
 	}
-	key := StoreKey(finished.Key)
+	key := StoreKey(completed.Key)
 	return store.Transaction{
 		Compares: []store.Compare{{Key: key, ModRevision: modRevision}},
 		Writes:   []store.Write{{Key: key, Value: value, Lease: lease}},
 	}, nil
 }
 
-// ReleaseTransaction deletes a claim at its revision.
+// ReleaseTransaction returns a transaction that deletes the claim at
+// modRevision.
 func ReleaseTransaction(storeKey string, modRevision int64) store.Transaction {
 	return store.Transaction{
 		Compares: []store.Compare{{Key: storeKey, ModRevision: modRevision}},
@@ -45,19 +48,19 @@
 	}
 }
 
-// ClaimEvent turns the outcome of a ClaimTransaction, guarded by a fence whose
-// verdict is given, into an event.
-func ClaimEvent(outcome store.Outcome, verdict FenceStatus, err error) Event {
+// ClaimEvent converts the outcome of a guarded ClaimTransaction and the status
+// of its fence into an event.
+func ClaimEvent(outcome store.Outcome, status FenceStatus, err error) Event {
 	switch {
 	case errors.Is(err, store.ErrNotApplied):
 		return Event{Kind: EventNotApplied, Failure: storeFailure(err)}
 	case err != nil:
 		return Event{Kind: EventOutcomeUnknown}
-	case verdict == FenceRegressed && outcome.Applied:
-		return Event{Kind: EventRegressed, ModRevision: outcome.Revision, Failure: regressedFailure()}
-	case verdict == FenceRegressed:
-		return Event{Kind: EventNotApplied, Failure: regressedFailure()}
-	case verdict == FenceChanged:
+	case status == FenceRegressed && outcome.Applied:
+		return Event{Kind: EventRegressed, ModRevision: outcome.Revision, Failure: storeRegressedFailure()}
+	case status == FenceRegressed:
+		return Event{Kind: EventNotApplied, Failure: storeRegressedFailure()}
+	case status == FenceChanged:
 		return Event{Kind: EventFenceChanged}
 	case outcome.Applied:
 		return Event{Kind: EventClaimed, ModRevision: outcome.Revision}
@@ -66,46 +69,47 @@
 	}
 }
 
-// heldEvent reads who holds the key; a claim that cannot be read is not ours
-// to judge, so it is an unclear outcome.
+// heldEvent returns the event for a key that exists. The outcome is unknown if
+// the claim is missing or cannot be decoded.
 func heldEvent(outcome store.Outcome) Event {
 	for _, current := range outcome.Current {
 		if current.Key != FenceKey {
-			return heldBy(current)
+			return heldByEvent(current)
 		}
 	}
 	return Event{Kind: EventOutcomeUnknown}
 }
 
-func heldBy(current store.KeyValue) Event {
-	held, err := decodeRecord(current.Value)
+func heldByEvent(current store.KeyValue) Event {
+	record, err := decodeRecord(current.Value)
 	if err != nil {
 		return Event{Kind: EventOutcomeUnknown}
 	}
-	return Event{Kind: EventHeld, Record: held, ModRevision: current.ModRevision}
+	return Event{Kind: EventHeld, Record: record, ModRevision: current.ModRevision}
 }
 
-// IsPendingClaim tells whether a stored value is a claim of this ID that has no
-// result yet, so that its owner may release it.
+// IsPendingClaim reports whether a stored value is the claim with the given ID
+// and has no result yet, so that its holder may release it.
 func IsPendingClaim(value []byte, claimID string) bool {
-	held, err := decodeRecord(value)
-	return err == nil && held.ClaimID == claimID && held.State == RecordClaimed
+	record, err := decodeRecord(value)
+	return err == nil && record.ClaimID == claimID && record.State == RecordClaimed
 }
 
-// DispatchEvent turns what came of dispatching a key into an event.
+// DispatchEvent converts the result of dispatching the call with the given key
+// into an event.
 func DispatchEvent(key string, reply backendapi.CallReply, err error) Event {
 	if err == nil && reply.Key != key {
-		err = failure.New(failure.OutcomeUnknown, "the reply is for another key")
+		err = failure.New(failure.OutcomeUnknown, "reply is for another key")
 	}
 	if err == nil {
 		return Event{Kind: EventReplied, Result: reply.Result}
 	}
-	known := failure.From(err)
-	if known.NotRun {
-		return Event{Kind: EventRefused, Failure: known}
+	cause := failure.From(err)
+	if cause.NotRun {
+		return Event{Kind: EventRefused, Failure: cause}
 	}
-	if known.Kind != failure.OutcomeUnknown {
-		known = failure.Wrap(err, failure.OutcomeUnknown, "dispatch the call")
+	if cause.Kind != failure.OutcomeUnknown {
+		cause = failure.Wrap(err, failure.OutcomeUnknown, "dispatch call")
 	}
-	return Event{Kind: EventFailed, Failure: known}
+	return Event{Kind: EventFailed, Failure: cause}
 }
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -1,24 +1,26 @@
 package store
 
-// eraBits is the number of low bits of a revision that hold the store's own number: a trillion
-// changes of an era, at a thousand a second 34 years.
-const eraBits = 40
+// sequenceBits is the number of low bits of a revision that hold the store's
+// own sequence number. Its range lasts for 34 years at 1000 writes per second.
+const sequenceBits = 40
 
-// MaxEra and MaxSequence are the highest era and number that a revision can hold.
+// MaxEra and MaxSequence are the highest era and sequence number that fit into
+// a revision.
 const (
-	MaxEra      = 1<<(63-eraBits) - 1
-	MaxSequence = 1<<eraBits - 1
+	MaxEra      = 1<<(63-sequenceBits) - 1
+	MaxSequence = 1<<sequenceBits - 1
 )
 
-// MakeRevision returns the revision that a store's own number stands for in one of its eras. An
-// era ends when the store comes back from a copy of an earlier state: its numbers go back and
-// are given out again. A revision of a later era is higher than all of those before, so that
-// the highest revision stands for the newest state, also across eras. A store without eras is
-// in era 0 for good, and its numbers are the revisions.
-func MakeRevision(era, number int64) int64 { return era<<eraBits | number }
+// MakeRevision combines an era and a sequence number of the store into a
+// revision. A new era begins when the store is restored from a backup, after
+// which it assigns earlier sequence numbers again. Revisions of a later era are
+// higher than all earlier ones, so that the highest revision denotes the newest
+// state. A store without eras is always in era 0, and its sequence numbers are
+// its revisions.
+func MakeRevision(era, sequence int64) int64 { return era<<sequenceBits | sequence }
 
 // EraOf returns the era of a revision.
-func EraOf(revision int64) int64 { return revision >> eraBits }
+func EraOf(revision int64) int64 { return revision >> sequenceBits }
 
-// SequenceOf returns the store's own number of a revision.
+// SequenceOf returns the store's own sequence number of a revision.
 func SequenceOf(revision int64) int64 { return revision & MaxSequence }
