--- a/internal/store/etcd/message.go
+++ b/internal/store/etcd/message.go
@@ -7,44 +7,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// integer is an int64 of the gateway, which writes it as a string and reads
-// it as a string or a number.
-type integer int64
+// int64String is an int64 that the gateway encodes as a JSON string. It is
+// decoded from a string or a number.
+type int64String int64
 
-// MarshalJSON writes the number as a string, as the gateway does.
-func (i integer) MarshalJSON() ([]byte, error) {
+// MarshalJSON encodes the number as a string.
+func (i int64String) MarshalJSON() ([]byte, error) {
 	return []byte(`"` + strconv.FormatInt(int64(i), 10) + `"`), nil
 }
 
 // UnmarshalJSON accepts a string or a number.
-func (i *integer) UnmarshalJSON(text []byte) error {
+func (i *int64String) UnmarshalJSON(text []byte) error {
 	number, err := strconv.ParseInt(strings.Trim(string(text), `"`), 10, 64)
 	if err != nil {
-		return eris.Wrapf(err, "read the integer %s", text)
+		return eris.Wrapf(err, "parse integer %s", text)
 	}
-	*i = integer(number)
+	*i = int64String(number)
 	return nil
 }
 
 // The messages below are those of the etcd v3 JSON gateway (source:
 // https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/ and etcd's
-// api/etcdserverpb/rpc.proto), cut down to the fields used. Bytes are base64.
+// api/etcdserverpb/rpc.proto), reduced to the fields in use. Bytes are encoded
+// as base64.
 
 type header struct {
-	Revision integer `json:"revision"`
+	Revision int64String `json:"revision"`
 }
 
 type keyValue struct {
-	Key            []byte  `json:"key"`
-	Value          []byte  `json:"value"`
-	CreateRevision integer `json:"create_revision"`
-	ModRevision    integer `json:"mod_revision"`
+	Key            []byte      `json:"key"`
+	Value          []byte      `json:"value"`
+	CreateRevision int64String `json:"create_revision"`
+	ModRevision    int64String `json:"mod_revision"`
 }
 
 type rangeRequest struct {
-	Key      []byte  `json:"key"`
-	RangeEnd []byte  `json:"range_end,omitempty"`
-	Limit    integer `json:"limit,omitempty"`
+	Key      []byte      `json:"key"`
+	RangeEnd []byte      `json:"range_end,omitempty"`
+	Limit    int64String `json:"limit,omitempty"`
 }
 
 type rangeResponse struct {
@@ -52,7 +53,7 @@
 	Kvs    []keyValue `json:"kvs"`
 }
 
-// The values of compare.Target and compare.Result.
+// Values of compare.Target and compare.Result.
 const (
 	targetCreate = "CREATE"
 	targetMod    = "MOD"
@@ -60,17 +61,17 @@
 )
 
 type compare struct {
-	Key            []byte   `json:"key"`
-	Target         string   `json:"target"`
-	Result         string   `json:"result"`
-	CreateRevision *integer `json:"create_revision,omitempty"`
-	ModRevision    *integer `json:"mod_revision,omitempty"`
+	Key            []byte       `json:"key"`
+	Target         string       `json:"target"`
+	Result         string       `json:"result"`
+	CreateRevision *int64String `json:"create_revision,omitempty"`
+	ModRevision    *int64String `json:"mod_revision,omitempty"`
 }
 
 type putRequest struct {
-	Key   []byte  `json:"key"`
-	Value []byte  `json:"value"`
-	Lease integer `json:"lease,omitempty"`
+	Key   []byte      `json:"key"`
+	Value []byte      `json:"value"`
+	Lease int64String `json:"lease,omitempty"`
 }
 
 type deleteRangeRequest struct {
@@ -102,21 +103,22 @@
 }
 
 type leaseGrantRequest struct {
-	TTL integer `json:"TTL"`
-	ID  integer `json:"ID"`
+	TTL int64String `json:"TTL"`
+	ID  int64String `json:"ID"`
 }
 
 type leaseGrantResponse struct {
-	ID    integer `json:"ID"`
-	TTL   integer `json:"TTL"`
-	Error string  `json:"error"`
+	ID    int64String `json:"ID"`
+	TTL   int64String `json:"TTL"`
+	Error string      `json:"error"`
 }
 
 type leaseKeepAliveRequest struct {
-	ID integer `json:"ID"`
+	ID int64String `json:"ID"`
 }
 
-// leaseKeepAliveResponse is one message of a stream, so wrapped in a result.
+// leaseKeepAliveResponse is one message of a stream, which the gateway wraps in
+// a result object.
 type leaseKeepAliveResponse struct {
 	Result leaseGrantResponse `json:"result"`
 }
@@ -126,10 +128,10 @@
 }
 
 type watchCreateRequest struct {
-	Key            []byte  `json:"key"`
-	RangeEnd       []byte  `json:"range_end,omitempty"`
-	StartRevision  integer `json:"start_revision,omitempty"`
-	ProgressNotify bool    `json:"progress_notify,omitempty"`
+	Key            []byte      `json:"key"`
+	RangeEnd       []byte      `json:"range_end,omitempty"`
+	StartRevision  int64String `json:"start_revision,omitempty"`
+	ProgressNotify bool        `json:"progress_notify,omitempty"`
 }
 
 type watchMessage struct {
@@ -141,13 +143,13 @@
 	Header          header       `json:"header"`
 	Created         bool         `json:"created"`
 	Canceled        bool         `json:"canceled"`
-	CompactRevision integer      `json:"compact_revision"`
+	CompactRevision int64String  `json:"compact_revision"`
 	CancelReason    string       `json:"cancel_reason"`
 	Events          []watchEvent `json:"events"`
 }
 
-// eventDelete is the value of watchEvent.Type for a deletion; a put leaves
-// the type out.
+// eventDelete is the value of watchEvent.Type for a deletion. It is omitted for
+// a put.
 const eventDelete = "DELETE"
 
 type watchEvent struct {
@@ -155,8 +157,8 @@
 	Kv   keyValue `json:"kv"`
 }
 
-// gatewayError is the body of a reply with an error status, and the error of
-// a stream, which older gateways number by grpc_code.
+// gatewayError is the body of an error response, or the error of a stream.
+// Older gateways send grpc_code in place of code in a stream.
 type gatewayError struct {
 	Code     int    `json:"code"`
 	GRPCCode int    `json:"grpc_code"`
--- a/internal/store/etcd/transport.go
+++ b/internal/store/etcd/transport.go
@@ -16,62 +16,63 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// The gRPC codes that are told apart; both are given before a request is
-// executed.
+// The gRPC codes that have a meaning of their own. Both are returned before a
+// request is executed.
 const (
-	// codeNotFound: the lease named by a write is not known.
+	// codeNotFound means that the lease of a write does not exist.
 	codeNotFound = 5
-	// codeResourceExhausted: the rate limit is reached.
+	// codeResourceExhausted means that the rate limit was exceeded.
 	codeResourceExhausted = 8
 )
 
 const (
-	// maxReplyBytes bounds every reply and every watch message.
+	// maxReplyBytes limits the size of a response or watch message.
 	maxReplyBytes = 64 << 20
-	// maxErrorBytes bounds the body of a reply with an error status.
+	// maxErrorBytes limits how much of an error response is read.
 	maxErrorBytes = 64 << 10
 )
 
-// progress follows one request through the HTTP transport.
-type progress struct {
-	// asked is set when the transport looks for a connection, got when it has
-	// one, from when on bytes of the request may be on their way.
-	asked, got atomic.Bool
+// connectionProgress records how far the HTTP transport got with a request.
+type connectionProgress struct {
+	// requested is set when the transport asks for a connection. obtained is
+	// set when it has one; request bytes may have been sent from then on.
+	requested, obtained atomic.Bool
 }
 
-func (p *progress) trace() *httptrace.ClientTrace {
+func (p *connectionProgress) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
-		GetConn: func(string) { p.asked.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { p.got.Store(true) },
+		GetConn: func(string) { p.requested.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { p.obtained.Store(true) },
 	}
 }
 
-// neverSent is true when the transport tells of its connections and got none.
-func (p *progress) neverSent() bool { return p.asked.Load() && !p.got.Load() }
+// notConnected reports whether the transport asked for a connection and did
+// not get one. It is false for transports that do not call the trace hooks.
+func (p *connectionProgress) notConnected() bool { return p.requested.Load() && !p.obtained.Load() }
 
-// post sends one request. The body has no GetBody and the request no
-// idempotency header, so that net/http never replays it on another
-// connection. The error wraps one of the store's errors of a write.
+// post sends one request. It sets neither GetBody nor an idempotency header,
+// so that net/http does not retry it on another connection. Errors wrap
+// store.ErrNotApplied or store.ErrOutcomeUnknown.
 func (s *Store) post(ctx context.Context, path string, message any) (*http.Response, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return nil, refused(err, "encode the request "+path)
+		return nil, notApplied(err, "encode request "+path)
 	}
-	sending := &progress{}
+	progress := &connectionProgress{}
 	reader := struct{ io.Reader }{bytes.NewReader(body)}
-	ctx = httptrace.WithClientTrace(ctx, sending.trace())
+	ctx = httptrace.WithClientTrace(ctx, progress.trace())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.endpoint+path, reader)
 	if err != nil {
-		return nil, refused(err, "make the request "+path)
+		return nil, notApplied(err, "create request "+path)
 	}
 	request.ContentLength = int64(len(body))
 	request.Header.Set("Content-Type", "application/json")
 	response, err := s.client.Do(request)
 	if err != nil {
-		if sending.neverSent() {
-			return nil, refused(err, "connect for "+path)
+		if progress.notConnected() {
+			return nil, notApplied(err, "connect for "+path)
 		}
-		return nil, unclear(err, "send "+path)
+		return nil, outcomeUnknown(err, "send "+path)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, statusError(response, path)
@@ -79,26 +80,26 @@
 	return response, nil
 }
 
-// statusError reads an error reply.
+// statusError converts a response with an error status to an error.
 func statusError(response *http.Response, path string) error {
 	defer func() { _ = response.Body.Close() }()
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	var detail gatewayError
-	_ = json.Unmarshal(text, &detail) // other servers' error bodies are not JSON
+	_ = json.Unmarshal(text, &detail) // proxies may send bodies that are not JSON
 	cause := eris.Errorf("status %d, code %d: %s", response.StatusCode, detail.Code, detail.Message)
 	if detail.Code == codeNotFound {
-		return fmt.Errorf("%w: %w", store.ErrLeaseNotFound, refused(cause, "send "+path))
+		return fmt.Errorf("%w: %w", store.ErrLeaseNotFound, notApplied(cause, "send "+path))
 	}
-	if detail.Code == codeResourceExhausted || refusedStatus(response.StatusCode) {
-		return refused(cause, "send "+path)
+	if detail.Code == codeResourceExhausted || isNotAppliedStatus(response.StatusCode) {
+		return notApplied(cause, "send "+path)
 	}
-	return unclear(cause, "send "+path)
+	return outcomeUnknown(cause, "send "+path)
 }
 
-// refusedStatus is true for the statuses that are given before a request is
-// executed. 503 (gRPC's code 14) is not one: a leader can be lost after it
-// took a write.
-func refusedStatus(status int) bool {
+// isNotAppliedStatus reports whether a status is only sent before a request is
+// executed. 503 (gRPC code 14) is not: the leader can be lost after accepting
+// a write.
+func isNotAppliedStatus(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
 		http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge, http.StatusTooManyRequests:
@@ -108,7 +109,7 @@
 	}
 }
 
-// unary sends a request and decodes its one reply.
+// unary sends a request and decodes its response into reply.
 func (s *Store) unary(ctx context.Context, path string, message, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -119,40 +120,40 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err != nil {
-		return unclear(err, "read the reply of "+path)
+		return outcomeUnknown(err, "read response of "+path)
 	}
 	if len(body) > maxReplyBytes {
-		return unclear(eris.Errorf("over %d bytes", maxReplyBytes), "read the reply of "+path)
+		return outcomeUnknown(eris.Errorf("response exceeds %d bytes", maxReplyBytes), "read response of "+path)
 	}
 	if err := json.Unmarshal(body, reply); err != nil {
-		return unclear(err, "decode the reply of "+path)
+		return outcomeUnknown(err, "decode response of "+path)
 	}
 	return nil
 }
 
-// read is unary for requests that change nothing: every error is
+// unaryRead is unary for read-only requests. All errors wrap
 // store.ErrUnavailable.
-func (s *Store) read(ctx context.Context, path string, message, reply any) error {
+func (s *Store) unaryRead(ctx context.Context, path string, message, reply any) error {
 	if err := s.unary(ctx, path, message, reply); err != nil {
-		return unavailable(err)
+		return asUnavailable(err)
 	}
 	return nil
 }
 
-// unavailable hides the write errors that a cause may wrap, and their words,
-// as nothing was written.
-func unavailable(cause error) error {
+// asUnavailable replaces the write errors that cause may wrap, and their text,
+// by store.ErrUnavailable.
+func asUnavailable(cause error) error {
 	text := cause.Error()
-	for _, hidden := range []error{store.ErrOutcomeUnknown, store.ErrNotApplied} {
-		text = strings.TrimPrefix(text, hidden.Error()+": ")
+	for _, writeErr := range []error{store.ErrOutcomeUnknown, store.ErrNotApplied} {
+		text = strings.TrimPrefix(text, writeErr.Error()+": ")
 	}
 	return fmt.Errorf("%w: %s", store.ErrUnavailable, text)
 }
 
-func refused(cause error, attempted string) error {
-	return fmt.Errorf("%w: %w", store.ErrNotApplied, eris.Wrap(cause, attempted))
+func notApplied(cause error, operation string) error {
+	return fmt.Errorf("%w: %w", store.ErrNotApplied, eris.Wrap(cause, operation))
 }
 
-func unclear(cause error, attempted string) error {
-	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, eris.Wrap(cause, attempted))
+func outcomeUnknown(cause error, operation string) error {
+	return fmt.Errorf("%w: %w", store.ErrOutcomeUnknown, eris.Wrap(cause, operation))
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,9 @@
-// Package store is the narrow interface to the platform's key-value service
-// and its adapter, which speaks the JSON gateway of etcd v3.
+// Package store defines the interface to the platform's key-value service. Its
+// subpackage etcd implements it over the JSON gateway of etcd v3.
 //
-// The service is rate-limited and has outages, and an answer can be lost
-// after its write took effect. So every error of a write is either
-// ErrNotApplied, when the write certainly had no effect, or ErrUnclear.
+// A write can take effect although its response is lost. Therefore every error
+// of a write wraps either ErrNotApplied, if the write certainly had no effect,
+// or ErrOutcomeUnknown.
 package store
 
 import (
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// The errors that callers tell apart, to be tested with errors.Is.
+// Errors that callers distinguish with errors.Is.
 var (
-	// ErrUnavailable: a read failed, or nothing is known to have been done.
+	// ErrUnavailable means that a read or a watch failed.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrNotApplied: the write was refused before it took effect (rate limit,
-	// connection refused).
+	// ErrNotApplied means that a write was rejected before it took effect, for
+	// example by a rate limit or a refused connection.
 	ErrNotApplied = errors.New("store write not applied")
-	// ErrOutcomeUnknown: the write may or may not have taken effect.
-	ErrOutcomeUnknown = errors.New("store write unclear")
-	// ErrLeaseNotFound: a write named a lease that has lapsed; it comes with
-	// ErrNotApplied.
+	// ErrOutcomeUnknown means that a write may or may not have taken effect.
+	ErrOutcomeUnknown = errors.New("store write outcome unknown")
+	// ErrLeaseNotFound means that the lease of a write has expired. It is
+	// wrapped together with ErrNotApplied.
 	ErrLeaseNotFound = errors.New("store lease not found")
-	// ErrCompacted: a watch asked for a revision that is no longer kept.
+	// ErrCompacted means that the revision requested by a watch was compacted.
 	ErrCompacted = errors.New("store revision compacted")
 )
 
-// KeyValue is one key at one revision.
+// KeyValue is a key with its value at one revision.
 type KeyValue struct {
 	Key            string
 	Value          []byte
@@ -36,19 +36,19 @@
 	ModRevision    int64
 }
 
-// Lease is the identifier of a granted lease; 0 means none.
+// Lease is the ID of a lease; 0 means no lease.
 type Lease int64
 
 // Compare is a condition on one key.
 type Compare struct {
 	Key string
-	// Absent requires that the key does not exist; otherwise its mod revision
-	// must equal ModRevision.
+	// Absent requires that the key does not exist. If it is false, the key's mod
+	// revision must equal ModRevision.
 	Absent      bool
 	ModRevision int64
 }
 
-// Write puts or deletes one key.
+// Write is a put or, if Delete is set, a deletion of one key.
 type Write struct {
 	Key    string
 	Value  []byte
@@ -56,7 +56,8 @@
 	Lease  Lease
 }
 
-// Transaction applies all writes if every comparison holds, else none.
+// Transaction applies all of its writes if every comparison holds, otherwise
+// none of them.
 type Transaction struct {
 	Compares []Compare
 	Writes   []Write
@@ -64,45 +65,45 @@
 
 // Outcome is the result of a Transaction.
 type Outcome struct {
-	// Applied is true when the comparisons held.
+	// Applied reports whether the comparisons held.
 	Applied bool
 	// Revision is the store's revision after the transaction.
 	Revision int64
-	// Current holds the present values of the compared keys when Applied is
-	// false; a key that does not exist is left out.
+	// Current holds the values of the compared keys if Applied is false. Keys
+	// that do not exist are omitted.
 	Current []KeyValue
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	KeyValue KeyValue
 	Deleted  bool
 }
 
-// WatchBatch is what a watch delivers: the events of one revision, or an
-// error that ends it.
+// WatchBatch is a batch of events delivered by a watch.
 type WatchBatch struct {
 	Revision int64
 	Events   []Event
-	// Relayed is true when another node has told of the changes: they prove
-	// nothing about the store's present state.
+	// Relayed is set if another node reported the changes rather than the store.
+	// Such events say nothing about the current state of the store.
 	Relayed bool
 }
 
 // Reader reads keys.
 type Reader interface {
-	// Get returns one key (found is false when it does not exist) and the
-	// store's revision.
+	// Get returns one key and the store's revision. found is false if the key
+	// does not exist.
 	Get(ctx context.Context, key string) (value KeyValue, found bool, revision int64, err error)
-	// List returns the keys with a prefix in ascending order, at most limit
-	// (0 means all).
+	// List returns the keys with the given prefix in ascending order, at most
+	// limit of them (0 means no limit), and the store's revision.
 	List(ctx context.Context, prefix string, limit int) (values []KeyValue, revision int64, err error)
 }
 
-// StaleReader reads keys more cheaply than a Reader, as they were some time ago.
+// StaleReader reads keys more cheaply than a Reader, at a possibly old revision.
 type StaleReader interface {
-	// ListStale returns the keys with a prefix as they were at a revision or later;
-	// that may be seconds old. A watch from the revision on brings the rest.
+	// ListStale returns the keys with the given prefix and a revision that they
+	// are at least as new as. The result can be seconds old; a watch from that
+	// revision delivers the later changes.
 	ListStale(ctx context.Context, prefix string) (values []KeyValue, revision int64, err error)
 }
 
@@ -121,15 +122,15 @@
 	KeepAlive(ctx context.Context, lease Lease) error
 }
 
-// Watcher follows changes.
+// Watcher watches keys for changes.
 type Watcher interface {
-	// Watch calls deliver for each batch of changes to keys with a prefix,
-	// from a revision on, until ctx ends, deliver returns an error, or the
-	// watch breaks. It always returns a non-nil error.
+	// Watch calls deliver for each batch of changes to keys with the given
+	// prefix, starting at fromRevision, until ctx is done, deliver returns an
+	// error, or the watch fails. It always returns a non-nil error.
 	Watch(ctx context.Context, prefix string, fromRevision int64, deliver func(WatchBatch) error) error
 }
 
-// Store is the whole interface; consumers ask for the part they need.
+// Store combines all interfaces. Callers should accept only those they need.
 type Store interface {
 	Reader
 	Committer
