--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -10,33 +10,33 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// fault is what happens to one request of a write to the fake store.
+// fault is an injected fault of one commit request to the fake store.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultRefused: not applied, and said so.
-	faultRefused
-	// faultLostAnswer: applied, but the answer is lost.
-	faultLostAnswer
-	// faultLostRequest: not applied, but that is not known.
-	faultLostRequest
-	// faultHang: the request is answered when its time is over, not applied.
-	faultHang
-	// faultLate: as faultHang, but it is applied at that moment.
-	faultLate
+	// faultNotApplied: not applied, and reported as such.
+	faultNotApplied
+	// faultResponseLost: applied, but the response is lost.
+	faultResponseLost
+	// faultRequestLost: not applied, with an unknown outcome.
+	faultRequestLost
+	// faultTimeout: not applied; the request times out.
+	faultTimeout
+	// faultTimeoutApplied: applied when the request times out.
+	faultTimeoutApplied
 )
 
-// fakeStore is an in-memory store whose commits fail as scripted.
+// fakeStore is an in-memory store with injected faults of commits.
 type fakeStore struct {
 	mutex    sync.Mutex
 	revision int64
 	values   map[string]store.KeyValue
 	faults   []fault
-	// always is the fault once the script has ended.
-	always fault
-	// wrote is true once a transaction of a request has written.
-	wrote    bool
+	// defaultFault applies once faults is exhausted.
+	defaultFault fault
+	// written is set if a transaction of the current request wrote a key.
+	written  bool
 	requests int
 	grants   int
 }
@@ -45,60 +45,60 @@
 	return &fakeStore{values: make(map[string]store.KeyValue), faults: faults}
 }
 
-func (s *fakeStore) next() fault {
+func (s *fakeStore) nextFault() fault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.requests++
 	if len(s.faults) == 0 {
-		return s.always
+		return s.defaultFault
 	}
-	happens := s.faults[0]
+	injected := s.faults[0]
 	s.faults = s.faults[1:]
-	return happens
+	return injected
 }
 
 func (s *fakeStore) CommitAll(ctx context.Context, transactions []store.Transaction) ([]store.Outcome, error) {
-	happens := s.next()
-	switch happens {
-	case faultRefused:
+	injected := s.nextFault()
+	switch injected {
+	case faultNotApplied:
 		return nil, store.ErrNotApplied
-	case faultLostRequest:
+	case faultRequestLost:
 		return nil, store.ErrOutcomeUnknown
-	case faultHang:
+	case faultTimeout:
 		<-ctx.Done()
 		return nil, store.ErrOutcomeUnknown
-	case faultLate:
+	case faultTimeoutApplied:
 		<-ctx.Done()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	outcomes := make([]store.Outcome, 0, len(transactions))
 	s.revision++
-	s.wrote = false
+	s.written = false
 	for _, transaction := range transactions {
 		outcomes = append(outcomes, s.apply(transaction))
 	}
-	if !s.wrote {
+	if !s.written {
 		s.revision--
 	}
-	for at := range outcomes {
-		outcomes[at].Revision = s.revision
+	for i := range outcomes {
+		outcomes[i].Revision = s.revision
 	}
-	if happens != faultNone {
+	if injected != faultNone {
 		return nil, store.ErrOutcomeUnknown
 	}
 	return outcomes, nil
 }
 
 func (s *fakeStore) apply(transaction store.Transaction) store.Outcome {
-	for _, condition := range transaction.Compares {
-		value, found := s.values[condition.Key]
-		if condition.Absent == found || (found && value.ModRevision != condition.ModRevision) {
-			return store.Outcome{Current: s.current(transaction.Compares)}
+	for _, compare := range transaction.Compares {
+		value, found := s.values[compare.Key]
+		if compare.Absent == found || (found && value.ModRevision != compare.ModRevision) {
+			return store.Outcome{Current: s.currentValues(transaction.Compares)}
 		}
 	}
 	for _, write := range transaction.Writes {
-		s.wrote = true
+		s.written = true
 		if write.Delete {
 			delete(s.values, write.Key)
 			continue
@@ -108,43 +108,43 @@
 	return store.Outcome{Applied: true}
 }
 
-func (s *fakeStore) current(compares []store.Compare) []store.KeyValue {
+func (s *fakeStore) currentValues(compares []store.Compare) []store.KeyValue {
 	var found []store.KeyValue
-	for _, condition := range compares {
-		if value, exists := s.values[condition.Key]; exists {
+	for _, compare := range compares {
+		if value, exists := s.values[compare.Key]; exists {
 			found = append(found, value)
 		}
 	}
 	return found
 }
 
-// backup is the store's state at one moment.
-type backup struct {
+// snapshot is the state of the store at one time.
+type snapshot struct {
 	revision int64
 	values   map[string]store.KeyValue
 }
 
-func (s *fakeStore) save() backup {
+func (s *fakeStore) takeSnapshot() snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return backup{revision: s.revision, values: maps.Clone(s.values)}
+	return snapshot{revision: s.revision, values: maps.Clone(s.values)}
 }
 
-func (s *fakeStore) restore(saved backup) {
+func (s *fakeStore) restore(snap snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.revision, s.values = saved.revision, maps.Clone(saved.values)
+	s.revision, s.values = snap.revision, maps.Clone(snap.values)
 }
 
-// fail scripts the faults of the next requests.
-func (s *fakeStore) fail(faults ...fault) {
+// setFaults sets the faults of the next requests.
+func (s *fakeStore) setFaults(faults ...fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
 func (s *fakeStore) Commit(context.Context, store.Transaction) (store.Outcome, error) {
-	panic("the service groups all transactions")
+	panic("unexpected Commit: the service uses CommitAll")
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (store.KeyValue, bool, int64, error) {
@@ -155,7 +155,7 @@
 }
 
 func (s *fakeStore) List(context.Context, string, int) ([]store.KeyValue, int64, error) {
-	panic("the service lists nothing")
+	panic("unexpected List")
 }
 
 func (s *fakeStore) Grant(context.Context, time.Duration) (store.Lease, error) {
@@ -167,22 +167,22 @@
 
 func (s *fakeStore) KeepAlive(context.Context, store.Lease) error { return nil }
 
-func (s *fakeStore) counts() (requests, grants, keys int) {
+func (s *fakeStore) stats() (requests, grants, keys int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.requests, s.grants, len(s.values)
 }
 
-// fakeBackend counts executions by key; err is what the dispatcher reports
-// after the call ran or, with refuses set, in place of running it.
+// fakeBackend counts executions by key. Calls return err, after they ran or, if
+// rejects is set, without running.
 type fakeBackend struct {
-	mutex      sync.Mutex
-	executions map[string]int
-	err        error
-	refuses    bool
-	takes      time.Duration
-	result     string
-	last       backendapi.CallRequest
+	mutex       sync.Mutex
+	executions  map[string]int
+	err         error
+	rejects     bool
+	duration    time.Duration
+	result      string
+	lastRequest backendapi.CallRequest
 }
 
 func newFakeBackend() *fakeBackend {
@@ -191,13 +191,13 @@
 
 func (b *fakeBackend) Call(ctx context.Context, _ string, request backendapi.CallRequest) (backendapi.CallReply, error) {
 	b.mutex.Lock()
-	b.last = request
-	err, refuses, takes := b.err, b.refuses, b.takes
-	if !refuses {
+	b.lastRequest = request
+	err, rejects, duration := b.err, b.rejects, b.duration
+	if !rejects {
 		b.executions[request.Key]++
 	}
 	b.mutex.Unlock()
-	timer := time.NewTimer(takes)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -210,7 +210,7 @@
 	return backendapi.CallReply{Key: request.Key, Result: []byte(b.result)}, nil
 }
 
-func (b *fakeBackend) count(key string) int {
+func (b *fakeBackend) executionCount(key string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.executions[key]
--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -1,5 +1,5 @@
-// Package store_test holds the contract of store.Store: the same cases run
-// against each adapter over loopback: etcd's and the users' platform's.
+// Package store_test holds the contract tests of store.Store. Each runs against
+// all adapters over loopback: etcd and the platform's store.
 package store_test
 
 import (
@@ -19,54 +19,54 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// service is a store under test and the stand-in behind it.
-type service struct {
+// adapter is a store under test with the stand-in server behind it.
+type adapter struct {
 	store.Store
 	memory    *kv.Store
 	setFaults func(kv.Faults) error
 }
 
-// services makes each adapter over a stand-in of its own.
-var services = []struct {
+// adapters lists the implementations of store.Store, each with its own stand-in.
+var adapters = []struct {
 	name string
-	make func(t *testing.T) *service
+	make func(t *testing.T) *adapter
 }{
-	{"etcd", newEtcd},
-	{"platform", newPlatform},
+	{"etcd", newEtcdAdapter},
+	{"platform", newPlatformAdapter},
 }
 
-func newEtcd(t *testing.T) *service {
+func newEtcdAdapter(t *testing.T) *adapter {
 	standin := kv.NewServer(kv.Options{})
 	server := httptest.NewServer(standin)
 	t.Cleanup(server.Close)
-	return &service{
+	return &adapter{
 		Store:  etcd.New(etcd.Options{Endpoint: server.URL, Client: server.Client()}),
 		memory: standin.Store, setFaults: standin.SetFaults,
 	}
 }
 
-func newPlatform(t *testing.T) *service {
-	serving := standin.NewStore()
-	server := httptest.NewServer(serving)
+func newPlatformAdapter(t *testing.T) *adapter {
+	standinStore := standin.NewStore()
+	server := httptest.NewServer(standinStore)
 	t.Cleanup(server.Close)
-	return &service{
+	return &adapter{
 		Store: platform.NewStore(platform.StoreOptions{
 			Endpoint: server.URL, Client: server.Client(), WatchWait: 50 * time.Millisecond,
 		}),
-		memory: serving.Memory, setFaults: serving.SetFaults,
+		memory: standinStore.Memory, setFaults: standinStore.SetFaults,
 	}
 }
 
-// forEach runs a case against each adapter.
-func forEach(t *testing.T, run func(t *testing.T, under *service)) {
+// forEach runs a test against each adapter.
+func forEach(t *testing.T, run func(t *testing.T, tested *adapter)) {
 	t.Helper()
-	for _, one := range services {
-		t.Run(one.name, func(t *testing.T) { run(t, one.make(t)) })
+	for _, candidate := range adapters {
+		t.Run(candidate.name, func(t *testing.T) { run(t, candidate.make(t)) })
 	}
 }
 
-// fault switches faults on at the stand-in.
-func (s *service) fault(t *testing.T, faults kv.Faults) {
+// setStandinFaults sets the faults injected by the stand-in.
+func (s *adapter) setStandinFaults(t *testing.T, faults kv.Faults) {
 	t.Helper()
 	if err := s.setFaults(faults); err != nil {
 		t.Fatal(err)
@@ -80,18 +80,18 @@
 	}
 }
 
-func mustCommit(t *testing.T, under store.Committer, transaction store.Transaction) store.Outcome {
+func mustCommit(t *testing.T, tested store.Committer, transaction store.Transaction) store.Outcome {
 	t.Helper()
-	outcome, err := under.Commit(t.Context(), transaction)
+	outcome, err := tested.Commit(t.Context(), transaction)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return outcome
 }
 
-func valueOf(t *testing.T, under store.Reader, key string) string {
+func valueOf(t *testing.T, tested store.Reader, key string) string {
 	t.Helper()
-	read, found, _, err := under.Get(t.Context(), key)
+	read, found, _, err := tested.Get(t.Context(), key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,37 +102,37 @@
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		first := mustCommit(t, under, create("a", "1"))
+	forEach(t, func(t *testing.T, tested *adapter) {
+		first := mustCommit(t, tested, create("a", "1"))
 		if !first.Applied {
-			t.Fatal("a key that was absent was not created")
+			t.Fatal("absent key was not created")
 		}
-		second := mustCommit(t, under, create("a", "2"))
+		second := mustCommit(t, tested, create("a", "2"))
 		if second.Applied || len(second.Current) != 1 || string(second.Current[0].Value) != "1" {
-			t.Errorf("creating it again: %+v", second)
+			t.Errorf("create of an existing key: %+v", second)
 		}
 		swap := func(revision int64, value string) store.Outcome {
-			return mustCommit(t, under, store.Transaction{
+			return mustCommit(t, tested, store.Transaction{
 				Compares: []store.Compare{{Key: "a", ModRevision: revision}},
 				Writes:   []store.Write{{Key: "a", Value: []byte(value)}},
 			})
 		}
 		if outcome := swap(first.Revision, "3"); !outcome.Applied || outcome.Revision <= first.Revision {
-			t.Errorf("swap at the right revision: %+v", outcome)
+			t.Errorf("swap at the current revision: %+v", outcome)
 		}
 		if swap(first.Revision, "4").Applied {
 			t.Error("swap at an old revision was applied")
 		}
-		if got := valueOf(t, under, "a"); got != "3" {
-			t.Errorf("value %q", got)
+		if got := valueOf(t, tested, "a"); got != "3" {
+			t.Errorf("value %q, want 3", got)
 		}
 	})
 }
 
-func TestCommitAllAppliesEachByItself(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		mustCommit(t, under, create("k/b", "held"))
-		outcomes, err := under.CommitAll(t.Context(), []store.Transaction{create("k/a", "1"), create("k/b", "2"), create("k/c", "3")})
+func TestCommitAllAppliesIndependently(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		mustCommit(t, tested, create("k/b", "held"))
+		outcomes, err := tested.CommitAll(t.Context(), []store.Transaction{create("k/a", "1"), create("k/b", "2"), create("k/c", "3")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +143,7 @@
 		if diff := cmp.Diff([]bool{true, false, true}, applied); diff != "" {
 			t.Errorf("applied (-want +got):\n%s", diff)
 		}
-		values, _, err := under.List(t.Context(), "k/", 0)
+		values, _, err := tested.List(t.Context(), "k/", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,27 +157,27 @@
 	})
 }
 
-func TestErrorsOfWritesTellTheTruth(t *testing.T) {
+func TestWriteErrors(t *testing.T) {
 	cases := []struct {
 		name    string
 		faults  kv.Faults
 		want    error
 		applied bool
 	}{
-		{"acknowledgement lost", kv.Faults{LoseAcknowledgements: 1}, store.ErrOutcomeUnknown, true},
+		{"response lost", kv.Faults{LoseAcknowledgements: 1}, store.ErrOutcomeUnknown, true},
 		{"outage", kv.Faults{Outage: true}, store.ErrOutcomeUnknown, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			forEach(t, func(t *testing.T, under *service) {
-				mustCommit(t, under, create("before", "1"))
-				under.fault(t, test.faults)
-				_, err := under.Commit(t.Context(), create("a", "1"))
+			forEach(t, func(t *testing.T, tested *adapter) {
+				mustCommit(t, tested, create("before", "1"))
+				tested.setStandinFaults(t, test.faults)
+				_, err := tested.Commit(t.Context(), create("a", "1"))
 				if !errors.Is(err, test.want) {
 					t.Errorf("error %v, want %v", err, test.want)
 				}
-				under.fault(t, kv.Faults{})
-				if got := valueOf(t, under, "a") != ""; got != test.applied {
+				tested.setStandinFaults(t, kv.Faults{})
+				if got := valueOf(t, tested, "a") != ""; got != test.applied {
 					t.Errorf("applied: %v", got)
 				}
 			})
@@ -185,35 +185,35 @@
 	}
 }
 
-func TestRateLimitedWriteIsNotApplied(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		under.fault(t, kv.Faults{RateLimitPerSecond: 0.000001})
-		mustCommit(t, under, create("within", "1")) // the burst of one
-		if _, err := under.Commit(t.Context(), create("over", "1")); !errors.Is(err, store.ErrNotApplied) {
+func TestRateLimitedWriteNotApplied(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		tested.setStandinFaults(t, kv.Faults{RateLimitPerSecond: 0.000001})
+		mustCommit(t, tested, create("within", "1")) // uses up the burst of one
+		if _, err := tested.Commit(t.Context(), create("over", "1")); !errors.Is(err, store.ErrNotApplied) {
 			t.Errorf("error %v", err)
 		}
-		_, _, _, err := under.Get(t.Context(), "over")
+		_, _, _, err := tested.Get(t.Context(), "over")
 		if !errors.Is(err, store.ErrUnavailable) || strings.Contains(err.Error(), "write") {
-			t.Errorf("error of a read %v", err)
+			t.Errorf("read error %v", err)
 		}
-		under.fault(t, kv.Faults{})
-		if got := valueOf(t, under, "over"); got != "" {
-			t.Errorf("value %q of a write that was not applied", got)
+		tested.setStandinFaults(t, kv.Faults{})
+		if got := valueOf(t, tested, "over"); got != "" {
+			t.Errorf("value %q after a write that was not applied", got)
 		}
 	})
 }
 
-// errEnough ends a watch from its delivery.
-var errEnough = errors.New("enough")
+// errStopWatch is returned by deliver to end a watch.
+var errStopWatch = errors.New("stop watch")
 
-func TestWatchDeliversEveryChangeInOrder(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		first := mustCommit(t, under, create("p/a", "1"))
-		mustCommit(t, under, create("elsewhere", "1"))
-		mustCommit(t, under, create("p/b", "2"))
-		mustCommit(t, under, store.Transaction{Writes: []store.Write{{Key: "p/a", Delete: true}}})
+func TestWatchDeliversChangesInOrder(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		first := mustCommit(t, tested, create("p/a", "1"))
+		mustCommit(t, tested, create("elsewhere", "1"))
+		mustCommit(t, tested, create("p/b", "2"))
+		mustCommit(t, tested, store.Transaction{Writes: []store.Write{{Key: "p/a", Delete: true}}})
 		var got []string
-		err := under.Watch(t.Context(), "p/", first.Revision, func(batch store.WatchBatch) error {
+		err := tested.Watch(t.Context(), "p/", first.Revision, func(batch store.WatchBatch) error {
 			for _, event := range batch.Events {
 				kind := "put "
 				if event.Deleted {
@@ -222,11 +222,11 @@
 				got = append(got, kind+event.KeyValue.Key)
 			}
 			if len(got) == 3 {
-				return errEnough
+				return errStopWatch
 			}
 			return nil
 		})
-		if !errors.Is(err, errEnough) {
+		if !errors.Is(err, errStopWatch) {
 			t.Errorf("error %v", err)
 		}
 		if diff := cmp.Diff([]string{"put p/a", "put p/b", "delete p/a"}, got); diff != "" {
@@ -235,25 +235,25 @@
 	})
 }
 
-func TestWatchFromACompactedRevision(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		first := mustCommit(t, under, create("p/a", "1"))
-		second := mustCommit(t, under, create("p/b", "1"))
-		if _, err := under.memory.Compact(kv.CompactionRequest{Revision: kv.Integer(second.Revision)}); err != nil {
+func TestWatchFromCompactedRevision(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		first := mustCommit(t, tested, create("p/a", "1"))
+		second := mustCommit(t, tested, create("p/b", "1"))
+		if _, err := tested.memory.Compact(kv.CompactionRequest{Revision: kv.Integer(second.Revision)}); err != nil {
 			t.Fatal(err)
 		}
-		err := under.Watch(t.Context(), "p/", first.Revision, func(store.WatchBatch) error { return nil })
+		err := tested.Watch(t.Context(), "p/", first.Revision, func(store.WatchBatch) error { return nil })
 		if !errors.Is(err, store.ErrCompacted) {
 			t.Errorf("error %v", err)
 		}
 	})
 }
 
-func TestWatchBreaksWithTheStore(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		first := mustCommit(t, under, create("p/a", "1"))
-		err := under.Watch(t.Context(), "p/", first.Revision, func(store.WatchBatch) error {
-			return under.setFaults(kv.Faults{Outage: true})
+func TestWatchFailsOnOutage(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		first := mustCommit(t, tested, create("p/a", "1"))
+		err := tested.Watch(t.Context(), "p/", first.Revision, func(store.WatchBatch) error {
+			return tested.setFaults(kv.Faults{Outage: true})
 		})
 		if err == nil || errors.Is(err, context.Canceled) {
 			t.Errorf("error %v", err)
@@ -261,26 +261,26 @@
 	})
 }
 
-func TestALapsedLeaseTakesItsKeys(t *testing.T) {
-	forEach(t, func(t *testing.T, under *service) {
-		lease, err := under.Grant(t.Context(), time.Hour)
+func TestExpiredLeaseDeletesKeys(t *testing.T) {
+	forEach(t, func(t *testing.T, tested *adapter) {
+		lease, err := tested.Grant(t.Context(), time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
 		leased := create("a", "1")
 		leased.Writes[0].Lease = lease
-		mustCommit(t, under, leased)
-		if err := under.KeepAlive(t.Context(), lease); err != nil {
+		mustCommit(t, tested, leased)
+		if err := tested.KeepAlive(t.Context(), lease); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := under.memory.Revoke(kv.LeaseRequest{ID: kv.Integer(lease)}); err != nil {
+		if _, err := tested.memory.Revoke(kv.LeaseRequest{ID: kv.Integer(lease)}); err != nil {
 			t.Fatal(err)
 		}
-		if got := valueOf(t, under, "a"); got != "" {
-			t.Errorf("value %q after its lease", got)
+		if got := valueOf(t, tested, "a"); got != "" {
+			t.Errorf("value %q after its lease was revoked", got)
 		}
-		if err := under.KeepAlive(t.Context(), lease); err == nil {
-			t.Error("a lapsed lease was kept alive")
+		if err := tested.KeepAlive(t.Context(), lease); err == nil {
+			t.Error("KeepAlive of a revoked lease succeeded")
 		}
 	})
 }
--- a/internal/store/etcd/etcd_test.go
+++ b/internal/store/etcd/etcd_test.go
@@ -20,9 +20,9 @@
 	"github.com/doorpond/doorpond/internal/store/etcd"
 )
 
-func encoded(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
+func base64Of(text string) string { return base64.StdEncoding.EncodeToString([]byte(text)) }
 
-// gateway serves one fixed answer and keeps the last request.
+// gateway serves a fixed response and records the last request.
 type gateway struct {
 	status   int
 	reply    string
@@ -39,22 +39,22 @@
 	_, _ = io.WriteString(w, g.reply)
 }
 
-func serve(t *testing.T, handler http.Handler) *etcd.Store {
+func newStore(t *testing.T, handler http.Handler) *etcd.Store {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return etcd.New(etcd.Options{Endpoint: server.URL, Client: server.Client()})
 }
 
-func TestGetReadsIntegersAsStringsOrNumbers(t *testing.T) {
+func TestGetIntegersAsStringsOrNumbers(t *testing.T) {
 	cases := map[string]string{
 		"strings": `{"header":{"revision":"9"},"kvs":[{"key":"%s","value":"%s","create_revision":"3","mod_revision":"7"}]}`,
 		"numbers": `{"header":{"revision":9},"kvs":[{"key":"%s","value":"%s","create_revision":3,"mod_revision":7}]}`,
 	}
 	for name, format := range cases {
 		t.Run(name, func(t *testing.T) {
-			fake := &gateway{status: http.StatusOK, reply: fmt.Sprintf(format, encoded("/a"), encoded("v"))}
-			value, found, revision, err := serve(t, fake).Get(t.Context(), "/a")
+			server := &gateway{status: http.StatusOK, reply: fmt.Sprintf(format, base64Of("/a"), base64Of("v"))}
+			value, found, revision, err := newStore(t, server).Get(t.Context(), "/a")
 			if err != nil || !found || revision != 9 {
 				t.Fatalf("found %v, revision %d, error %v", found, revision, err)
 			}
@@ -66,19 +66,19 @@
 	}
 }
 
-func TestListAsksForTheWholePrefix(t *testing.T) {
-	fake := &gateway{status: http.StatusOK, reply: `{"header":{"revision":"1"}}`}
-	values, _, err := serve(t, fake).List(t.Context(), "/a/", 5)
+func TestListRequestsPrefixRange(t *testing.T) {
+	server := &gateway{status: http.StatusOK, reply: `{"header":{"revision":"1"}}`}
+	values, _, err := newStore(t, server).List(t.Context(), "/a/", 5)
 	if err != nil || len(values) != 0 {
 		t.Fatalf("values %v, error %v", values, err)
 	}
-	want := fmt.Sprintf(`{"key":"%s","range_end":"%s","limit":"5"}`, encoded("/a/"), encoded("/a0"))
-	if diff := cmp.Diff(want, fake.request); diff != "" {
+	want := fmt.Sprintf(`{"key":"%s","range_end":"%s","limit":"5"}`, base64Of("/a/"), base64Of("/a0"))
+	if diff := cmp.Diff(want, server.request); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestErrorsOfWrites(t *testing.T) {
+func TestRequestErrors(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -88,38 +88,38 @@
 		{"rate limit by status", 429, "", store.ErrNotApplied},
 		{"rate limit by code", 500, `{"code":8,"message":"etcdserver: too many requests"}`, store.ErrNotApplied},
 		{"malformed", 400, `{"code":3}`, store.ErrNotApplied},
-		{"lease lapsed", 404, `{"code":5,"message":"etcdserver: requested lease not found"}`, store.ErrLeaseNotFound},
+		{"lease expired", 404, `{"code":5,"message":"etcdserver: requested lease not found"}`, store.ErrLeaseNotFound},
 		{"unavailable", 503, `{"code":14,"message":"leader changed"}`, store.ErrOutcomeUnknown},
 		{"internal error", 500, "oops", store.ErrOutcomeUnknown},
 		{"gateway timeout", 504, `{"code":4}`, store.ErrOutcomeUnknown},
 		{"client closed request", 499, `{"code":1}`, store.ErrOutcomeUnknown},
 		{"redirect", 302, "", store.ErrOutcomeUnknown},
-		{"reply not JSON", 200, "{", store.ErrOutcomeUnknown},
+		{"response not JSON", 200, "{", store.ErrOutcomeUnknown},
 	}
 	transaction := store.Transaction{Writes: []store.Write{{Key: "/a", Value: []byte("v")}}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			fake := &gateway{status: c.status, reply: c.reply}
-			client := serve(t, fake)
+			server := &gateway{status: c.status, reply: c.reply}
+			client := newStore(t, server)
 			_, err := client.Commit(t.Context(), transaction)
 			if !errors.Is(err, c.want) {
 				t.Errorf("Commit: %v, want %v", err, c.want)
 			}
 			if errors.Is(err, store.ErrNotApplied) == errors.Is(err, store.ErrOutcomeUnknown) {
-				t.Errorf("Commit: %v is both or neither", err)
+				t.Errorf("Commit: %v must wrap exactly one of ErrNotApplied and ErrOutcomeUnknown", err)
 			}
 			_, _, _, err = client.Get(t.Context(), "/a")
 			if !errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotApplied) {
 				t.Errorf("Get: %v, want only %v", err, store.ErrUnavailable)
 			}
-			if got := fake.requests.Load(); got != 2 {
+			if got := server.requests.Load(); got != 2 {
 				t.Errorf("%d requests, want 2", got)
 			}
 		})
 	}
 }
 
-func TestConnectionRefusedIsNotApplied(t *testing.T) {
+func TestConnectionRefusedNotApplied(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -134,10 +134,10 @@
 	}
 }
 
-// TestCutReusedConnectionIsNotReplayed answers the first request and cuts the
-// connection after it has read the second one.
-func TestCutReusedConnectionIsNotReplayed(t *testing.T) {
-	var requests, reused atomic.Int32
+// A write on a reused connection must not be retried by net/http when the server
+// closes the connection after reading the request.
+func TestClosedReusedConnectionNotRetried(t *testing.T) {
+	var requests, connections atomic.Int32
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if requests.Add(1) == 1 {
@@ -152,7 +152,7 @@
 	server := httptest.NewUnstartedServer(handler)
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
-			reused.Add(1)
+			connections.Add(1)
 		}
 	}
 	server.Start()
@@ -168,15 +168,15 @@
 	if got := requests.Load(); got != 2 {
 		t.Errorf("%d requests reached the server, want 2", got)
 	}
-	if got := reused.Load(); got != 1 {
-		t.Errorf("%d connections, want 1 that is reused", got)
+	if got := connections.Load(); got != 1 {
+		t.Errorf("%d connections, want 1", got)
 	}
 }
 
-func TestTimeoutAfterSendingIsUnclear(t *testing.T) {
+func TestCancelAfterSendOutcomeUnknown(t *testing.T) {
 	release := make(chan struct{})
 	received := make(chan struct{})
-	client := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	client := newStore(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(received)
 		<-release
@@ -196,8 +196,8 @@
 	reply := `{"header":{"revision":"12"},"succeeded":true,"responses":[
 		{"response_txn":{"succeeded":true,"responses":[{"response_put":{}}]}},
 		{"response_txn":{"responses":[{"response_range":{"kvs":[{"key":"%s","value":"%s","mod_revision":"4"}]}}]}}]}`
-	fake := &gateway{status: http.StatusOK, reply: fmt.Sprintf(reply, encoded("/b"), encoded("other"))}
-	got, err := serve(t, fake).CommitAll(t.Context(), []store.Transaction{
+	server := &gateway{status: http.StatusOK, reply: fmt.Sprintf(reply, base64Of("/b"), base64Of("other"))}
+	got, err := newStore(t, server).CommitAll(t.Context(), []store.Transaction{
 		{Compares: []store.Compare{{Key: "/a", Absent: true}}, Writes: []store.Write{{Key: "/a", Lease: 3}}},
 		{Compares: []store.Compare{{Key: "/b", ModRevision: 2}}, Writes: []store.Write{{Key: "/b", Delete: true}}},
 	})
@@ -211,20 +211,20 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if !json.Valid([]byte(fake.request)) || fake.path != "/v3/kv/txn" {
-		t.Errorf("sent to %s: %s", fake.path, fake.request)
+	if !json.Valid([]byte(server.request)) || server.path != "/v3/kv/txn" {
+		t.Errorf("request to %s: %s", server.path, server.request)
 	}
 }
 
-func TestCommitAllWithMissingOutcomesIsUnclear(t *testing.T) {
+func TestCommitAllMissingOutcomes(t *testing.T) {
 	cases := map[string]string{
-		"none":          `{"header":{"revision":"1"},"succeeded":true}`,
-		"of other kind": `{"header":{"revision":"1"},"succeeded":true,"responses":[{"response_range":{}}]}`,
+		"none":       `{"header":{"revision":"1"},"succeeded":true}`,
+		"wrong kind": `{"header":{"revision":"1"},"succeeded":true,"responses":[{"response_range":{}}]}`,
 	}
 	for name, reply := range cases {
 		t.Run(name, func(t *testing.T) {
-			fake := &gateway{status: http.StatusOK, reply: reply}
-			_, err := serve(t, fake).CommitAll(t.Context(), make([]store.Transaction, 1))
+			server := &gateway{status: http.StatusOK, reply: reply}
+			_, err := newStore(t, server).CommitAll(t.Context(), make([]store.Transaction, 1))
 			if !errors.Is(err, store.ErrOutcomeUnknown) {
 				t.Errorf("%v, want %v", err, store.ErrOutcomeUnknown)
 			}
@@ -233,17 +233,17 @@
 }
 
 func TestLeases(t *testing.T) {
-	fake := &gateway{status: http.StatusOK, reply: `{"header":{},"ID":"77","TTL":"90000"}`}
-	lease, err := serve(t, fake).Grant(t.Context(), 25*time.Hour)
+	server := &gateway{status: http.StatusOK, reply: `{"header":{},"ID":"77","TTL":"90000"}`}
+	lease, err := newStore(t, server).Grant(t.Context(), 25*time.Hour)
 	if err != nil || lease != 77 {
 		t.Errorf("lease %d, error %v", lease, err)
 	}
-	fake = &gateway{status: http.StatusOK, reply: `{"result":{"header":{},"ID":"77"}}`}
-	if err := serve(t, fake).KeepAlive(t.Context(), 77); !errors.Is(err, store.ErrNotApplied) {
-		t.Errorf("a lapsed lease: %v", err)
+	server = &gateway{status: http.StatusOK, reply: `{"result":{"header":{},"ID":"77"}}`}
+	if err := newStore(t, server).KeepAlive(t.Context(), 77); !errors.Is(err, store.ErrNotApplied) {
+		t.Errorf("KeepAlive of an expired lease: %v, want ErrNotApplied", err)
 	}
-	fake = &gateway{status: http.StatusOK, reply: `{"result":{"header":{},"ID":"77","TTL":"90000"}}`}
-	if err := serve(t, fake).KeepAlive(t.Context(), 77); err != nil {
+	server = &gateway{status: http.StatusOK, reply: `{"result":{"header":{},"ID":"77","TTL":"90000"}}`}
+	if err := newStore(t, server).KeepAlive(t.Context(), 77); err != nil {
 		t.Error(err)
 	}
 }
@@ -251,10 +251,10 @@
 func TestWatch(t *testing.T) {
 	created := `{"result":{"header":{"revision":"4"},"created":true}}` + "\n"
 	put := fmt.Sprintf(`{"result":{"header":{"revision":"5"},"events":[{"kv":{"key":"%s","value":"%s","mod_revision":"5"}}]}}`,
-		encoded("/a/x"), encoded("v"))
+		base64Of("/a/x"), base64Of("v"))
 	deleted := fmt.Sprintf(`{"result":{"header":{"revision":"6"},"events":[{"type":"DELETE","kv":{"key":"%s","mod_revision":"6"}}]}}`,
-		encoded("/a/x"))
-	errStop := errors.New("stop")
+		base64Of("/a/x"))
+	errStopWatch := errors.New("stop")
 	cases := []struct {
 		name   string
 		reply  string
@@ -262,8 +262,8 @@
 		want   error
 		events int
 	}{
-		{"ends", created + put + deleted, 0, store.ErrUnavailable, 2},
-		{"consumer's error", created + put + deleted, 1, errStop, 1},
+		{"stream ends", created + put + deleted, 0, store.ErrUnavailable, 2},
+		{"deliver error", created + put + deleted, 1, errStopWatch, 1},
 		{"compacted", `{"result":{"canceled":true,"compact_revision":"9"}}`, 0, store.ErrCompacted, 0},
 		{"canceled", created + `{"result":{"canceled":true,"cancel_reason":"no leader"}}`, 0, store.ErrUnavailable, 0},
 		{"stream error", `{"error":{"grpc_code":14,"message":"gone"}}`, 0, store.ErrUnavailable, 0},
@@ -272,10 +272,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			events := 0
-			err := serve(t, &gateway{status: http.StatusOK, reply: c.reply}).Watch(t.Context(), "/a/", 5, func(batch store.WatchBatch) error {
+			err := newStore(t, &gateway{status: http.StatusOK, reply: c.reply}).Watch(t.Context(), "/a/", 5, func(batch store.WatchBatch) error {
 				events += len(batch.Events)
 				if c.stopAt == events {
-					return errStop
+					return errStopWatch
 				}
 				return nil
 			})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,7 +14,8 @@
 
 // Errors that callers distinguish with errors.Is.
 var (
-	// ErrUnavailable means that a read or a watch failed.
+	// ErrUnavailable means that a request that writes nothing failed, such as a
+	// read or a watch.
 	ErrUnavailable = errors.New("store unavailable")
 	// ErrNotApplied means that a write was rejected before it took effect, for
 	// example by a rate limit or a refused connection.
@@ -130,7 +131,8 @@
 	Watch(ctx context.Context, prefix string, fromRevision int64, deliver func(WatchBatch) error) error
 }
 
-// Store combines all interfaces. Callers should accept only those they need.
+// Store combines Reader, Committer, Leaser and Watcher. Callers should accept
+// only the interfaces that they need.
 type Store interface {
 	Reader
 	Committer
