--- a/internal/blackboard/section_test.go
+++ b/internal/blackboard/section_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-func TestChangedWakesWaitersOnce(t *testing.T) {
+func TestSectionChanged(t *testing.T) {
 	var section Section[int]
 	if section.Load() != nil {
-		t.Error("an empty section has a value")
+		t.Error("empty section has a value")
 	}
 	changed := section.Changed()
 	select {
 	case <-changed:
-		t.Fatal("changed before the first value")
+		t.Fatal("Changed closed before the first Publish")
 	default:
 	}
 	one, two := 1, 2
@@ -23,11 +23,11 @@
 	section.Publish(&two)
 	<-changed
 	if got := *section.Load(); got != 2 {
-		t.Errorf("value %d", got)
+		t.Errorf("got %d, want 2", got)
 	}
 }
 
-func TestReadersSeeWholeValues(t *testing.T) {
+func TestSectionConcurrentLoad(t *testing.T) {
 	type pair struct{ left, right int }
 	var section Section[pair]
 	section.Publish(&pair{})
@@ -36,7 +36,7 @@
 		readers.Go(func() {
 			for range 10_000 {
 				if value := section.Load(); value.left != value.right {
-					t.Errorf("half a value: %+v", *value)
+					t.Errorf("partly updated value: %+v", *value)
 					return
 				}
 			}
--- a/internal/query/quarantine.go
+++ b/internal/query/quarantine.go
@@ -7,42 +7,42 @@
 	"github.com/doorpond/doorpond/internal/quarantine"
 )
 
-// endsPlan says how replicas that end under a request speak against it, beside what is known
-// of it already.
-func (s *Service) endsPlan(forwarding *ForwardRequest, known decision.CrashEvidence) decision.CrashDetection {
+// crashPlan returns how crashes of replicas count as evidence against the request; prior
+// is the evidence from its earlier executions.
+func (s *Service) crashPlan(request *ForwardRequest, prior decision.CrashEvidence) decision.CrashDetection {
 	if s.options.Quarantine == nil {
 		return decision.CrashDetection{}
 	}
-	return decision.CrashDetection{Enabled: true, Prior: known, Seed: xxhash.Sum64String(forwarding.Message.ID)}
+	return decision.CrashDetection{Enabled: true, Prior: prior, Seed: xxhash.Sum64String(request.Message.ID)}
 }
 
-// isQuarantined tells whether another node has found meanwhile that the request ends replicas.
+// isQuarantined reports whether another node has quarantined the request meanwhile.
 func (r *forwardRun) isQuarantined() bool {
-	return r.service.options.Quarantine.IsQuarantined(r.forwarding.Message)
+	return r.service.options.Quarantine.IsQuarantined(r.request.Message)
 }
 
-// isContested tells whether the request is convicted by ends of replicas that may all have
-// been another request's doing.
+// isContested reports whether all crashes that convict the request may have been caused
+// by another request.
 func (r *forwardRun) isContested() bool {
-	return r.core.AbortPending() && r.service.options.Quarantine.Ambiguous(r.forwarding.Message)
+	return r.core.AbortPending() && r.service.options.Quarantine.Ambiguous(r.request.Message)
 }
 
-// noteEnded tells the quarantine, while the request still runs, that a replica ended under
-// it: its caller may try it at another node as soon as it is answered. canary names the
-// replica if it was a canary's.
-func (r *forwardRun) noteEnded(canary string) {
+// reportCrash tells the quarantine list, while the request is still running, that a
+// replica crashed executing it: the caller may retry on another node as soon as it has an
+// answer. canary names the replica's process if the attempt was a canary.
+func (r *forwardRun) reportCrash(canary string) {
 	if evidence, survived := r.core.CrashEvidence(); !survived {
-		route := quarantine.Route{Name: r.forwarding.Route.Name, Shards: len(r.shards)}
-		r.service.options.Quarantine.RecordCrash(r.forwarding.Message, route, canary, evidence)
+		route := quarantine.Route{Name: r.request.Route.Name, Shards: len(r.shards)}
+		r.service.options.Quarantine.RecordCrash(r.request.Message, route, canary, evidence)
 	}
 }
 
-// concludeEnds tells the quarantine what has come of the request.
-func (r *forwardRun) concludeEnds() {
+// reportOutcome tells the quarantine list whether the request was answered or convicted.
+func (r *forwardRun) reportOutcome() {
 	list := r.service.options.Quarantine
 	if _, survived := r.core.CrashEvidence(); survived {
-		list.RecordAnswer(r.forwarding.Message)
+		list.RecordAnswer(r.request.Message)
 	} else if r.reason == decision.ReplicasCrashed {
-		list.Quarantine(r.forwarding.Message)
+		list.Quarantine(r.request.Message)
 	}
 }
