--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -51,7 +51,7 @@
 
 func encode(announcement Announcement) ([]byte, error) {
 	return msgpack.Marshal(&datagram{
-		Number: store.NumberOf(announcement.Revision), Era: store.EraOf(announcement.Revision), AgeMilliseconds: announcement.AgeMilliseconds,
+		Number: store.SequenceOf(announcement.Revision), Era: store.EraOf(announcement.Revision), AgeMilliseconds: announcement.AgeMilliseconds,
 	})
 }
 
@@ -60,10 +60,10 @@
 	if err := msgpack.Unmarshal(content, &decoded); err != nil {
 		return Announcement{}, eris.Wrap(err, "decode announcement")
 	}
-	if decoded.AgeMilliseconds < 0 || decoded.Number < 0 || decoded.Number > store.MostNumber || decoded.Era < 0 || decoded.Era > store.MostEra {
+	if decoded.AgeMilliseconds < 0 || decoded.Number < 0 || decoded.Number > store.MaxSequence || decoded.Era < 0 || decoded.Era > store.MaxEra {
 		return Announcement{}, errOutOfRange
 	}
-	return Announcement{Revision: store.RevisionIn(decoded.Era, decoded.Number), AgeMilliseconds: decoded.AgeMilliseconds}, nil
+	return Announcement{Revision: store.MakeRevision(decoded.Era, decoded.Number), AgeMilliseconds: decoded.AgeMilliseconds}, nil
 }
 
 // Age returns the time since the store reported the revision.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -121,9 +121,9 @@
 		{"written once, then renewed", nil, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
 		{"expired lease", []error{nil, nil, expired}, []string{"grant", "put k under 1", "keep 1", "grant", "put k under 2", "keep 2"}},
 		{"lease expired before the write", []error{nil, expired}, []string{"grant", "put k under 1", "grant", "put k under 2", "keep 2"}},
-		{"unclear write", []error{nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
-		{"unclear grant", []error{store.ErrUnclear}, []string{"grant", "grant", "put k under 1", "keep 1"}},
-		{"unclear renewal", []error{nil, nil, store.ErrUnclear}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
+		{"unclear write", []error{nil, store.ErrOutcomeUnknown}, []string{"grant", "put k under 1", "keep 1", "put k under 1", "keep 1"}},
+		{"unclear grant", []error{store.ErrOutcomeUnknown}, []string{"grant", "grant", "put k under 1", "keep 1"}},
+		{"unclear renewal", []error{nil, nil, store.ErrOutcomeUnknown}, []string{"grant", "put k under 1", "keep 1", "keep 1"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -311,11 +311,11 @@
 	deleted := store.Event{KeyValue: store.KeyValue{Key: "a"}, Deleted: true}
 	feed.Publish(50, nil)
 	feed.Publish(58, nil)
-	inRestoredStore := store.RevisionIn(1, 46)
+	inRestoredStore := store.MakeRevision(1, 46)
 	if _, changed, available := feed.since(inRestoredStore); !available || changed == nil {
 		t.Fatal("request does not wait before the feed changes to the new era")
 	}
-	eraEntry := store.RevisionIn(1, 74)
+	eraEntry := store.MakeRevision(1, 74)
 	feed.Publish(eraEntry, []store.Event{deleted})
 	if changes, _, available := feed.since(58); !available || len(changes.Events) != 1 || changes.Revision != eraEntry {
 		t.Errorf("after the previous era: %+v, available %v", changes, available)
