--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -41,9 +41,9 @@
 // each rank is let in.
 var capacityShares = [...]float64{0.5, 0.75, 0.9, 1}
 
-// Lower returns the lower of a policy's and a query's priority; an empty
+// LowerPriority returns the lower of a policy's and a query's priority; an empty
 // query's priority leaves the policy's.
-func Lower(row, query client.Priority) client.Priority {
+func LowerPriority(row, query client.Priority) client.Priority {
 	if query == "" || rankOf(query) >= rankOf(row) {
 		return row
 	}
@@ -52,10 +52,10 @@
 
 // Options are what a Controller needs. Zero values take defaults.
 type Options struct {
-	// Total is the greatest number of queries in flight at this daemon; the
+	// MaxInFlight is the greatest number of queries in flight at this daemon; the
 	// adaptive limit starts there.
-	Total      int
-	Registerer prometheus.Registerer
+	MaxInFlight int
+	Registerer  prometheus.Registerer
 	// Logger takes a line for each cut of the limit for strain; nil means none.
 	Logger *slog.Logger
 }
@@ -76,13 +76,13 @@
 
 // New makes a Controller.
 func New(options Options) *Controller {
-	if options.Total <= 0 {
-		options.Total = defaultTotal
+	if options.MaxInFlight <= 0 {
+		options.MaxInFlight = defaultTotal
 	}
 	controller := &Controller{refused: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "doorpondd_queries_refused_total", Help: "Queries refused before anything was sent, by reason.",
 	}, []string{"reason"})}
-	controller.limit.start(options.Total)
+	controller.limit.start(options.MaxInFlight)
 	controller.limit.logger = options.Logger
 	if options.Logger == nil {
 		controller.limit.logger = slog.New(slog.DiscardHandler)
@@ -111,10 +111,10 @@
 	t.controller.inFlight.Add(-1)
 }
 
-// Ended takes in what came of the query; it is called before Release.
-func (t Ticket) Ended(now time.Time, ended Ended) {
+// Observe takes in what came of the query; it is called before Release.
+func (t Ticket) Observe(now time.Time, ended Outcome) {
 	if ended.whole() {
-		t.policy.fastest.observe(now, ended.Took)
+		t.policy.fastest.observe(now, ended.Duration)
 	}
 	t.controller.limit.observe(now, t.controller.inFlight.Load(), &ended)
 }
@@ -158,8 +158,8 @@
 // longestRetryAfter bounds the time to come back.
 const longestRetryAfter = 5 * time.Second
 
-// Loaded is true while this node has lately had to refuse for load.
-func (c *Controller) Loaded(now time.Time) bool { return c.limit.lasted(now) > 0 }
+// Overloaded is true while this node has lately had to refuse for load.
+func (c *Controller) Overloaded(now time.Time) bool { return c.limit.lasted(now) > 0 }
 
 func (c *Controller) state(name string) *policyState {
 	if state, known := c.policies.Load(name); known {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAdmissionByPriority(t *testing.T) {
-	controller := New(Options{Total: 4})
+	controller := New(Options{MaxInFlight: 4})
 	row := &policy.Row{Name: "test", Limits: policy.Limits{Concurrency: 100}}
 	var admitted []client.Priority
 	for _, priority := range []client.Priority{
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ticket.Ended(now, Ended{Took: 5 * time.Millisecond, Asked: 1, Answered: 1})
+	ticket.Observe(now, Outcome{Duration: 5 * time.Millisecond, Queried: 1, Answered: 1})
 	ticket.Release()
 	_, err = controller.Admit(row, client.PriorityNormal, now, time.Millisecond)
 	if known := failure.From(err); err == nil || known.Kind != failure.DeadlineUnreachable || !known.NotRun {
@@ -54,7 +54,7 @@
 		{client.PriorityHigh, client.PriorityBatch, client.PriorityBatch},
 	}
 	for _, test := range cases {
-		if got := Lower(test.row, test.query); got != test.want {
+		if got := LowerPriority(test.row, test.query); got != test.want {
 			t.Errorf("a %s query under a %s policy runs as %s, want %s", test.query, test.row, got, test.want)
 		}
 	}
--- a/internal/admission/congestion.go
+++ b/internal/admission/congestion.go
@@ -50,8 +50,8 @@
 // observe takes in the end of a query, and returns the window that ends with it;
 // whole is false when none does. Queries let in before the last cut of the limit
 // do not count, as it could not help them.
-func (c *congestion) observe(now, lastCut time.Time, ended *Ended) (over window, whole bool) {
-	if now.Add(-ended.Took).Before(lastCut) {
+func (c *congestion) observe(now, lastCut time.Time, ended *Outcome) (over window, whole bool) {
+	if now.Add(-ended.Duration).Before(lastCut) {
 		return window{}, false
 	}
 	c.mutex.Lock()
@@ -61,7 +61,7 @@
 	}
 	c.ended++
 	c.objective = min(c.objective, ended.Objective)
-	if ended.Strained {
+	if ended.Congested {
 		c.strained++
 	}
 	length := now.Sub(c.started)
--- a/internal/admission/targets.go
+++ b/internal/admission/controllers.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Targets holds a Controller for each set of replicas that requests go to: an
+// Controllers holds a Controller for each set of replicas that requests go to: an
 // overload of one must not refuse requests to another. It is safe for
 // concurrent use.
-type Targets struct {
+type Controllers struct {
 	options  Options
 	byTarget sync.Map // string -> *Controller
 }
 
-// NewTargets makes Targets; each Controller has the same options.
-func NewTargets(options Options) *Targets {
+// NewControllers makes Targets; each Controller has the same options.
+func NewControllers(options Options) *Controllers {
 	options.Registerer = nil // the controllers' metrics have the same names
-	return &Targets{options: options}
+	return &Controllers{options: options}
 }
 
-// Of returns the Controller of a target.
-func (t *Targets) Of(target string) *Controller {
+// ForTarget returns the Controller of a target.
+func (t *Controllers) ForTarget(target string) *Controller {
 	if known, found := t.byTarget.Load(target); found {
 		return known.(*Controller)
 	}
@@ -32,11 +32,11 @@
 	return known.(*Controller)
 }
 
-// Loaded is true while requests to any target have lately been refused.
-func (t *Targets) Loaded(now time.Time) bool {
+// Overloaded is true while requests to any target have lately been refused.
+func (t *Controllers) Overloaded(now time.Time) bool {
 	loaded := false
 	t.byTarget.Range(func(_, controller any) bool {
-		loaded = controller.(*Controller).Loaded(now)
+		loaded = controller.(*Controller).Overloaded(now)
 		return !loaded
 	})
 	return loaded
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -88,12 +88,12 @@
 	return max(1, int64(capacityShares[rank]*float64(l.units.Load()))/limitScale)
 }
 
-// Ended is what came of a query that was let in.
-type Ended struct {
-	Took time.Duration
-	// Asked and Answered are numbers of shards; Refused is the number of those
+// Outcome is what came of a query that was let in.
+type Outcome struct {
+	Duration time.Duration
+	// Queried and Answered are numbers of shards; Refused is the number of those
 	// that no replica took for load.
-	Asked    int
+	Queried  int
 	Answered int
 	Refused  int
 	// RefusedShard names one of the refused shards.
@@ -101,15 +101,15 @@
 	// Objective is the time within which an answer is of full worth; 0 when
 	// there is none.
 	Objective time.Duration
-	// Strained is true when even the faster half of the shards took much of the
+	// Congested is true when even the faster half of the shards took much of the
 	// objective, or was asked late. It counts only with an Objective.
-	Strained bool
+	Congested bool
 }
 
-func (e *Ended) whole() bool { return e.Answered == e.Asked }
+func (e *Outcome) whole() bool { return e.Answered == e.Queried }
 
-func (l *adaptiveLimit) observe(now time.Time, inFlight int64, ended *Ended) {
-	if ended.Strained || ended.Refused > 0 {
+func (l *adaptiveLimit) observe(now time.Time, inFlight int64, ended *Outcome) {
+	if ended.Congested || ended.Refused > 0 {
 		l.strainedAt.Store(now.UnixNano())
 	}
 	switch {
@@ -117,7 +117,7 @@
 		l.observeStrain(now, inFlight, ended)
 	case ended.Refused > 0:
 		if l.signOfOverload(ended) {
-			l.cut(now, inFlight, ended.Took)
+			l.cut(now, inFlight, ended.Duration)
 		}
 	case ended.whole():
 		l.raise(now, inFlight)
@@ -141,7 +141,7 @@
 // observeStrain cuts the limit to what the back ends bear at the end of a window
 // in which they were overloaded. When cuts do not help, the back ends are slow
 // for another reason: refusing queries would cost answers for nothing.
-func (l *adaptiveLimit) observeStrain(now time.Time, inFlight int64, ended *Ended) {
+func (l *adaptiveLimit) observeStrain(now time.Time, inFlight int64, ended *Outcome) {
 	if now.UnixNano() < l.liftedUntil.Load() {
 		return
 	}
@@ -202,9 +202,9 @@
 // signOfOverload is false when the same shard alone is refused as the last
 // time: fewer queries would not help a single shard, and cost the others'
 // answers.
-func (l *adaptiveLimit) signOfOverload(ended *Ended) bool {
+func (l *adaptiveLimit) signOfOverload(ended *Outcome) bool {
 	shard := xxhash.Sum64String(ended.RefusedShard)
-	return l.lastShard.Swap(shard) != shard || ended.Refused == ended.Asked
+	return l.lastShard.Swap(shard) != shard || ended.Refused == ended.Queried
 }
 
 func (l *adaptiveLimit) cut(now time.Time, inFlight int64, took time.Duration) {
--- a/internal/admission/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -7,25 +7,25 @@
 )
 
 func TestAdaptiveLimit(t *testing.T) {
-	refused := func(shard string) Ended { return Ended{Asked: 2, Answered: 1, Refused: 1, RefusedShard: shard} }
-	all := Ended{Asked: 1, Refused: 1, RefusedShard: "a"}
-	whole := Ended{Asked: 2, Answered: 2}
-	partial := Ended{Asked: 2, Answered: 1}
+	refused := func(shard string) Outcome { return Outcome{Queried: 2, Answered: 1, Refused: 1, RefusedShard: shard} }
+	all := Outcome{Queried: 1, Refused: 1, RefusedShard: "a"}
+	whole := Outcome{Queried: 2, Answered: 2}
+	partial := Outcome{Queried: 2, Answered: 1}
 	cases := []struct {
 		name     string
 		inFlight int64
-		ended    []Ended // one each 100 ms
-		want     int64   // for critical queries, of 100 at the start
+		ended    []Outcome // one each 100 ms
+		want     int64     // for critical queries, of 100 at the start
 	}{
-		{"refused shards cut to less than what was in flight", 20, []Ended{refused("a")}, 19},
-		{"one shard refused again is no sign", 20, []Ended{refused("a"), refused("a"), refused("a")}, 19},
-		{"refused shards that differ cut again", 20, []Ended{refused("a"), refused("b")}, 18},
-		{"all shards refused cut again", 20, []Ended{all, all}, 18},
-		{"shards missing for another reason are no sign", 20, []Ended{partial}, 100},
-		{"the limit keeps a trickle", 1, []Ended{refused("a")}, leastLimit},
-		{"whole answers raise it", 20, append([]Ended{refused("a")}, many(whole, 20)...), 20},
-		{"a limit that is not in use is not raised", 1, append([]Ended{refused("a")}, many(whole, 19)...), leastLimit},
-		{"after calm it grows by each answer", 20, append([]Ended{refused("a")}, many(whole, 30)...), 30},
+		{"refused shards cut to less than what was in flight", 20, []Outcome{refused("a")}, 19},
+		{"one shard refused again is no sign", 20, []Outcome{refused("a"), refused("a"), refused("a")}, 19},
+		{"refused shards that differ cut again", 20, []Outcome{refused("a"), refused("b")}, 18},
+		{"all shards refused cut again", 20, []Outcome{all, all}, 18},
+		{"shards missing for another reason are no sign", 20, []Outcome{partial}, 100},
+		{"the limit keeps a trickle", 1, []Outcome{refused("a")}, leastLimit},
+		{"whole answers raise it", 20, append([]Outcome{refused("a")}, many(whole, 20)...), 20},
+		{"a limit that is not in use is not raised", 1, append([]Outcome{refused("a")}, many(whole, 19)...), leastLimit},
+		{"after calm it grows by each answer", 20, append([]Outcome{refused("a")}, many(whole, 30)...), 30},
 		{"never over the start", 100, many(whole, 40), 100},
 	}
 	for _, test := range cases {
@@ -47,7 +47,7 @@
 	limit := newLimit(100)
 	now := time.Unix(1000, 0)
 	for _, shard := range []string{"a", "b", "c"} {
-		limit.observe(now, 20, &Ended{Took: time.Second, Asked: 2, Refused: 1, RefusedShard: shard})
+		limit.observe(now, 20, &Outcome{Duration: time.Second, Queried: 2, Refused: 1, RefusedShard: shard})
 		now = now.Add(100 * time.Millisecond)
 	}
 	if got := limit.forRank(3); got != 19 {
@@ -55,8 +55,8 @@
 	}
 }
 
-func many(ended Ended, count int) []Ended {
-	all := make([]Ended, count)
+func many(ended Outcome, count int) []Outcome {
+	all := make([]Outcome, count)
 	for i := range all {
 		all[i] = ended
 	}
@@ -77,13 +77,13 @@
 // itself; while there are such signs it does not.
 func TestACutLimitIsGivenBackWithTime(t *testing.T) {
 	const most = 100
-	refused := Ended{Asked: 2, Answered: 1, Refused: 1, RefusedShard: "a"}
-	strained := Ended{Asked: 2, Answered: 2, Objective: time.Second, Strained: true}
-	whole := Ended{Asked: 2, Answered: 2, Objective: time.Second}
+	refused := Outcome{Queried: 2, Answered: 1, Refused: 1, RefusedShard: "a"}
+	strained := Outcome{Queried: 2, Answered: 2, Objective: time.Second, Congested: true}
+	whole := Outcome{Queried: 2, Answered: 2, Objective: time.Second}
 	cases := []struct {
 		name string
 		// each second one query ends so.
-		ended Ended
+		ended Outcome
 		after time.Duration
 		want  int64
 	}{
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		for range leastEnded {
-			ticket.Ended(now, Ended{Took: time.Millisecond, Asked: 1, Answered: 1, Objective: cutPause, Strained: strained})
+			ticket.Observe(now, Outcome{Duration: time.Millisecond, Queried: 1, Answered: 1, Objective: cutPause, Congested: strained})
 		}
 		ticket.Release()
 	}
@@ -55,7 +55,7 @@
 		if refused.RetryAfter < test.least || refused.RetryAfter > test.most {
 			t.Errorf("after %v: come back after %v, want from %v to %v", test.lasting, refused.RetryAfter, test.least, test.most)
 		}
-		if !controller.Loaded(now) || controller.Loaded(now.Add(2*calmAfter)) {
+		if !controller.Overloaded(now) || controller.Overloaded(now.Add(2*calmAfter)) {
 			t.Error("loaded is not told, or told for ever")
 		}
 	}
@@ -73,7 +73,7 @@
 		for range windows {
 			for i := range 11 {
 				now = now.Add(objective / 10)
-				limit.observe(now, 50, &Ended{Asked: 1, Answered: 1, Objective: objective, Strained: i < strainedOfTen})
+				limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: i < strainedOfTen})
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 	play := func(limit *adaptiveLimit, now time.Time, windows int, strained bool) time.Time {
 		for range windows * 11 {
 			now = now.Add(objective / 10)
-			limit.observe(now, 50, &Ended{Asked: 1, Answered: 1, Objective: objective, Strained: strained})
+			limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: strained})
 		}
 		return now
 	}
@@ -135,7 +135,7 @@
 	now := time.Unix(1000, 0)
 	play := func(length time.Duration, strained bool) {
 		for end := now.Add(length); now.Before(end); now = now.Add(time.Second / rate) {
-			limit.observe(now, limit.forRank(3), &Ended{Asked: 1, Answered: 1, Objective: objective, Strained: strained})
+			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: strained})
 		}
 	}
 	play((windowsToCut+1)*objective, true)
@@ -159,7 +159,7 @@
 	play := func(length time.Duration) (least int64) {
 		least = defaultTotal
 		for end := now.Add(length); now.Before(end); now = now.Add(objective / 40) {
-			limit.observe(now, limit.forRank(3), &Ended{Asked: 1, Answered: 1, Objective: objective, Strained: true})
+			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: true})
 			least = min(least, limit.forRank(3))
 		}
 		return least
@@ -185,7 +185,7 @@
 	now := time.Unix(1000, 0)
 	play := func(length, took time.Duration) {
 		for end := now.Add(length); now.Before(end); now = now.Add(objective / 40) {
-			limit.observe(now, 50, &Ended{Took: took, Asked: 1, Answered: 1, Objective: objective, Strained: true})
+			limit.observe(now, 50, &Outcome{Duration: took, Queried: 1, Answered: 1, Objective: objective, Congested: true})
 		}
 	}
 	play(windowsToCut*(objective+objective/20), 0)
@@ -198,16 +198,16 @@
 
 // TestAnOverloadOfOneTargetLeavesTheOthersAlone.
 func TestAnOverloadOfOneTargetLeavesTheOthersAlone(t *testing.T) {
-	targets := NewTargets(Options{})
-	first := targets.Of("a")
+	targets := NewControllers(Options{})
+	first := targets.ForTarget("a")
 	now := overload(first, time.Unix(1000, 0), time.Second)
-	if !targets.Loaded(now) {
+	if !targets.Overloaded(now) {
 		t.Error("the overload is not told")
 	}
-	if targets.Of("b").Loaded(now) || targets.Of("a") != first {
+	if targets.ForTarget("b").Overloaded(now) || targets.ForTarget("a") != first {
 		t.Error("targets share a controller, or have several")
 	}
-	if units := targets.Of("b").limit.units.Load(); units != defaultTotal*limitScale {
+	if units := targets.ForTarget("b").limit.units.Load(); units != defaultTotal*limitScale {
 		t.Errorf("the other target's limit is %d", units/limitScale)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -152,7 +152,7 @@
 		Board:      d.board,
 		Pool:       d.pool,
 		Statistics: d.statistics,
-		Admission:  admission.New(admission.Options{Total: d.settings.Callers.MaxInFlight, Registerer: d.registry}),
+		Admission:  admission.New(admission.Options{MaxInFlight: d.settings.Callers.MaxInFlight, Registerer: d.registry}),
 		Registerer: d.registry,
 		Lost:       d.meter.Lost,
 	})
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -101,8 +101,8 @@
 		return nil, false
 	}
 	return func(ended conclusion) {
-		ticket.Ended(r.daemon.run.now(), admission.Ended{
-			Took: ended.took, Asked: ended.asked, Answered: ended.answered,
+		ticket.Observe(r.daemon.run.now(), admission.Outcome{
+			Duration: ended.took, Queried: ended.asked, Answered: ended.answered,
 			Refused: ended.refused, RefusedShard: strconv.Itoa(ended.refusedShard),
 		})
 		ticket.Release()
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -135,14 +135,14 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return Forwarded{}, err
 	}
-	target := s.targets.Of(groups[0])
+	target := s.targets.ForTarget(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return Forwarded{}, err
 	}
 	defer ticket.Release()
-	current := s.newForwardRun(forwarding, groups, terms, deadline, target.Loaded(started), suspicion.Evidence)
+	current := s.newForwardRun(forwarding, groups, terms, deadline, target.Overloaded(started), suspicion.Evidence)
 	current.execute(ctx, deadline)
 	current.concludeEnds()
 	answer, err := current.conclude()
@@ -151,7 +151,7 @@
 }
 
 // Loaded is true while this node has lately had to refuse requests for load.
-func (s *Service) Loaded() bool { return s.targets.Loaded(s.options.Now()) }
+func (s *Service) Loaded() bool { return s.targets.Overloaded(s.options.Now()) }
 
 // Measured returns what was measured of each policy and route for some time
 // back.
@@ -359,13 +359,13 @@
 	if errors.As(err, &known) && known.Kind == failure.Canceled {
 		return
 	}
-	ticket.Ended(s.options.Now(), current.endedWith(took))
+	ticket.Observe(s.options.Now(), current.endedWith(took))
 }
 
 // endedWith is what admission learns. A request is strained when the faster
 // half of its shards answered late, or too few were asked in time. A few shards
 // that are slow or out of reach are no strain: the answer does without them.
-func (r *forwardRun) endedWith(took time.Duration) admission.Ended {
+func (r *forwardRun) endedWith(took time.Duration) admission.Outcome {
 	ended := r.ended(took)
 	objective := r.forwarding.Route.Objective
 	half := r.halfAt
@@ -374,7 +374,7 @@
 	}
 	onTime := r.sentBy(time.Duration(delayShare * float64(objective)))
 	ended.Objective = objective
-	ended.Strained = onTime < max(1, r.plan.MinShards) || half > time.Duration(strainShare*float64(objective))
+	ended.Congested = onTime < max(1, r.plan.MinShards) || half > time.Duration(strainShare*float64(objective))
 	return ended
 }
 
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -332,8 +332,8 @@
 }
 
 // ended is what admission learns from the run.
-func (r *run) ended(took time.Duration) admission.Ended {
-	ended := admission.Ended{Took: took, Asked: len(r.plan.Shards), Answered: r.core.Answered()}
+func (r *run) ended(took time.Duration) admission.Outcome {
+	ended := admission.Outcome{Duration: took, Queried: len(r.plan.Shards), Answered: r.core.Answered()}
 	for i := range r.plan.Shards {
 		if r.core.Status(i).Reason == client.MissingShed {
 			ended.Refused++
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -89,11 +89,11 @@
 				forwarding: &Forwarding{Route: &routing.Route{Objective: objective}},
 			}
 			under.halfAt = time.Millisecond
-			if got := under.endedWith(objective); got.Strained != test.delayed || got.Objective != objective {
+			if got := under.endedWith(objective); got.Congested != test.delayed || got.Objective != objective {
 				t.Errorf("ended %+v, want strained %v", got, test.delayed)
 			}
 			under.halfAt = objective * 3 / 5
-			if got := under.endedWith(objective); !got.Strained {
+			if got := under.endedWith(objective); !got.Congested {
 				t.Error("half of the shards were late, and that is no strain")
 			}
 		})
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -55,7 +55,7 @@
 	options  Options
 	metrics  serviceMetrics
 	usuals   replica.LatencyBaselines
-	targets  *admission.Targets
+	targets  *admission.Controllers
 	splitter routing.Splitter
 }
 
@@ -78,7 +78,7 @@
 	}
 	return &Service{
 		options: options, metrics: newServiceMetrics(options.Registerer),
-		targets: admission.NewTargets(admission.Options{Logger: options.Logger}),
+		targets: admission.NewControllers(admission.Options{Logger: options.Logger}),
 	}
 }
 
@@ -116,7 +116,7 @@
 	if err != nil {
 		return client.Answer{}, err
 	}
-	priority := admission.Lower(request.row.Priority, query.Priority)
+	priority := admission.LowerPriority(request.row.Priority, query.Priority)
 	ticket, err := s.options.Admission.Admit(request.row, priority, started, request.deadline)
 	if err != nil {
 		return client.Answer{}, err
@@ -215,7 +215,7 @@
 	took := s.options.Now().Sub(request.started)
 	answer.TookMicroseconds = took.Microseconds()
 	s.record(request, finished, took, err)
-	ticket.Ended(s.options.Now(), finished.ended(took))
+	ticket.Observe(s.options.Now(), finished.ended(took))
 	if err != nil {
 		return client.Answer{}, err
 	}
