--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -22,21 +22,21 @@
 
 // Options bound an answer.
 type Options struct {
-	// TTL is how long an answer is kept, FewTTL one with fewer nodes than EntryNodes:
+	// TTL is how long an answer is kept, ShortTTL one with fewer nodes than EntryNodes:
 	// who knows only one has nowhere to go when it is lost.
-	TTL, FewTTL time.Duration
+	TTL, ShortTTL time.Duration
 	// EntryNodes is how many nodes of each zone callers should know, so that
 	// they can go on when some of them are lost.
 	EntryNodes int
-	// Bound is true when callers ask for a host whose requests are bound to Regions.
+	// RestrictRegions is true when callers ask for a host whose requests are bound to Regions.
 	// They are led to nodes there or in their own region, as long as any is ready.
-	Bound   bool
-	Regions []string
+	RestrictRegions bool
+	Regions         []string
 }
 
 // allows tells whether a caller may be led to a node.
 func (o *Options) allows(caller topology.Place, node topology.Node) bool {
-	return !o.Bound || node.Place.Region == caller.Region || slices.Contains(o.Regions, node.Place.Region)
+	return !o.RestrictRegions || node.Place.Region == caller.Region || slices.Contains(o.Regions, node.Place.Region)
 }
 
 // Resolve returns the entry nodes nearest to a caller: those of its zone, and
@@ -57,14 +57,14 @@
 	}
 	answer = Answer{Addresses: chosen, TTL: options.TTL}
 	if len(chosen) < options.EntryNodes {
-		answer.TTL = options.FewTTL
+		answer.TTL = options.ShortTTL
 	}
 	return answer, len(chosen) > 0
 }
 
 // allowed returns those of some nodes that a caller may be led to.
 func (o *Options) allowed(nodes []topology.Node, caller topology.Place) []topology.Node {
-	if !o.Bound {
+	if !o.RestrictRegions {
 		return nodes
 	}
 	return slices.DeleteFunc(slices.Clone(nodes), func(node topology.Node) bool { return !o.allows(caller, node) })
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -83,7 +83,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			options := Options{EntryNodes: 1, Bound: test.bound, Regions: test.regions}
+			options := Options{EntryNodes: 1, RestrictRegions: test.bound, Regions: test.regions}
 			answer, _ := Resolve(&topology.Nodes{Nodes: test.nodes}, placeA, options)
 			if diff := cmp.Diff(test.want, answer.Addresses); diff != "" {
 				t.Errorf("addresses (-want +got):\n%s", diff)
@@ -105,10 +105,10 @@
 
 // TestWhoKnowsFewNodesAsksAgainSoon: when the only one is lost, it has nowhere to go.
 func TestWhoKnowsFewNodesAsksAgainSoon(t *testing.T) {
-	options := Options{TTL: 5 * time.Second, FewTTL: time.Second, EntryNodes: 2}
+	options := Options{TTL: 5 * time.Second, ShortTTL: time.Second, EntryNodes: 2}
 	for want, nodes := range map[time.Duration][]topology.Node{
-		options.FewTTL: {node("a1", placeA, true)},
-		options.TTL:    {node("a1", placeA, true), node("a2", placeA, true)},
+		options.ShortTTL: {node("a1", placeA, true)},
+		options.TTL:      {node("a1", placeA, true), node("a2", placeA, true)},
 	} {
 		if answer, _ := Resolve(&topology.Nodes{Nodes: nodes}, placeA, options); answer.TTL != want {
 			t.Errorf("%d nodes are kept for %v", len(nodes), answer.TTL)
--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -30,11 +30,11 @@
 	bounds := n.current.Load().Bounds
 	few := shareOf(fewShare, bounds.DirectoryTTL)
 	options := directory.Options{
-		TTL:    max(few, min(bounds.DirectoryTTL, shareOf(stopShare, bounds.Grace))),
-		FewTTL: few, EntryNodes: n.settings.Bounds.EntryNodes(),
+		TTL:      max(few, min(bounds.DirectoryTTL, shareOf(stopShare, bounds.Grace))),
+		ShortTTL: few, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
-		options.Regions, options.Bound = table.RegionsOf(host)
+		options.Regions, options.RestrictRegions = table.RegionsOf(host)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
