--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -34,7 +34,7 @@
 		ShortTTL: few, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
-		options.Regions, options.RestrictRegions = table.RegionsOf(host)
+		options.Regions, options.RestrictRegions = table.AllowedRegions(host)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
--- a/internal/follower/cold.go
+++ b/internal/follower/cold.go
@@ -31,7 +31,7 @@
 	service := s.service(entry.replica.Group)
 	readmitted, found := s.readmitted[entry.replica.Place.Zone]
 	if found && service.ColdRate > 0 {
-		if after := readmitted.Add(service.ColdTime); after.After(end) {
+		if after := readmitted.Add(service.ColdDuration); after.After(end) {
 			end = after
 		}
 	}
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	services := map[string]routing.Service{"g": {
-		Name: "g", ConnectionLimit: read.Limit, ColdTime: testColdTime, ColdRate: testColdRate,
+		Name: "g", ConnectionLimit: read.Limit, ColdDuration: testColdTime, ColdRate: testColdRate,
 	}}
 	return routing.NewTable(read.Version, nil, services, routing.Limits{}), nil
 }
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -86,8 +86,8 @@
 	Objective int64 `json:"objective_ms"`
 	// Shards counts those of a scattered route, Shares divide a plain one's
 	// requests.
-	Shards int             `json:"shards"`
-	Shares []routing.Share `json:"shares"`
+	Shards int                     `json:"shards"`
+	Shares []routing.WeightedGroup `json:"shares"`
 	// Regions are those whose replicas may take a request; empty means all.
 	Regions []string `json:"regions"`
 }
@@ -228,10 +228,10 @@
 
 func describe(route *routing.Route) Route {
 	return Route{
-		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
+		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Idempotent,
 		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		Timeout: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), Objective: route.Objective.Milliseconds(),
-		Shards: len(route.Shards), Shares: route.Shares, Regions: route.Regions,
+		Shards: len(route.Shards), Shares: route.WeightedGroups, Regions: route.Regions,
 	}
 }
 
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -41,8 +41,8 @@
 	}))
 	routes := []routing.Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Objective: time.Second, Rank: 2,
-		Policy: routing.PolicyRow(routing.Terms{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, LeastShare: 0.5}),
-		Shares: []routing.Share{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
+		Policy:         routing.PolicyRow(routing.RouteSpec{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, MinShardRatio: 0.5}),
+		WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	made.board.Routes.Publish(routing.NewTable(version, routes, nil, routing.Limits{}))
 	made.board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{
@@ -100,7 +100,7 @@
 	}
 	want := []Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, LeastShare: 0.5, Timeout: 4000, Objective: 1000,
-		Shares: []routing.Share{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
+		Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	if diff := cmp.Diff(want, got.Routes); diff != "" {
 		t.Errorf("routes (-want +got):\n%s", diff)
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -122,7 +122,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func splitText(share routing.Share, of int) string {
+func splitText(share routing.WeightedGroup, of int) string {
 	if of == 1 {
 		return share.Group
 	}
--- a/internal/query/crashing_request_virtual_test.go
+++ b/internal/query/crashing_request_virtual_test.go
@@ -290,8 +290,8 @@
 	}
 	slices.SortFunc(all, func(a, b topology.Replica) int { return strings.Compare(a.Address, b.Address) })
 	network.board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{service: all}})
-	route.Shards, route.Shares = nil, []routing.Share{{Group: service, Weight: 1}}
-	route.LeastShards = 0
+	route.Shards, route.WeightedGroups = nil, []routing.WeightedGroup{{Group: service, Weight: 1}}
+	route.MinShards = 0
 }
 
 // TestAPlainRequestThatEndsReplicasIsNotSentAgain: one replica ends at a time, so that it
@@ -308,7 +308,7 @@
 		for seed := range uint64(3) {
 			got := playCrashing(t, seed, budgetNodes, anotherAddress, func(network *crashNetwork, route *routing.Route) {
 				plainService(network, route)
-				route.Repeatable = repeatable
+				route.Idempotent = repeatable
 			})
 			t.Logf("repeatable %v, seed %d: %d ended, the last arrival %v after the third end; %d of %d others answered, %d refused for it",
 				repeatable, seed, got.ended, got.lastAfterThird, got.answered, got.others, got.refused)
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -182,7 +182,7 @@
 // it may go to: what is sent to the others would be work for nothing, and the refusal
 // could no longer say that nothing ran.
 func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.SelectionCriteria) error {
-	servable, needed := s.options.Pool.CountServableGroups(groups, &terms), max(1, route.LeastShards)
+	servable, needed := s.options.Pool.CountServableGroups(groups, &terms), max(1, route.MinShards)
 	if servable >= needed {
 		return nil
 	}
@@ -196,7 +196,7 @@
 	route := forwarding.Route
 	plan := decision.Plan{
 		Shards: s.forwardShards(route, groups, terms.Baseline), Policy: route.Policy, Deadline: deadline,
-		MinShards: route.LeastShards, AtMostOnce: !route.Repeatable, NoHedges: overloaded,
+		MinShards: route.MinShards, AtMostOnce: !route.Idempotent, NoHedges: overloaded,
 		CrashDetection: s.endsPlan(forwarding, known),
 	}
 	if !route.Scattered() {
--- a/internal/query/forward_bench_test.go
+++ b/internal/query/forward_bench_test.go
@@ -62,8 +62,8 @@
 func benchmarkForward(b *testing.B, scattered bool) {
 	board := &blackboard.Board{}
 	route := &routing.Route{
-		Name: "r", Policy: routing.PolicyRow(routing.Terms{Name: "r", Timeout: time.Minute, Attempts: 2}),
-		Objective: time.Minute, Repeatable: true,
+		Name: "r", Policy: routing.PolicyRow(routing.RouteSpec{Name: "r", Timeout: time.Minute, Attempts: 2}),
+		Objective: time.Minute, Idempotent: true,
 	}
 	groups := make(map[string][]topology.Replica)
 	for i, address := range startRecords(b) {
@@ -72,9 +72,9 @@
 		route.Shards = append(route.Shards, name)
 	}
 	if scattered {
-		route.LeastShards, route.TopRecords = benchShards, 20
+		route.MinShards, route.TopRecords = benchShards, 20
 	} else {
-		route.Shares, route.Shards = []routing.Share{{Group: route.Shards[0], Weight: 1}}, nil
+		route.WeightedGroups, route.Shards = []routing.WeightedGroup{{Group: route.Shards[0], Weight: 1}}, nil
 	}
 	board.Replicas.Publish(&topology.Replicas{Groups: groups})
 	pool := replica.NewPool(replica.PoolOptions{Board: board, Codec: benchCodec{}})
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -170,8 +170,8 @@
 
 func virtualRoute(board *blackboard.Board, network *virtualReplicas, attempts int) *routing.Route {
 	route := &routing.Route{
-		Name: "r", Policy: routing.PolicyRow(routing.Terms{Name: "r", Timeout: 4 * time.Second, Attempts: attempts, LeastShare: 0.89}),
-		Objective: virtualObjective, Repeatable: true, TopRecords: 5, LeastShards: routing.LeastShards(0.89, virtualShards),
+		Name: "r", Policy: routing.PolicyRow(routing.RouteSpec{Name: "r", Timeout: 4 * time.Second, Attempts: attempts, MinShardRatio: 0.89}),
+		Objective: virtualObjective, Idempotent: true, TopRecords: 5, MinShards: routing.MinShards(0.89, virtualShards),
 	}
 	groups := make(map[string][]topology.Replica)
 	for shard := range virtualShards {
--- a/internal/query/lone_replica_virtual_test.go
+++ b/internal/query/lone_replica_virtual_test.go
@@ -29,7 +29,7 @@
 		lone[group] = replicas[:1]
 	}
 	board.Replicas.Publish(&topology.Replicas{Groups: lone})
-	route.LeastShards = len(route.Shards)
+	route.MinShards = len(route.Shards)
 	route.Policy.Completeness.Min = 1
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -61,23 +61,23 @@
 		{"A.example:80", []string{"r2"}, true}, {"b.example", []string{}, true}, {"c.example", nil, false}, {"d.example", nil, false},
 	}
 	for _, test := range cases {
-		got, bound := table.RegionsOf(test.host)
+		got, bound := table.AllowedRegions(test.host)
 		if diff := cmp.Diff(test.want, got); diff != "" || bound != test.bound {
 			t.Errorf("%s: bound %v (-want +got):\n%s", test.host, bound, diff)
 		}
 	}
-	if free, bound := &table.Routes[0], &table.Routes[1]; !free.Allows("r9") || !bound.Allows("r2") || bound.Allows("r3") {
+	if free, bound := &table.Routes[0], &table.Routes[1]; !free.AllowsRegion("r9") || !bound.AllowsRegion("r2") || bound.AllowsRegion("r3") {
 		t.Error("a route allows the wrong regions")
 	}
 }
 
 func TestSplitterGivesEachShareItsWeight(t *testing.T) {
-	route := &Route{Name: "r", Shares: []Share{{"a", 5}, {"b", 3}, {"c", 2}}}
+	route := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 5}, {"b", 3}, {"c", 2}}}
 	var splitter Splitter
 	counts := map[string]int{}
 	for sent := 1; sent <= 200; sent++ {
 		counts[splitter.Pick(route)]++
-		for _, share := range route.Shares {
+		for _, share := range route.WeightedGroups {
 			due := float64(sent) * share.Weight / 10
 			if off := float64(counts[share.Group]) - due; off > 2 || off < -2 {
 				t.Fatalf("after %d requests %s had %d, %.1f were due", sent, share.Group, counts[share.Group], due)
@@ -89,7 +89,7 @@
 // TestNodesBeginTheirTurnsByChance: the first requests of many nodes are divided
 // as the weights say.
 func TestNodesBeginTheirTurnsByChance(t *testing.T) {
-	route := &Route{Name: "r", Shares: []Share{{"a", 3}, {"b", 1}}}
+	route := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 3}, {"b", 1}}}
 	const nodes = 4000
 	first := 0
 	for range nodes {
@@ -105,15 +105,15 @@
 
 func TestSplitterFollowsNewShares(t *testing.T) {
 	var splitter Splitter
-	old := &Route{Name: "r", Shares: []Share{{"a", 1}, {"b", 1}}}
+	old := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 1}, {"b", 1}}}
 	splitter.Pick(old)
-	changed := &Route{Name: "r", Shares: []Share{{"b", 0}, {"c", 1}}}
+	changed := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"b", 0}, {"c", 1}}}
 	for range 5 {
 		if got := splitter.Pick(changed); got != "c" {
 			t.Errorf("picked %s", got)
 		}
 	}
-	plain := &Route{Name: "r", Shares: []Share{{"d", 0}}}
+	plain := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"d", 0}}}
 	if got := splitter.Pick(plain); got != "d" {
 		t.Errorf("picked %s of a single share", got)
 	}
@@ -153,7 +153,7 @@
 		want   int
 	}{{0.89, 10, 9}, {0.89, 15, 14}, {0.75, 10, 8}, {0.9, 10, 9}, {0.7, 10, 7}, {1, 3, 3}, {0, 3, 1}, {0.1, 10, 1}}
 	for _, test := range cases {
-		if got := LeastShards(test.share, test.shards); got != test.want {
+		if got := MinShards(test.share, test.shards); got != test.want {
 			t.Errorf("%g of %d: %d, want %d", test.share, test.shards, got, test.want)
 		}
 	}
@@ -161,13 +161,13 @@
 
 func TestPolicyRowIsValid(t *testing.T) {
 	cases := []struct {
-		terms    Terms
+		terms    RouteSpec
 		priority client.Priority
 		attempts int
 	}{
-		{Terms{Name: "r", Timeout: time.Second, Attempts: 2, Rank: 0, LeastShare: 0.89}, client.PriorityCritical, 2},
-		{Terms{Name: "r", Timeout: time.Second, Attempts: 0, Rank: 9}, client.PriorityBatch, 1},
-		{Terms{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, mostAttempts},
+		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 2, Rank: 0, MinShardRatio: 0.89}, client.PriorityCritical, 2},
+		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 0, Rank: 9}, client.PriorityBatch, 1},
+		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, mostAttempts},
 	}
 	for _, test := range cases {
 		row := PolicyRow(test.terms)
--- a/internal/routing/row.go
+++ b/internal/routing/row.go
@@ -8,15 +8,15 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// Terms are what operators state of a route; PolicyRow and LeastShards turn
+// RouteSpec are what operators state of a route; PolicyRow and LeastShards turn
 // them into weights and limits.
-type Terms struct {
+type RouteSpec struct {
 	Name     string
 	Timeout  time.Duration
 	Attempts int
 	Rank     int
-	// LeastShare is the share of the shards without which there is no answer.
-	LeastShare float64
+	// MinShardRatio is the share of the shards without which there is no answer.
+	MinShardRatio float64
 }
 
 // The weights and limits that operators do not state.
@@ -37,12 +37,12 @@
 }
 
 // PolicyRow returns the policy row of a route.
-func PolicyRow(terms Terms) *policy.Row {
+func PolicyRow(terms RouteSpec) *policy.Row {
 	row := policy.DefaultRow(terms.Name)
 	row.Replicas = policy.Replicas{ZoneWeight: zoneWeight, RegionWeight: regionWeight, FarWeight: farWeight}
 	row.Wait = policy.Wait{Timeout: policy.Duration(terms.Timeout)}
 	row.Retry.Attempts = min(max(1, terms.Attempts), mostAttempts)
-	row.Completeness = policy.Completeness{Target: 1, Min: terms.LeastShare}
+	row.Completeness = policy.Completeness{Target: 1, Min: terms.MinShardRatio}
 	row.Limits.Concurrency = mostConcurrent
 	row.Priority = priorities[min(max(0, terms.Rank), len(priorities)-1)]
 	return &row
@@ -51,7 +51,7 @@
 // shareTolerance keeps a share such as 0.9 of 10 from being rounded up.
 const shareTolerance = 1e-9
 
-// LeastShards returns how many of some shards are the least share of them.
-func LeastShards(share float64, shards int) int {
+// MinShards returns how many of some shards are the least share of them.
+func MinShards(share float64, shards int) int {
 	return max(1, int(math.Ceil(share*float64(shards)-shareTolerance)))
 }
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -20,14 +20,14 @@
 
 // rotation is the state of one route's division, for one list of shares.
 type rotation struct {
-	shares  []Share
+	shares  []WeightedGroup
 	credits []float64
 }
 
 // Pick returns the group that takes the next request of a plain route.
 func (s *Splitter) Pick(route *Route) string {
-	if len(route.Shares) == 1 {
-		return route.Shares[0].Group
+	if len(route.WeightedGroups) == 1 {
+		return route.WeightedGroups[0].Group
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,10 +39,10 @@
 		s.routes = make(map[string]*rotation)
 	}
 	known := s.routes[route.Name]
-	if known != nil && sameShares(known.shares, route.Shares) {
+	if known != nil && sameShares(known.shares, route.WeightedGroups) {
 		return known
 	}
-	known = &rotation{shares: route.Shares, credits: make([]float64, len(route.Shares))}
+	known = &rotation{shares: route.WeightedGroups, credits: make([]float64, len(route.WeightedGroups))}
 	for range rand.IntN(phases) {
 		known.next()
 	}
@@ -50,7 +50,7 @@
 	return known
 }
 
-func sameShares(a, b []Share) bool {
+func sameShares(a, b []WeightedGroup) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -11,8 +11,8 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// Share is one part of a split route.
-type Share struct {
+// WeightedGroup is one part of a split route.
+type WeightedGroup struct {
 	// Group names the replicas of a plain service.
 	Group  string
 	Weight float64
@@ -29,25 +29,25 @@
 	Objective time.Duration
 	// Rank is the operators' priority; 0 is the most urgent.
 	Rank int
-	// Repeatable is true when a request may run more than once.
-	Repeatable bool
+	// Idempotent is true when a request may run more than once.
+	Idempotent bool
 	// Regions are those whose replicas may take a request; empty means all. A request
 	// that must not leave a country reaches no replica beyond it, at any attempt.
 	Regions []string
-	// Shares are the plain services that requests are divided among; empty for
+	// WeightedGroups are the plain services that requests are divided among; empty for
 	// a scattered route.
-	Shares []Share
+	WeightedGroups []WeightedGroup
 	// Shards are the groups that each request is scattered over; empty for a
 	// plain route.
 	Shards []string
 	// TopRecords is the number of records in a merged answer.
 	TopRecords int
-	// LeastShards is the least number of shards that make an answer.
-	LeastShards int
+	// MinShards is the least number of shards that make an answer.
+	MinShards int
 }
 
-// Allows tells whether the replicas of a region may take the route's requests.
-func (r *Route) Allows(region string) bool {
+// AllowsRegion tells whether the replicas of a region may take the route's requests.
+func (r *Route) AllowsRegion(region string) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
@@ -61,10 +61,10 @@
 	// all nodes together; 0 means that it is not stated.
 	ConnectionLimit int
 	HealthPath      string
-	// ColdTime is how long a replica is cold after a start, ColdRate the requests a
+	// ColdDuration is how long a replica is cold after a start, ColdRate the requests a
 	// second that it bears meanwhile; 0 means that it is not stated.
-	ColdTime time.Duration
-	ColdRate float64
+	ColdDuration time.Duration
+	ColdRate     float64
 }
 
 // Limits bound what a caller may send.
@@ -111,16 +111,16 @@
 	}
 	common := make([]string, 0, len(regions))
 	for _, region := range regions {
-		if route.Allows(region) {
+		if route.AllowsRegion(region) {
 			common = append(common, region)
 		}
 	}
 	t.regionsOf[route.Host] = common
 }
 
-// RegionsOf returns the regions that all bound routes of a host allow; bound is
+// AllowedRegions returns the regions that all bound routes of a host allow; bound is
 // false when no route of the host is bound to regions.
-func (t *Table) RegionsOf(host string) (regions []string, bound bool) {
+func (t *Table) AllowedRegions(host string) (regions []string, bound bool) {
 	regions, bound = t.regionsOf[canonicalHost(host)]
 	return regions, bound
 }
@@ -161,7 +161,7 @@
 		for _, group := range t.Routes[i].Shards {
 			groups[group] = true
 		}
-		for _, share := range t.Routes[i].Shares {
+		for _, share := range t.Routes[i].WeightedGroups {
 			groups[share.Group] = true
 		}
 	}
