--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -154,7 +154,7 @@
 		Statistics: d.statistics,
 		Admission:  admission.New(admission.Options{MaxInFlight: d.settings.Callers.MaxInFlight, Registerer: d.registry}),
 		Registerer: d.registry,
-		Lost:       d.meter.Lost,
+		Lost:       d.meter.PausedTime,
 	})
 	d.connectGossip()
 	d.listeners.serve(d)
--- a/internal/drain/connections.go
+++ b/internal/drain/connections.go
@@ -35,7 +35,7 @@
 
 // changed implements http.Server.ConnState.
 func (c *Connections) changed(connection net.Conn, state http.ConnState) {
-	ran := c.Meter.Ran()
+	ran := c.Meter.ActiveTime()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open == nil {
@@ -75,7 +75,7 @@
 // quiet tells whether all connections have been idle for a time; it is true
 // when there are none.
 func (c *Connections) quiet(idle time.Duration) bool {
-	latest := c.Meter.Ran() - idle
+	latest := c.Meter.ActiveTime() - idle
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, connection := range c.open {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -197,7 +197,7 @@
 	n.addQuarantine(source, registerer)
 	n.queries = query.NewService(query.Options{
 		Board: n.board, Pool: n.pool, Registerer: registerer, Logger: n.logger, Quarantine: n.quarantine,
-		Admission: admission.New(admission.Options{Registerer: registerer}), Lost: n.meter.Lost,
+		Admission: admission.New(admission.Options{Registerer: registerer}), Lost: n.meter.PausedTime,
 	})
 	n.follower = follower.New(follower.Options{
 		Store: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
@@ -208,7 +208,7 @@
 			HTTP: relayClient(), Wait: relayWait, Slack: relaySlack,
 			Suspected: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
-		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.Steady,
+		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.RanWithoutPause,
 		VanishedRetention: time.Duration(vanishedShare * float64(n.settings.Bounds.Drain)),
 		ColdBound:         decision.ColdRateLimit{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -34,8 +34,8 @@
 // answered as it stands when it takes too long.
 func (n *Node) stop(stopRecording func()) {
 	grace := n.current.Load().Bounds.Grace
-	started := elapsed.Now()
-	until := func(share float64) time.Duration { return started + shareOf(share, grace) - elapsed.Now() }
+	started := elapsed.Monotonic()
+	until := func(share float64) time.Duration { return started + shareOf(share, grace) - elapsed.Monotonic() }
 	n.enter(blackboard.PhaseDraining)
 	n.logger.Info("stopping", "node", n.settings.Node, "grace", grace.String(), "connections", n.open.Count())
 	stopRecording()
--- a/internal/elapsed/elapsed.go
+++ b/internal/elapsed/elapsed.go
@@ -58,7 +58,7 @@
 // New makes a Meter that counts from now on; Run must be running.
 func New(config Config) *Meter {
 	if config.Now == nil {
-		config.Now = Now
+		config.Now = Monotonic
 	}
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -110,25 +110,25 @@
 }
 
 // start is what a nil Meter counts from, and startNow what Now was then.
-var start, startNow = time.Now(), Now()
+var start, startNow = time.Now(), Monotonic()
 
 // Time returns the present time. Differences between two such times count a suspension of the
 // machine, where those of time.Now do not.
-func Time() time.Time { return start.Add(Now() - startNow) }
+func Time() time.Time { return start.Add(Monotonic() - startNow) }
 
-// Ran returns for how long the process has run. It never falls, and stands still while the
+// ActiveTime returns for how long the process has run. It never falls, and stands still while the
 // process does.
-func (m *Meter) Ran() time.Duration {
+func (m *Meter) ActiveTime() time.Duration {
 	if m == nil {
 		return time.Since(start)
 	}
 	return m.present().ran
 }
 
-// Lost returns for how much of the time the process has not run. It makes no system call, as it
+// PausedTime returns for how much of the time the process has not run. It makes no system call, as it
 // is asked at each step of a query, and so counts a suspension of the machine only from the next
 // reading on; the deadline of a query does not count it at all.
-func (m *Meter) Lost() time.Duration {
+func (m *Meter) PausedTime() time.Duration {
 	if m == nil {
 		return 0
 	}
@@ -136,9 +136,9 @@
 	return last.at - last.ran + max(0, time.Since(last.read)-mostRun)
 }
 
-// Steady tells whether the process has run for some time without a pause. What came in
+// RanWithoutPause tells whether the process has run for some time without a pause. What came in
 // during a pause may have waited for as long as that lasted.
-func (m *Meter) Steady(lasting time.Duration) bool {
+func (m *Meter) RanWithoutPause(lasting time.Duration) bool {
 	if m == nil {
 		return true
 	}
@@ -153,9 +153,9 @@
 		return context.WithTimeout(parent, lasting)
 	}
 	ctx, cancel := context.WithCancelCause(parent)
-	until := m.Ran() + lasting
+	until := m.ActiveTime() + lasting
 	go func() {
-		for left := lasting; left > 0; left = until - m.Ran() {
+		for left := lasting; left > 0; left = until - m.ActiveTime() {
 			if !sleep(ctx, left) {
 				return
 			}
--- a/internal/elapsed/elapsed_test.go
+++ b/internal/elapsed/elapsed_test.go
@@ -34,22 +34,22 @@
 		synctest.Test(t, func(t *testing.T) {
 			meter, clock := startMeter(t)
 			time.Sleep(time.Second + interval/2)
-			before := meter.Ran()
+			before := meter.ActiveTime()
 			clock.pause(pause)
-			if ran := meter.Ran() - before; ran > mostRun {
+			if ran := meter.ActiveTime() - before; ran > mostRun {
 				t.Errorf("right after a pause of %v it has run for %v of it", pause, ran)
 			}
-			if meter.Steady(interval) != (pause == 0) {
+			if meter.RanWithoutPause(interval) != (pause == 0) {
 				t.Errorf("steady right after a pause of %v: %v", pause, pause != 0)
 			}
 			time.Sleep(time.Second)
-			if ran := meter.Ran() - before; ran < time.Second || ran > time.Second+mostRun {
+			if ran := meter.ActiveTime() - before; ran < time.Second || ran > time.Second+mostRun {
 				t.Errorf("ran %v in a second after a pause of %v", ran, pause)
 			}
-			if lost := meter.Lost(); lost < pause-mostRun || lost > pause {
+			if lost := meter.PausedTime(); lost < pause-mostRun || lost > pause {
 				t.Errorf("lost %v by a pause of %v", lost, pause)
 			}
-			if !meter.Steady(time.Second-interval) || meter.Steady(time.Minute) {
+			if !meter.RanWithoutPause(time.Second-interval) || meter.RanWithoutPause(time.Minute) {
 				t.Errorf("a second after a pause of %v it does not count as steady for just that", pause)
 			}
 		})
@@ -80,18 +80,18 @@
 func TestWithoutAMeterAllTimeIsRun(t *testing.T) {
 	var meter *Meter
 	synctest.Test(t, func(t *testing.T) {
-		before := meter.Ran()
+		before := meter.ActiveTime()
 		time.Sleep(time.Minute)
-		if ran := meter.Ran() - before; ran != time.Minute || meter.Lost() != 0 || !meter.Steady(time.Hour) {
-			t.Errorf("ran %v, lost %v", ran, meter.Lost())
+		if ran := meter.ActiveTime() - before; ran != time.Minute || meter.PausedTime() != 0 || !meter.RanWithoutPause(time.Hour) {
+			t.Errorf("ran %v, lost %v", ran, meter.PausedTime())
 		}
 	})
 }
 
 func TestTheClockOfTheMachineGoesOn(t *testing.T) {
-	before := Now()
+	before := Monotonic()
 	time.Sleep(20 * time.Millisecond)
-	if gone := Now() - before; gone < 20*time.Millisecond {
+	if gone := Monotonic() - before; gone < 20*time.Millisecond {
 		t.Errorf("%v in 20 ms", gone)
 	}
 }
@@ -101,13 +101,13 @@
 func BenchmarkLost(b *testing.B) {
 	meter := New(Config{})
 	for b.Loop() {
-		meter.Lost()
+		meter.PausedTime()
 	}
 }
 
 func BenchmarkRan(b *testing.B) {
 	meter := New(Config{})
 	for b.Loop() {
-		meter.Ran()
+		meter.ActiveTime()
 	}
 }
--- a/internal/elapsed/now_linux.go
+++ b/internal/elapsed/monotonic_linux.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine was started, of which a suspension is a part
+// Monotonic returns the time since the machine was started, of which a suspension is a part
 // (CLOCK_BOOTTIME): the clock of package time stands still while the machine is suspended.
-func Now() time.Duration {
+func Monotonic() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return time.Since(start) // a kernel without that clock; a suspension is not seen
--- a/internal/elapsed/now_other.go
+++ /dev/null
@@ -1,9 +0,0 @@
-//go:build !linux
-
-package elapsed
-
-import "time"
-
-// Now returns the time since the program's start. On these systems the clock of package time
-// is used, which may stand still during a suspension of the machine.
-func Now() time.Duration { return time.Since(start) }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -50,7 +50,7 @@
 // New returns a Monitor that counts from now; Run must be running.
 func New(options Options) *Monitor {
 	if options.Now == nil {
-		options.Now = elapsed.Now
+		options.Now = elapsed.Monotonic
 	}
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
