--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -79,7 +79,7 @@
 		for _, node := range nodes {
 			if len(chosen) < mostAddresses && caller.DistanceTo(node.Place) == distance {
 				chosen = append(chosen, node.Address)
-				idle = idle || !node.Loaded
+				idle = idle || !node.Overloaded
 			}
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -22,7 +22,7 @@
 
 func loaded(address string, place topology.Place) topology.Node {
 	made := node(address, place, true)
-	made.Loaded = true
+	made.Overloaded = true
 	return made
 }
 
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -64,7 +64,7 @@
 }
 
 func (z *zoneEntries) add(node topology.Node, best float64) {
-	if node.Loaded {
+	if node.Overloaded {
 		return
 	}
 	z.idle++
@@ -100,7 +100,7 @@
 func leastProcessors(nodes []topology.Node) map[string]float64 {
 	least := make(map[string]float64)
 	for i := range nodes {
-		if region := nodes[i].Place.Region; nodes[i].Ready && !nodes[i].Loaded {
+		if region := nodes[i].Place.Region; nodes[i].Ready && !nodes[i].Overloaded {
 			least[region] = max(least[region], fitShare*nodes[i].Processors)
 		}
 	}
--- a/internal/directory/entry_test.go
+++ b/internal/directory/entry_test.go
@@ -23,7 +23,7 @@
 
 func overloaded(address string, place topology.Place, processors float64) topology.Node {
 	made := sized(address, place, processors)
-	made.Loaded = true
+	made.Overloaded = true
 	return made
 }
 
--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -105,12 +105,12 @@
 	if b.nodes == nil {
 		return 0
 	}
-	standby := len(b.nodes.Nodes) - len(b.nodes.Entries)
+	standby := len(b.nodes.Nodes) - len(b.nodes.EntryNodes)
 	switch {
 	case standby <= 0:
-		return slack / float64(b.nodes.Shared)
+		return slack / float64(b.nodes.BudgetShares)
 	case b.nodes.SelfIsEntry():
-		return (1 - standbyShare) * slack / float64(b.nodes.Shared)
+		return (1 - standbyShare) * slack / float64(b.nodes.BudgetShares)
 	default:
 		return standbyShare * slack / float64(standby)
 	}
--- a/internal/edge/budget_test.go
+++ b/internal/edge/budget_test.go
@@ -82,11 +82,11 @@
 
 // standbyBoard is that of a node to which no callers are led, with as many entry nodes.
 func standbyBoard(entries int) *blackboard.Board {
-	nodes := &topology.Nodes{Nodes: make([]topology.Node, entries+1), Shared: entries}
+	nodes := &topology.Nodes{Nodes: make([]topology.Node, entries+1), BudgetShares: entries}
 	for i := range nodes.Nodes {
 		nodes.Nodes[i].ID = string(rune('a' + i))
 	}
-	nodes.Entries = nodes.Nodes[:entries]
+	nodes.EntryNodes = nodes.Nodes[:entries]
 	nodes.Self = nodes.Nodes[entries]
 	board := &blackboard.Board{}
 	board.Nodes.Publish(nodes)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -218,7 +218,7 @@
 		Listed: n.listed, Era: n.storeEra,
 		Node: func() topology.Node {
 			recorded := n.self
-			recorded.Ready, recorded.Loaded = n.ready(), n.loaded()
+			recorded.Ready, recorded.Overloaded = n.ready(), n.loaded()
 			return recorded
 		},
 		Logger: n.logger,
@@ -319,7 +319,7 @@
 		return nil // another directory knows more
 	}
 	own := recorded.Self
-	own.Ready, own.Loaded = n.ready(), n.loaded()
+	own.Ready, own.Overloaded = n.ready(), n.loaded()
 	at := slices.IndexFunc(recorded.Nodes, func(node topology.Node) bool { return node.ID == own.ID })
 	if at >= 0 && recorded.Nodes[at] == own {
 		return recorded
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -14,6 +14,6 @@
 type testBoard struct{ board blackboard.Board }
 
 func (b *testBoard) of(nodes int) *blackboard.Board {
-	b.board.Nodes.Publish(&topology.Nodes{Shared: nodes})
+	b.board.Nodes.Publish(&topology.Nodes{BudgetShares: nodes})
 	return &b.board
 }
--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -57,7 +57,7 @@
 		if len(gone) == 0 {
 			return answer, known
 		}
-		nodes = nodes.Without(gone)
+		nodes = nodes.WithUnready(gone)
 	}
 }
 
--- a/internal/edge/settings_test.go
+++ b/internal/edge/settings_test.go
@@ -209,11 +209,11 @@
 // TestStandbyNodesHaveASmallPartOfTheSlack: callers come to them now and then,
 // and all parts together are within the slack.
 func TestStandbyNodesHaveASmallPartOfTheSlack(t *testing.T) {
-	nodes := &topology.Nodes{Nodes: make([]topology.Node, 10), Shared: 4}
+	nodes := &topology.Nodes{Nodes: make([]topology.Node, 10), BudgetShares: 4}
 	for i := range nodes.Nodes {
 		nodes.Nodes[i].ID = fmt.Sprint("n", i)
 	}
-	nodes.Entries = nodes.Nodes[:4]
+	nodes.EntryNodes = nodes.Nodes[:4]
 	granted := func(self int) int {
 		own := *nodes
 		own.Self = nodes.Nodes[self]
--- a/internal/follower/activation.go
+++ b/internal/follower/activation.go
@@ -81,7 +81,7 @@
 // hasReplica tells whether a replica of a group takes requests.
 func (s *state) hasReplica(group string) bool {
 	for _, entry := range s.replicas {
-		if entry.replica.Group == group && entry.goneAt.IsZero() && s.stateOf(s.options.Now(), &entry).TakesWork() {
+		if entry.replica.Group == group && entry.goneAt.IsZero() && s.stateOf(s.options.Now(), &entry).AcceptsRequests() {
 			return true
 		}
 	}
--- a/internal/follower/cold.go
+++ b/internal/follower/cold.go
@@ -18,10 +18,10 @@
 // coldUntil is when a replica is warm at the latest, as its entry has just said; zero
 // when it does not say. While the store is away no entry tells that it is warm.
 func (s *state) coldUntil(replica topology.Replica) time.Time {
-	if replica.ColdFor == 0 {
+	if replica.ColdRemaining == 0 {
 		return time.Time{}
 	}
-	return s.options.Now().Add(replica.ColdFor)
+	return s.options.Now().Add(replica.ColdRemaining)
 }
 
 // coldEnd is when a replica is warm by its time: as its entry says, and a while after
--- a/internal/follower/cold_test.go
+++ b/internal/follower/cold_test.go
@@ -31,7 +31,7 @@
 	if left > 0 {
 		state = topology.ReplicaCold
 	}
-	replica := topology.Replica{Address: "a:1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state, ColdFor: left}
+	replica := topology.Replica{Address: "a:1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state, ColdRemaining: left}
 	return store.KeyValue{Key: "replicas/a", Value: encoded(t, replica), ModRevision: revision}
 }
 
@@ -73,7 +73,7 @@
 	state.put(cold)
 	state.remove(now, cold.Key)
 	state.publish(now)
-	if got := board.Replicas.Load().Groups["g"][0]; got.State != topology.ReplicaVanished || got.ColdRate != testColdRate {
+	if got := board.Replicas.Load().Groups["g"][0]; got.State != topology.ReplicaMissing || got.ColdRate != testColdRate {
 		t.Errorf("state %v, %d a second", got.State, got.ColdRate)
 	}
 }
@@ -105,7 +105,7 @@
 	state.publish(start)
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "nodes/n2"}, Deleted: true})
 	state.publish(start.Add(time.Second))
-	if got := board.Members.Load().Sharing; len(got) != 2 {
+	if got := board.Members.Load().ColdRateSharers; len(got) != 2 {
 		t.Errorf("shared by %v", got)
 	}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -92,7 +92,7 @@
 			eventually(t, "the replica is known", func() bool { return board.Replicas.Load() != nil })
 			gone := time.Now()
 			source.remove("replicas/a")
-			eventually(t, "the replica has vanished", func() bool { return states(board)["a"] == topology.ReplicaVanished })
+			eventually(t, "the replica has vanished", func() bool { return states(board)["a"] == topology.ReplicaMissing })
 			source.set(false, away)
 			if away {
 				source.breakWatches()
--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -36,7 +36,7 @@
 // told none.
 func (s *state) bornAt(key string) time.Time {
 	if known, found := s.replicas[key]; found {
-		return known.replica.Born
+		return known.replica.StartedAt
 	}
 	return s.departed[key].born
 }
@@ -45,7 +45,7 @@
 // then. Said once, that holds for the life, also when its entry has gone since.
 func (s *state) isLeaving(key string, born time.Time) bool {
 	if known, found := s.replicas[key]; found {
-		return known.replica.State == topology.ReplicaLeaving && known.replica.Born.Equal(born)
+		return known.replica.State == topology.ReplicaLeaving && known.replica.StartedAt.Equal(born)
 	}
 	departed, found := s.departed[key]
 	return found && departed.leaving && departed.born.Equal(born)
@@ -75,7 +75,7 @@
 func (s *state) tellLives() bool {
 	told := 0
 	for _, entry := range s.replicas {
-		if !entry.replica.Born.IsZero() {
+		if !entry.replica.StartedAt.IsZero() {
 			told++
 		}
 	}
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	replica := topology.Replica{Address: name + ":1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state}
 	if born > 0 {
-		replica.Born = start.Add(time.Duration(born) * time.Second)
+		replica.StartedAt = start.Add(time.Duration(born) * time.Second)
 	}
 	return store.KeyValue{Key: "replicas/" + name, Value: encoded(t, replica), ModRevision: revision}
 }
@@ -80,7 +80,7 @@
 		state.apply(start, store.Event{KeyValue: unreadable})
 	}
 	state.publish(start)
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaVanished, "c": topology.ReplicaServing}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaMissing, "c": topology.ReplicaServing}
 	if diff := cmp.Diff(want, states(board)); diff != "" {
 		t.Errorf("at once (-want +got):\n%s", diff)
 	}
--- a/internal/follower/restore_test.go
+++ b/internal/follower/restore_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("due %v after the first copy", due.Sub(start))
 	}
 	state.publish(start.Add(time.Second + rewriteTime))
-	want["b"] = topology.ReplicaVanished
+	want["b"] = topology.ReplicaMissing
 	if diff := cmp.Diff(want, states(board)); diff != "" || state.evacuated["z9"] {
 		t.Errorf("after it, evacuated %v (-want +got):\n%s", state.evacuated, diff)
 	}
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -81,7 +81,7 @@
 	}
 	candidates := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchers)
 	if try > 0 || len(candidates) == 0 || slices.ContainsFunc(candidates, f.isSelf) {
-		candidates = slices.Clone(nodes.Entries)
+		candidates = slices.Clone(nodes.EntryNodes)
 	}
 	candidates = slices.DeleteFunc(candidates, f.isSelf)
 	return f.pick(candidates)
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -181,7 +181,7 @@
 		s.keep(value)
 		s.refuseReplica(value.Key, err)
 		return
-	case replica.Born.Before(s.bornAt(value.Key)):
+	case replica.StartedAt.Before(s.bornAt(value.Key)):
 		s.refuseReplica(value.Key, errEarlierLife)
 		return
 	}
@@ -189,8 +189,8 @@
 	delete(s.unusable, value.Key)
 	replica.Place.Region = s.options.Regions[replica.Place.Zone]
 	entry := replicaEntry{revision: value.ModRevision, coldUntil: s.coldUntil(replica)}
-	replica.ColdFor = 0 // it changes with each entry
-	if s.isLeaving(value.Key, replica.Born) {
+	replica.ColdRemaining = 0 // it changes with each entry
+	if s.isLeaving(value.Key, replica.StartedAt) {
 		replica.State = topology.ReplicaLeaving
 	}
 	entry.replica = replica
@@ -357,7 +357,7 @@
 	case s.evacuated[entry.replica.Place.Zone]:
 		return topology.ReplicaEvacuated
 	case !entry.goneAt.IsZero():
-		return topology.ReplicaVanished
+		return topology.ReplicaMissing
 	case s.isCold(now, entry):
 		return topology.ReplicaCold
 	default:
@@ -371,7 +371,7 @@
 	tellLives := s.tellLives()
 	for _, entry := range s.replicas {
 		replica := entry.replica
-		if tellLives && replica.Born.IsZero() {
+		if tellLives && replica.StartedAt.IsZero() {
 			continue // another writer's
 		}
 		replica.State = s.stateOf(now, &entry)
@@ -404,13 +404,13 @@
 	nodes.Suspected = s.suspects.ids()
 	s.tellSuspects()
 	slices.SortFunc(nodes.Nodes, func(a, b topology.Node) int { return cmp.Compare(a.ID, b.ID) })
-	nodes.Entries = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
-	s.noteEntries(now, nodes.Entries)
-	nodes.Shared = max(1, len(s.entryUntil))
+	nodes.EntryNodes = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
+	s.noteEntries(now, nodes.EntryNodes)
+	nodes.BudgetShares = max(1, len(s.entryUntil))
 	members := &topology.Members{
-		Self: member(s.options.Self), Standby: !nodes.SelfIsEntry(), Sharing: slices.Sorted(maps.Keys(s.entryUntil)),
+		Self: member(s.options.Self), Standby: !nodes.SelfIsEntry(), ColdRateSharers: slices.Sorted(maps.Keys(s.entryUntil)),
 	}
-	for _, node := range nodes.Entries {
+	for _, node := range nodes.EntryNodes {
 		members.Members = append(members.Members, member(node))
 	}
 	s.options.Board.Nodes.Publish(nodes)
--- a/internal/follower/state_test.go
+++ b/internal/follower/state_test.go
@@ -64,7 +64,7 @@
 	state.publish(start)
 	state.replace(start, nil)
 	state.publish(start.Add(900 * time.Millisecond))
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaVanished, "b": topology.ReplicaLeaving}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaMissing, "b": topology.ReplicaLeaving}
 	if diff := cmp.Diff(want, states(board)); diff != "" {
 		t.Errorf("at first (-want +got):\n%s", diff)
 	}
@@ -98,11 +98,11 @@
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "nodes/n2"}, Deleted: true})
 	state.publish(start.Add(time.Second))
 	nodes := board.Nodes.Load()
-	if len(nodes.Nodes) != 1 || nodes.Shared != 2 {
-		t.Errorf("%d nodes, shared by %d", len(nodes.Nodes), nodes.Shared)
+	if len(nodes.Nodes) != 1 || nodes.BudgetShares != 2 {
+		t.Errorf("%d nodes, shared by %d", len(nodes.Nodes), nodes.BudgetShares)
 	}
 	state.publish(start.Add(2 * sharedMemory))
-	if got := board.Nodes.Load().Shared; got != 1 {
+	if got := board.Nodes.Load().BudgetShares; got != 1 {
 		t.Errorf("shared by %d for ever", got)
 	}
 }
@@ -188,7 +188,7 @@
 	}
 	state.apply(start, store.Event{KeyValue: nodeAt(t, 4, "n1")}) // goes before n3
 	state.publish(start.Add(time.Second))
-	if got, shared := entryIDs(board), board.Nodes.Load().Shared; !slices.Equal(got, []string{"n1", "n2"}) || shared != 3 {
+	if got, shared := entryIDs(board), board.Nodes.Load().BudgetShares; !slices.Equal(got, []string{"n1", "n2"}) || shared != 3 {
 		t.Errorf("entry nodes %v, shared by %d", got, shared)
 	}
 	if got := len(board.Members.Load().Members); got != 2 {
@@ -198,7 +198,7 @@
 
 func entryIDs(board *blackboard.Board) []string {
 	var found []string
-	for _, node := range board.Nodes.Load().Entries {
+	for _, node := range board.Nodes.Load().EntryNodes {
 		found = append(found, node.ID)
 	}
 	return found
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		var found []string
-		for _, entry := range nodes.Entries {
+		for _, entry := range nodes.EntryNodes {
 			found = append(found, entry.ID)
 		}
 		return slices.Equal(found, want)
@@ -41,7 +41,7 @@
 		t.Errorf("the store is watched %d times", watches)
 	}
 	if !entriesAre(board, "c")() {
-		t.Errorf("callers are led to %v", board.Nodes.Load().Entries)
+		t.Errorf("callers are led to %v", board.Nodes.Load().EntryNodes)
 	}
 }
 
@@ -140,7 +140,7 @@
 	known.suspects.note("a", start.Add(suspicionTime))
 	known.nodesChanged = true
 	known.publish(start)
-	if shared := board.Nodes.Load().Shared; shared != 2 {
+	if shared := board.Nodes.Load().BudgetShares; shared != 2 {
 		t.Errorf("the budget is divided by %d", shared)
 	}
 }
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -155,7 +155,7 @@
 
 func (h *handler) node() Node {
 	described := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: requestsOf(h.config.Quarantined())}
-	described.Node.Loaded = h.config.Loaded()
+	described.Node.Overloaded = h.config.Loaded()
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
 		described.Entry = nodes.SelfIsEntry()
 	}
@@ -212,7 +212,7 @@
 	for _, group := range replicas.Groups {
 		for _, replica := range group {
 			switch replica.State {
-			case topology.ReplicaLeaving, topology.ReplicaVanished:
+			case topology.ReplicaLeaving, topology.ReplicaMissing:
 				known.Leaving = append(known.Leaving, replica)
 			case topology.ReplicaEvacuated:
 				known.Evacuated[replica.Place.Zone]++
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -59,7 +59,7 @@
 		all = append(all, one.self)
 	}
 	for _, one := range nodes {
-		one.board.Nodes.Publish(&topology.Nodes{Self: one.self, Nodes: all, Entries: all[:1]})
+		one.board.Nodes.Publish(&topology.Nodes{Self: one.self, Nodes: all, EntryNodes: all[:1]})
 	}
 }
 
@@ -92,7 +92,7 @@
 	if len(got.Unreachable) != 1 || got.Unreachable[0].Member.ID != "n3" {
 		t.Errorf("unreachable %+v", got.Unreachable)
 	}
-	if !got.Nodes[0].Node.Loaded || got.Nodes[0].Entry || !got.Nodes[1].Entry || !got.Nodes[0].StoreReachable {
+	if !got.Nodes[0].Node.Overloaded || got.Nodes[0].Entry || !got.Nodes[1].Entry || !got.Nodes[0].StoreReachable {
 		t.Errorf("nodes %+v", got.Nodes)
 	}
 	if got.Replicas != 1 || len(got.Leaving) != 1 || got.Leaving[0].Address != "10.0.0.2:1" {
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -74,7 +74,7 @@
 		if one.Entry {
 			role = "entry"
 		}
-		lines.row(one.Node.Place.Region, one.Node.Place.Zone, one.Node.ID, one.Node.Address, role, one.Node.Loaded,
+		lines.row(one.Node.Place.Region, one.Node.Place.Zone, one.Node.ID, one.Node.Address, role, one.Node.Overloaded,
 			one.Version, reachableText(one), one.StoreEra, one.StoreRevision, confirmedText(one))
 	}
 	lines.end()
@@ -148,7 +148,7 @@
 	lines := newGrid(to, "LEAVING", "GROUP", "ZONE", "ADDRESS")
 	for _, one := range replicas {
 		state := "draining"
-		if one.State == topology.ReplicaVanished {
+		if one.State == topology.ReplicaMissing {
 			state = "vanished"
 		}
 		lines.row(state, one.Group, one.Place.Zone, one.Address)
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -19,7 +19,7 @@
 		Version: 7, Replicas: 30, Lagging: []string{"n2"},
 		Nodes: []inspect.Node{
 			{Node: topology.Node{ID: "n2", Place: place}, Version: 5, StoreEra: 1, StoreRevision: 87, ConfirmedAgo: -1, StoreSince: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)},
-			{Node: topology.Node{ID: "n1", Address: "10.0.0.1:1", Place: place, Loaded: true}, Entry: true, Version: 7, StoreReachable: true, StoreEra: 2, StoreRevision: 31, ConfirmedAgo: 40},
+			{Node: topology.Node{ID: "n1", Address: "10.0.0.1:1", Place: place, Overloaded: true}, Entry: true, Version: 7, StoreReachable: true, StoreEra: 2, StoreRevision: 31, ConfirmedAgo: 40},
 		},
 		Unreachable: []comparison.Unreachable{{Member: topology.Member{ID: "n3"}, Reason: "no\x1b answer"}},
 		Routes: []inspect.Route{
@@ -27,7 +27,7 @@
 			{Name: "fetch", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
 			{Name: "plain", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
 		},
-		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaVanished}},
+		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaMissing}},
 		Evacuated: map[string]int{"adum": 4}, Cold: 3,
 		Quarantined: []inspect.Request{{
 			Identity: "5f1c", Nodes: 3, Refusing: 2,
--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -37,7 +37,7 @@
 	if v.members == nil {
 		return nil
 	}
-	return v.members.Sharing
+	return v.members.ColdRateSharers
 }
 
 // coldGate lets so many requests pass in any one second. Its zero value lets all pass. It
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -15,7 +15,7 @@
 func coldPool(t *testing.T, rate int, now *time.Time) (*Pool, *blackboard.Board) {
 	t.Helper()
 	board := &blackboard.Board{}
-	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"self"}})
+	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, ColdRateSharers: []string{"self"}})
 	listReplicas(board,
 		topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaCold, ColdRate: rate},
 		topology.Replica{Address: "warm:1", Place: farPlace})
@@ -74,7 +74,7 @@
 func TestAVanishedReplicaIsBoundedWhileItIsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool, board := coldPool(t, 2, &now)
-	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaVanished, ColdRate: 2})
+	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaMissing, ColdRate: 2})
 	sent := 0
 	for range 10 {
 		if acquired := pool.AcquireForMessage(testGroup, allTerms(), nil); acquired.Handle != nil {
@@ -115,11 +115,11 @@
 	pool, board := coldPool(t, 3, &now)
 	terms := allTerms()
 	terms.Regions = []string{nearPlace.Region}
-	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other"}})
+	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, ColdRateSharers: []string{"other"}})
 	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 0 {
 		t.Error("a node that does not share asks a cold replica")
 	}
-	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, Sharing: []string{"other", "self"}})
+	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, ColdRateSharers: []string{"other", "self"}})
 	if got := pool.CountServableGroups([]string{testGroup}, terms); got != 1 {
 		t.Error("a node that shares does not ask it")
 	}
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -318,11 +318,11 @@
 	board := v.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
-		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
+		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
 	if got := v.acquire(t).Address(); got != "far:1" {
 		t.Errorf("chose %s beside a listed one", got)
 	}
-	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
+	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
 	if got := v.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -220,7 +220,7 @@
 		}
 		handle.setBudget(budget)
 		handle.setRest(next.standby())
-		handle.vanished.Store(replica.State == topology.ReplicaVanished)
+		handle.vanished.Store(replica.State == topology.ReplicaMissing)
 		handle.cold.set(next.coldShare(replica))
 		next.handles[key] = handle
 		built.handles = append(built.handles, handle)
@@ -240,7 +240,7 @@
 func takingWork(listed []topology.Replica) []topology.Replica {
 	usable := make([]topology.Replica, 0, len(listed))
 	for _, replica := range listed {
-		if replica.State.TakesWork() {
+		if replica.State.AcceptsRequests() {
 			usable = append(usable, replica)
 		}
 	}
--- a/internal/topology/node.go
+++ b/internal/topology/node.go
@@ -15,9 +15,9 @@
 	Place        Place  `json:"place" msgpack:"l"`
 	// Ready is true while the node takes new callers.
 	Ready bool `json:"ready" msgpack:"r"`
-	// Loaded is true while the node has lately had to refuse requests for load, or
+	// Overloaded is true while the node has lately had to refuse requests for load, or
 	// has used much of its processor time.
-	Loaded bool `json:"loaded,omitempty" msgpack:"o"`
+	Overloaded bool `json:"loaded,omitempty" msgpack:"o"`
 	// Processors is the processor time that the node may use, in cores.
 	Processors float64 `json:"processors,omitempty" msgpack:"c"`
 }
@@ -26,12 +26,12 @@
 type Nodes struct {
 	Self  Node
 	Nodes []Node
-	// Entries are those that callers are led to. They hold the connections to
+	// EntryNodes are those that callers are led to. They hold the connections to
 	// the replicas and most of the shared retry budget; the others stand by.
-	Entries []Node
-	// Shared is the number of entry nodes, present or of late, that a shared
+	EntryNodes []Node
+	// BudgetShares is the number of entry nodes, present or of late, that a shared
 	// budget is divided by.
-	Shared int
+	BudgetShares int
 	// Suspected are the IDs of nodes that are recorded and do not answer. They count
 	// as not ready in Nodes.
 	Suspected []string
@@ -39,11 +39,11 @@
 
 // SelfIsEntry tells whether callers are led to this node.
 func (n *Nodes) SelfIsEntry() bool {
-	return slices.ContainsFunc(n.Entries, func(entry Node) bool { return entry.ID == n.Self.ID })
+	return slices.ContainsFunc(n.EntryNodes, func(entry Node) bool { return entry.ID == n.Self.ID })
 }
 
-// Without returns a copy in which some nodes are not ready.
-func (n *Nodes) Without(ids []string) *Nodes {
+// WithUnready returns a copy in which some nodes are not ready.
+func (n *Nodes) WithUnready(ids []string) *Nodes {
 	changed := *n
 	changed.Nodes = slices.Clone(n.Nodes)
 	for i := range changed.Nodes {
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -69,9 +69,9 @@
 	// Standby is true while this daemon holds connections only for the few
 	// requests that come to it all the same.
 	Standby bool `json:"standby,omitempty"`
-	// Sharing are the IDs of the daemons that divide among themselves what a cold
+	// ColdRateSharers are the IDs of the daemons that divide among themselves what a cold
 	// replica takes: those that callers are led to, present or of late.
-	Sharing []string `json:"sharing,omitempty"`
+	ColdRateSharers []string `json:"sharing,omitempty"`
 }
 
 // ReplicaState is what is believed of a back-end replica.
@@ -85,16 +85,16 @@
 	ReplicaCold
 	// ReplicaLeaving takes no new requests, for good, at this incarnation.
 	ReplicaLeaving
-	// ReplicaVanished is no longer listed, without having said that it leaves;
+	// ReplicaMissing is no longer listed, without having said that it leaves;
 	// it takes requests only when no other replica is left.
-	ReplicaVanished
+	ReplicaMissing
 	// ReplicaEvacuated stands in a zone to which operators want nothing sent. It may
 	// serve again, and is cold then.
 	ReplicaEvacuated
 )
 
-// TakesWork is true for the states in which a replica may be sent requests.
-func (s ReplicaState) TakesWork() bool { return s != ReplicaLeaving && s != ReplicaEvacuated }
+// AcceptsRequests is true for the states in which a replica may be sent requests.
+func (s ReplicaState) AcceptsRequests() bool { return s != ReplicaLeaving && s != ReplicaEvacuated }
 
 // Replica is one back-end process.
 type Replica struct {
@@ -111,12 +111,12 @@
 	// ConnectionLimit is the number of connections it accepts from all
 	// daemons together.
 	ConnectionLimit int `json:"connection_limit" msgpack:"c"`
-	// Born is when the replica has started; zero when it does not say. A replica that
+	// StartedAt is when the replica has started; zero when it does not say. A replica that
 	// starts again under its identifier is told from the one before by it.
-	Born time.Time `json:"born,omitzero" msgpack:"b,omitempty"`
-	// ColdFor is how much longer the replica is cold, as of its entry; 0 when it does
+	StartedAt time.Time `json:"born,omitzero" msgpack:"b,omitempty"`
+	// ColdRemaining is how much longer the replica is cold, as of its entry; 0 when it does
 	// not say.
-	ColdFor time.Duration `json:"cold_for,omitempty" msgpack:"f,omitempty"`
+	ColdRemaining time.Duration `json:"cold_for,omitempty" msgpack:"f,omitempty"`
 	// ColdRate is the number of requests that all nodes together send it in any one
 	// second while it is cold; 0 means that they are not bounded.
 	ColdRate int `json:"cold_rate,omitempty" msgpack:"r,omitempty"`
