--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -17,8 +17,8 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// defaultTotal is the greatest number of queries in flight at one daemon.
-const defaultTotal = 1024
+// defaultMaxInFlight is the greatest number of queries in flight at one daemon.
+const defaultMaxInFlight = 1024
 
 // Rank orders priorities: the higher, the later it gives way.
 type Rank int
@@ -37,9 +37,9 @@
 	}
 }
 
-// capacityShares is the part of the daemon's total up to which a query of
+// rankFractions is the part of the daemon's total up to which a query of
 // each rank is let in.
-var capacityShares = [...]float64{0.5, 0.75, 0.9, 1}
+var rankFractions = [...]float64{0.5, 0.75, 0.9, 1}
 
 // LowerPriority returns the lower of a policy's and a query's priority; an empty
 // query's priority leaves the policy's.
@@ -70,14 +70,14 @@
 }
 
 type policyState struct {
-	inFlight atomic.Int64
-	fastest  recentMinimum
+	inFlight   atomic.Int64
+	minLatency windowedMin
 }
 
 // New makes a Controller.
 func New(options Options) *Controller {
 	if options.MaxInFlight <= 0 {
-		options.MaxInFlight = defaultTotal
+		options.MaxInFlight = defaultMaxInFlight
 	}
 	controller := &Controller{refused: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "doorpondd_queries_refused_total", Help: "Queries refused before anything was sent, by reason.",
@@ -113,8 +113,8 @@
 
 // Observe takes in what came of the query; it is called before Release.
 func (t Ticket) Observe(now time.Time, ended Outcome) {
-	if ended.whole() {
-		t.policy.fastest.observe(now, ended.Duration)
+	if ended.complete() {
+		t.policy.minLatency.observe(now, ended.Duration)
 	}
 	t.controller.limit.observe(now, t.controller.inFlight.Load(), &ended)
 }
@@ -123,7 +123,7 @@
 // Overloaded and DeadlineUnreachable, with NotRun set and a time to come back.
 func (c *Controller) Admit(row *policy.Row, priority client.Priority, now time.Time, deadline time.Duration) (Ticket, error) {
 	state := c.state(row.Name)
-	if least := state.fastest.value(now); deadline < least {
+	if least := state.minLatency.value(now); deadline < least {
 		return Ticket{}, c.refuse("deadline", failure.DeadlineUnreachable,
 			fmt.Sprintf("deadline of %v is under the fastest recent answer of %v", deadline, least))
 	}
@@ -132,12 +132,12 @@
 		return Ticket{}, c.refuse("policy", failure.Overloaded,
 			fmt.Sprintf("policy %s is at its limit of %d queries", row.Name, row.Limits.Concurrency))
 	}
-	c.limit.giveBack(now)
+	c.limit.restore(now)
 	limit := c.limit.forRank(rankOf(priority))
 	if c.inFlight.Add(1) > limit {
 		c.inFlight.Add(-1)
 		state.inFlight.Add(-1)
-		return Ticket{}, c.overloaded(now, "priority",
+		return Ticket{}, c.refuseOverloaded(now, "priority",
 			fmt.Sprintf("daemon is at its limit of %d queries for priority %s", limit, priority))
 	}
 	return Ticket{controller: c, policy: state}, nil
@@ -148,18 +148,18 @@
 	return failure.New(kind, detail)
 }
 
-// overloaded is a refusal for load. An overload is taken to last for as long
+// refuseOverloaded is a refusal for load. An overload is taken to last for as long
 // again as it has lasted, so that is when to come back.
-func (c *Controller) overloaded(now time.Time, reason, detail string) *failure.Error {
+func (c *Controller) refuseOverloaded(now time.Time, reason, detail string) *failure.Error {
 	refused := c.refuse(reason, failure.Overloaded, detail)
-	return refused.WithRetryAfter(min(max(refused.RetryAfter, c.limit.lasted(now)), longestRetryAfter))
+	return refused.WithRetryAfter(min(max(refused.RetryAfter, c.limit.overloadDuration(now)), maxRetryAfter))
 }
 
-// longestRetryAfter bounds the time to come back.
-const longestRetryAfter = 5 * time.Second
+// maxRetryAfter bounds the time to come back.
+const maxRetryAfter = 5 * time.Second
 
 // Overloaded is true while this node has lately had to refuse for load.
-func (c *Controller) Overloaded(now time.Time) bool { return c.limit.lasted(now) > 0 }
+func (c *Controller) Overloaded(now time.Time) bool { return c.limit.overloadDuration(now) > 0 }
 
 func (c *Controller) state(name string) *policyState {
 	if state, known := c.policies.Load(name); known {
@@ -169,18 +169,18 @@
 	return state.(*policyState)
 }
 
-// minimumWindow is the time for which a fastest answer counts, at least.
-const minimumWindow = 15 * time.Second
+// minLatencyWindow is the time for which a fastest answer counts, at least.
+const minLatencyWindow = 15 * time.Second
 
-// recentMinimum is the least duration of the last one to two windows.
-type recentMinimum struct {
+// windowedMin is the least duration of the last one to two windows.
+type windowedMin struct {
 	mutex    sync.Mutex
 	started  time.Time
 	current  time.Duration
 	previous time.Duration
 }
 
-func (m *recentMinimum) observe(now time.Time, took time.Duration) {
+func (m *windowedMin) observe(now time.Time, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.rotate(now)
@@ -189,7 +189,7 @@
 	}
 }
 
-func (m *recentMinimum) value(now time.Time) time.Duration {
+func (m *windowedMin) value(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.rotate(now)
@@ -199,13 +199,13 @@
 	return m.current
 }
 
-func (m *recentMinimum) rotate(now time.Time) {
+func (m *windowedMin) rotate(now time.Time) {
 	age := now.Sub(m.started)
-	if age < minimumWindow {
+	if age < minLatencyWindow {
 		return
 	}
 	m.previous = m.current
-	if age >= 2*minimumWindow {
+	if age >= 2*minLatencyWindow {
 		m.previous = 0
 	}
 	m.current = 0
--- a/internal/admission/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -22,9 +22,9 @@
 		{"refused shards that differ cut again", 20, []Outcome{refused("a"), refused("b")}, 18},
 		{"all shards refused cut again", 20, []Outcome{all, all}, 18},
 		{"shards missing for another reason are no sign", 20, []Outcome{partial}, 100},
-		{"the limit keeps a trickle", 1, []Outcome{refused("a")}, leastLimit},
+		{"the limit keeps a trickle", 1, []Outcome{refused("a")}, minLimit},
 		{"whole answers raise it", 20, append([]Outcome{refused("a")}, many(whole, 20)...), 20},
-		{"a limit that is not in use is not raised", 1, append([]Outcome{refused("a")}, many(whole, 19)...), leastLimit},
+		{"a limit that is not in use is not raised", 1, append([]Outcome{refused("a")}, many(whole, 19)...), minLimit},
 		{"after calm it grows by each answer", 20, append([]Outcome{refused("a")}, many(whole, 30)...), 30},
 		{"never over the start", 100, many(whole, 40), 100},
 	}
@@ -67,7 +67,7 @@
 func newLimit(total int) *adaptiveLimit {
 	limit := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
 	limit.start(total)
-	limit.calm.Store(windowsToKnow)
+	limit.uncongestedWindows.Store(calibrationWindows)
 	return limit
 }
 
@@ -87,11 +87,11 @@
 		after time.Duration
 		want  int64
 	}{
-		{"not at once", whole, quietBefore - time.Second, leastLimit},
-		{"a little, after that", whole, quietBefore, 2 * leastLimit},
-		{"whole in the end", whole, quietBefore + 8*giveBackEvery, most},
-		{"not while queries are strained", strained, time.Minute, leastLimit},
-		{"not while shards are refused", refused, time.Minute, leastLimit},
+		{"not at once", whole, restoreDelay - time.Second, minLimit},
+		{"a little, after that", whole, restoreDelay, 2 * minLimit},
+		{"whole in the end", whole, restoreDelay + 8*restoreInterval, most},
+		{"not while queries are strained", strained, time.Minute, minLimit},
+		{"not while shards are refused", refused, time.Minute, minLimit},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 			limit.observe(now, 1, &refused)
 			for end := now.Add(test.after); now.Before(end); {
 				now = now.Add(time.Second)
-				limit.giveBack(now)
+				limit.restore(now)
 				ended := test.ended
 				limit.observe(now, 1, &ended)
 			}
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -14,18 +14,18 @@
 // the strain comes back.
 func overload(controller *Controller, now time.Time, lasting time.Duration) time.Time {
 	row := &policy.Row{Name: "r", Limits: policy.Limits{Concurrency: 1000}}
-	controller.limit.calm.Store(windowsToKnow)
+	controller.limit.uncongestedWindows.Store(calibrationWindows)
 	const alternate = 4 // steps with strain, then as many without
 	step := 0
-	for end := now.Add(lasting); now.Before(end); now = now.Add(cutPause) {
+	for end := now.Add(lasting); now.Before(end); now = now.Add(minCutInterval) {
 		strained := step/alternate%2 == 0
 		step++
 		ticket, err := controller.Admit(row, client.PriorityCritical, now, time.Hour)
 		if err != nil {
 			continue
 		}
-		for range leastEnded {
-			ticket.Observe(now, Outcome{Duration: time.Millisecond, Queried: 1, Answered: 1, Objective: cutPause, Congested: strained})
+		for range minWindowQueries {
+			ticket.Observe(now, Outcome{Duration: time.Millisecond, Queried: 1, Answered: 1, Objective: minCutInterval, Congested: strained})
 		}
 		ticket.Release()
 	}
@@ -37,14 +37,14 @@
 func TestTheTimeToComeBackGrowsWithTheOverload(t *testing.T) {
 	row := &policy.Row{Name: "r", Limits: policy.Limits{Concurrency: 1000}}
 	for _, test := range []struct{ lasting, least, most time.Duration }{
-		{3 * cutPause, shortest(), time.Second},
+		{3 * minCutInterval, shortest(), time.Second},
 		{2 * time.Second, 1500 * time.Millisecond, 2 * time.Second},
-		{time.Minute, longestRetryAfter, longestRetryAfter},
+		{time.Minute, maxRetryAfter, maxRetryAfter},
 	} {
 		controller := New(Options{})
 		now := overload(controller, time.Unix(1000, 0), test.lasting)
 		var refused *failure.Error
-		for range leastLimit + 1 {
+		for range minLimit + 1 {
 			if _, err := controller.Admit(row, client.PriorityBatch, now, time.Hour); err != nil {
 				refused = failure.From(err)
 			}
@@ -55,7 +55,7 @@
 		if refused.RetryAfter < test.least || refused.RetryAfter > test.most {
 			t.Errorf("after %v: come back after %v, want from %v to %v", test.lasting, refused.RetryAfter, test.least, test.most)
 		}
-		if !controller.Overloaded(now) || controller.Overloaded(now.Add(2*calmAfter)) {
+		if !controller.Overloaded(now) || controller.Overloaded(now.Add(2*overloadExpiry)) {
 			t.Error("loaded is not told, or told for ever")
 		}
 	}
@@ -67,7 +67,7 @@
 // end in an objective's time are strained, twice in a row, is the limit cut.
 func TestABurstThatIsSoonWorkedOffIsNoOverload(t *testing.T) {
 	const objective = 250 * time.Millisecond
-	limit := newLimit(defaultTotal)
+	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
 	play := func(windows, strainedOfTen int) {
 		for range windows {
@@ -78,17 +78,17 @@
 		}
 	}
 	play(20, 5) // 5 of 11
-	if got := limit.forRank(3); got != defaultTotal {
+	if got := limit.forRank(3); got != defaultMaxInFlight {
 		t.Errorf("the limit is %d after bursts", got)
 	}
 	for range 3 {
 		play(1, 6)
 		play(1, 0)
 	}
-	if got := limit.forRank(3); got != defaultTotal {
+	if got := limit.forRank(3); got != defaultMaxInFlight {
 		t.Errorf("the limit is %d after single windows of strain", got)
 	}
-	play(windowsToCut, 6)
+	play(overloadWindows, 6)
 	if got := limit.forRank(3); got >= 50 {
 		t.Errorf("the limit is %d though most queries are strained", got)
 	}
@@ -106,20 +106,20 @@
 		return now
 	}
 	unknown := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
-	unknown.start(defaultTotal)
-	now := play(unknown, time.Unix(1000, 0), windowsToCutUnknown-1, true)
-	if got := unknown.forRank(3); got != defaultTotal {
+	unknown.start(defaultMaxInFlight)
+	now := play(unknown, time.Unix(1000, 0), initialOverloadWindows-1, true)
+	if got := unknown.forRank(3); got != defaultMaxInFlight {
 		t.Errorf("the limit is %d while nothing is known of the back ends", got)
 	}
 	play(unknown, now, 1, true)
-	if got := unknown.forRank(3); got == defaultTotal {
+	if got := unknown.forRank(3); got == defaultMaxInFlight {
 		t.Error("a strain that lasts is never taken for an overload")
 	}
 	known := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
-	known.start(defaultTotal)
-	now = play(known, time.Unix(1000, 0), windowsToKnow, false)
-	play(known, now, windowsToCut, true)
-	if got := known.forRank(3); got == defaultTotal {
+	known.start(defaultMaxInFlight)
+	now = play(known, time.Unix(1000, 0), calibrationWindows, false)
+	play(known, now, overloadWindows, true)
+	if got := known.forRank(3); got == defaultMaxInFlight {
 		t.Error("an overload of back ends that are known is not noticed soon")
 	}
 }
@@ -131,15 +131,15 @@
 		objective = 200 * time.Millisecond
 		rate      = 400 // queries that end in a second
 	)
-	limit := newLimit(defaultTotal)
+	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
 	play := func(length time.Duration, strained bool) {
 		for end := now.Add(length); now.Before(end); now = now.Add(time.Second / rate) {
 			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: strained})
 		}
 	}
-	play((windowsToCut+1)*objective, true)
-	borne := int64(rate * timeShare * objective.Seconds())
+	play((overloadWindows+1)*objective, true)
+	borne := int64(rate * targetLatencyFraction * objective.Seconds())
 	if got := limit.forRank(3); got < borne*9/10 || got > borne*11/10 {
 		t.Errorf("the limit is %d, the back ends bear %d", got, borne)
 	}
@@ -154,26 +154,26 @@
 // stay so however few queries are let in.
 func TestCutsThatDoNotHelpAreTakenBack(t *testing.T) {
 	const objective = 200 * time.Millisecond
-	limit := newLimit(defaultTotal)
+	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
 	play := func(length time.Duration) (least int64) {
-		least = defaultTotal
+		least = defaultMaxInFlight
 		for end := now.Add(length); now.Before(end); now = now.Add(objective / 40) {
 			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: true})
 			least = min(least, limit.forRank(3))
 		}
 		return least
 	}
-	if least := play((windowsToCut + mostFutile + 2) * objective); least == defaultTotal {
+	if least := play((overloadWindows + maxIneffectiveCuts + 2) * objective); least == defaultMaxInFlight {
 		t.Error("the limit was never cut")
 	}
-	if got := limit.forRank(3); got != defaultTotal {
-		t.Errorf("the limit is still %d after %d cuts in vain", got, mostFutile)
+	if got := limit.forRank(3); got != defaultMaxInFlight {
+		t.Errorf("the limit is still %d after %d cuts in vain", got, maxIneffectiveCuts)
 	}
-	if least := play(calmAfter / 2); least != defaultTotal {
+	if least := play(overloadExpiry / 2); least != defaultMaxInFlight {
 		t.Errorf("the limit is cut to %d again at once", least)
 	}
-	if least := play(10 * calmAfter); least == defaultTotal {
+	if least := play(10 * overloadExpiry); least == defaultMaxInFlight {
 		t.Error("the limit is never tried again")
 	}
 }
@@ -181,17 +181,17 @@
 // TestQueriesFromBeforeACutDoNotCount: a cut cannot help them.
 func TestQueriesFromBeforeACutDoNotCount(t *testing.T) {
 	const objective = 200 * time.Millisecond
-	limit := newLimit(defaultTotal)
+	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
 	play := func(length, took time.Duration) {
 		for end := now.Add(length); now.Before(end); now = now.Add(objective / 40) {
 			limit.observe(now, 50, &Outcome{Duration: took, Queried: 1, Answered: 1, Objective: objective, Congested: true})
 		}
 	}
-	play(windowsToCut*(objective+objective/20), 0)
+	play(overloadWindows*(objective+objective/20), 0)
 	cut := limit.forRank(3)
 	play(2*objective, 3*objective)
-	if got := limit.forRank(3); got != cut || cut == defaultTotal {
+	if got := limit.forRank(3); got != cut || cut == defaultMaxInFlight {
 		t.Errorf("the limit is %d, it was %d after the first cut", got, cut)
 	}
 }
@@ -207,7 +207,7 @@
 	if targets.ForTarget("b").Overloaded(now) || targets.ForTarget("a") != first {
 		t.Error("targets share a controller, or have several")
 	}
-	if units := targets.ForTarget("b").limit.units.Load(); units != defaultTotal*limitScale {
+	if units := targets.ForTarget("b").limit.units.Load(); units != defaultMaxInFlight*limitScale {
 		t.Errorf("the other target's limit is %d", units/limitScale)
 	}
 }
