--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -9,8 +9,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// mostAddresses is the greatest number of addresses in an answer.
-const mostAddresses = 64
+// maxAddresses is the greatest number of addresses in an answer.
+const maxAddresses = 64
 
 // Answer is what a caller is told.
 type Answer struct {
@@ -77,7 +77,7 @@
 	idle := false
 	for distance := topology.SameZone; distance <= topology.OtherRegion && !idle; distance++ {
 		for _, node := range nodes {
-			if len(chosen) < mostAddresses && caller.DistanceTo(node.Place) == distance {
+			if len(chosen) < maxAddresses && caller.DistanceTo(node.Place) == distance {
 				chosen = append(chosen, node.Address)
 				idle = idle || !node.Overloaded
 			}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -94,11 +94,11 @@
 
 func TestAnAnswerIsBounded(t *testing.T) {
 	nodes := &topology.Nodes{}
-	for i := range 3 * mostAddresses {
+	for i := range 3 * maxAddresses {
 		nodes.Nodes = append(nodes.Nodes, node(fmt.Sprint(i), placeA, true))
 	}
-	answer, _ := Resolve(nodes, placeA, Options{EntryNodes: 3 * mostAddresses})
-	if len(answer.Addresses) != mostAddresses {
+	answer, _ := Resolve(nodes, placeA, Options{EntryNodes: 3 * maxAddresses})
+	if len(answer.Addresses) != maxAddresses {
 		t.Errorf("%d addresses", len(answer.Addresses))
 	}
 }
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// fitShare of the processor time of a region's best node is what a node must have
+	// minCapacityRatio of the processor time of a region's best node is what a node must have
 	// to be an entry node there, as long as one that is not loaded has it. Measured
 	// with nodes of 0.8 and 0.192 cores: half of a zone's callers on one of the small
 	// ones made it read their requests a second late (docs/ROUNDS.md).
-	fitShare = 0.5
-	// mostTimes the wanted number of nodes a zone may have as entry nodes when they
+	minCapacityRatio = 0.5
+	// maxEntryNodesFactor the wanted number of nodes a zone may have as entry nodes when they
 	// are small: with many, each learns late which replicas are slow.
-	mostTimes = 4
+	maxEntryNodesFactor = 4
 )
 
 // EntryNodes returns the nodes that callers are led to, in the order of the
@@ -31,18 +31,18 @@
 // those of its region. All nodes that know the same entries choose the same ones.
 func EntryNodes(nodes []topology.Node, wanted int) []topology.Node {
 	order := byCapacity(nodes)
-	least := leastProcessors(nodes)
-	zones := make(map[topology.Place]*zoneEntries)
+	least := minProcessors(nodes)
+	zones := make(map[topology.Place]*zoneCapacity)
 	whole := max(1, wanted)
-	best := bestProcessors(nodes)
+	best := maxProcessors(nodes)
 	chosen := order[:0]
 	for _, i := range order {
 		node := nodes[i]
 		if zones[node.Place] == nil {
-			zones[node.Place] = &zoneEntries{}
+			zones[node.Place] = &zoneCapacity{}
 		}
 		zone := zones[node.Place]
-		if zone.enough(whole) || node.Processors < least[node.Place.Region] {
+		if zone.sufficient(whole) || node.Processors < least[node.Place.Region] {
 			continue
 		}
 		chosen = append(chosen, i)
@@ -56,38 +56,38 @@
 	return entries
 }
 
-// zoneEntries counts the entry nodes of a zone that are not loaded.
-type zoneEntries struct {
-	idle int
-	// strength is their processor time, in nodes of the best kind.
-	strength float64
+// zoneCapacity counts the entry nodes of a zone that are not loaded.
+type zoneCapacity struct {
+	available int
+	// capacity is their processor time, in nodes of the best kind.
+	capacity float64
 }
 
-func (z *zoneEntries) add(node topology.Node, best float64) {
+func (z *zoneCapacity) add(node topology.Node, best float64) {
 	if node.Overloaded {
 		return
 	}
-	z.idle++
+	z.available++
 	if best > 0 {
-		z.strength += node.Processors / best
+		z.capacity += node.Processors / best
 	} else {
-		z.strength++
+		z.capacity++
 	}
 }
 
-// enough tells whether a zone has the wanted entry nodes. A tenth of one less is
-// enough, so that small differences between nodes count for nothing.
-func (z *zoneEntries) enough(wanted int) bool {
+// sufficient tells whether a zone has the wanted entry nodes. A tenth of one less is
+// sufficient, so that small differences between nodes count for nothing.
+func (z *zoneCapacity) sufficient(wanted int) bool {
 	const tolerance = 0.1
-	if z.idle >= mostTimes*wanted {
+	if z.available >= maxEntryNodesFactor*wanted {
 		return true
 	}
-	return z.idle >= wanted && z.strength >= float64(wanted)-tolerance
+	return z.available >= wanted && z.capacity >= float64(wanted)-tolerance
 }
 
-// bestProcessors is the greatest processor time of a node, ready or not: where all of
+// maxProcessors is the greatest processor time of a node, ready or not: where all of
 // the best are gone, the others together must take over what those have served.
-func bestProcessors(nodes []topology.Node) float64 {
+func maxProcessors(nodes []topology.Node) float64 {
 	best := 0.0
 	for i := range nodes {
 		best = max(best, nodes[i].Processors)
@@ -95,13 +95,13 @@
 	return best
 }
 
-// leastProcessors is the processor time that an entry node must have, by region: a
+// minProcessors is the processor time that an entry node must have, by region: a
 // share of that of the best node that is ready and not loaded.
-func leastProcessors(nodes []topology.Node) map[string]float64 {
+func minProcessors(nodes []topology.Node) map[string]float64 {
 	least := make(map[string]float64)
 	for i := range nodes {
 		if region := nodes[i].Place.Region; nodes[i].Ready && !nodes[i].Overloaded {
-			least[region] = max(least[region], fitShare*nodes[i].Processors)
+			least[region] = max(least[region], minCapacityRatio*nodes[i].Processors)
 		}
 	}
 	return least
