--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -167,7 +167,7 @@
 	}{
 		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 2, Rank: 0, MinShardRatio: 0.89}, client.PriorityCritical, 2},
 		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 0, Rank: 9}, client.PriorityBatch, 1},
-		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, mostAttempts},
+		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, maxAttempts},
 	}
 	for _, test := range cases {
 		row := PolicyRow(test.terms)
--- a/internal/routing/row.go
+++ b/internal/routing/row.go
@@ -24,11 +24,11 @@
 	// A farther replica must be expected to be that much faster: its bytes cross
 	// regions.
 	zoneWeight, regionWeight, farWeight = 1.25, 1.15, 1
-	// mostConcurrent leaves it to the node's adaptive limit how many requests of
+	// maxConcurrency leaves it to the node's adaptive limit how many requests of
 	// a route are in flight.
-	mostConcurrent = 100_000
-	// mostAttempts bounds the attempts of a policy row.
-	mostAttempts = 10
+	maxConcurrency = 100_000
+	// maxAttempts bounds the attempts of a policy row.
+	maxAttempts = 10
 )
 
 // priorities by rank; lower ranks have the last one.
@@ -41,17 +41,17 @@
 	row := policy.DefaultRow(terms.Name)
 	row.Replicas = policy.Replicas{ZoneWeight: zoneWeight, RegionWeight: regionWeight, FarWeight: farWeight}
 	row.Wait = policy.Wait{Timeout: policy.Duration(terms.Timeout)}
-	row.Retry.Attempts = min(max(1, terms.Attempts), mostAttempts)
+	row.Retry.Attempts = min(max(1, terms.Attempts), maxAttempts)
 	row.Completeness = policy.Completeness{Target: 1, Min: terms.MinShardRatio}
-	row.Limits.Concurrency = mostConcurrent
+	row.Limits.Concurrency = maxConcurrency
 	row.Priority = priorities[min(max(0, terms.Rank), len(priorities)-1)]
 	return &row
 }
 
-// shareTolerance keeps a share such as 0.9 of 10 from being rounded up.
-const shareTolerance = 1e-9
+// ratioTolerance keeps a share such as 0.9 of 10 from being rounded up.
+const ratioTolerance = 1e-9
 
 // MinShards returns how many of some shards are the least share of them.
 func MinShards(share float64, shards int) int {
-	return max(1, int(math.Ceil(share*float64(shards)-shareTolerance)))
+	return max(1, int(math.Ceil(share*float64(shards)-ratioTolerance)))
 }
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// phases is the number of turns of which one, by chance, is a node's first: the
+// startOffsets is the number of turns of which one, by chance, is a node's first: the
 // few requests that each of many nodes has sent must not all favor one share.
-const phases = 64
+const startOffsets = 64
 
 // Splitter divides the requests of split routes by smooth weighted
 // round-robin: in any run of requests each share has its part, to within two
@@ -15,12 +15,12 @@
 // use.
 type Splitter struct {
 	mutex  sync.Mutex
-	routes map[string]*rotation
+	routes map[string]*roundRobin
 }
 
-// rotation is the state of one route's division, for one list of shares.
-type rotation struct {
-	shares  []WeightedGroup
+// roundRobin is the state of one route's division, for one list of shares.
+type roundRobin struct {
+	groups  []WeightedGroup
 	credits []float64
 }
 
@@ -31,26 +31,26 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.rotationOf(route).next()
+	return s.roundRobinFor(route).next()
 }
 
-func (s *Splitter) rotationOf(route *Route) *rotation {
+func (s *Splitter) roundRobinFor(route *Route) *roundRobin {
 	if s.routes == nil {
-		s.routes = make(map[string]*rotation)
+		s.routes = make(map[string]*roundRobin)
 	}
 	known := s.routes[route.Name]
-	if known != nil && sameShares(known.shares, route.WeightedGroups) {
+	if known != nil && equalGroups(known.groups, route.WeightedGroups) {
 		return known
 	}
-	known = &rotation{shares: route.WeightedGroups, credits: make([]float64, len(route.WeightedGroups))}
-	for range rand.IntN(phases) {
+	known = &roundRobin{groups: route.WeightedGroups, credits: make([]float64, len(route.WeightedGroups))}
+	for range rand.IntN(startOffsets) {
 		known.next()
 	}
 	s.routes[route.Name] = known
 	return known
 }
 
-func sameShares(a, b []WeightedGroup) bool {
+func equalGroups(a, b []WeightedGroup) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -64,9 +64,9 @@
 
 // next gives every share its weight in credit and takes the total from the
 // richest, which has the turn.
-func (r *rotation) next() string {
+func (r *roundRobin) next() string {
 	richest, total := 0, 0.0
-	for i, share := range r.shares {
+	for i, share := range r.groups {
 		r.credits[i] += share.Weight
 		total += share.Weight
 		if r.credits[i] > r.credits[richest] {
@@ -74,5 +74,5 @@
 		}
 	}
 	r.credits[richest] -= total
-	return r.shares[richest].Group
+	return r.groups[richest].Group
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -84,28 +84,28 @@
 	Limits   Limits
 
 	byHost map[string][]*Route
-	// regionsOf has the regions of the hosts with a route that is bound to some.
-	regionsOf map[string][]string
+	// allowedRegions has the regions of the hosts with a route that is bound to some.
+	allowedRegions map[string][]string
 }
 
 // NewTable indexes routes by host, longest path prefix first.
 func NewTable(version uint64, routes []Route, services map[string]Service, limits Limits) *Table {
 	table := &Table{Version: version, Routes: routes, Services: services, Limits: limits}
 	table.byHost = make(map[string][]*Route)
-	table.regionsOf = make(map[string][]string)
+	table.allowedRegions = make(map[string][]string)
 	for i := range routes {
 		route := &routes[i]
 		table.byHost[route.Host] = insertByPrefix(table.byHost[route.Host], route)
 		if len(route.Regions) > 0 {
-			table.narrow(route)
+			table.restrictRegions(route)
 		}
 	}
 	return table
 }
 
-// narrow leaves those regions of a host that one of its routes allows as well.
-func (t *Table) narrow(route *Route) {
-	regions, bound := t.regionsOf[route.Host]
+// restrictRegions leaves those regions of a host that one of its routes allows as well.
+func (t *Table) restrictRegions(route *Route) {
+	regions, bound := t.allowedRegions[route.Host]
 	if !bound {
 		regions = route.Regions
 	}
@@ -115,13 +115,13 @@
 			common = append(common, region)
 		}
 	}
-	t.regionsOf[route.Host] = common
+	t.allowedRegions[route.Host] = common
 }
 
 // AllowedRegions returns the regions that all bound routes of a host allow; bound is
 // false when no route of the host is bound to regions.
 func (t *Table) AllowedRegions(host string) (regions []string, bound bool) {
-	regions, bound = t.regionsOf[canonicalHost(host)]
+	regions, bound = t.allowedRegions[canonicalHost(host)]
 	return regions, bound
 }
 
