--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -14,23 +14,23 @@
 
 // The constants of a Checker.
 const (
-	// interval is how long an answer counts, failedInterval how long a failure.
-	interval       = time.Second
-	failedInterval = 250 * time.Millisecond
-	// timeout bounds one attempt to connect.
-	timeout = 300 * time.Millisecond
-	// enoughFailures in a row, a node counts as gone: one packet may be lost.
-	enoughFailures = 2
-	// provenFor is how long after it was reached a node is named without being asked
+	// checkInterval is how long an answer counts, failedInterval how long a failure.
+	checkInterval       = time.Second
+	failedCheckInterval = 250 * time.Millisecond
+	// connectTimeout bounds one attempt to connect.
+	connectTimeout = 300 * time.Millisecond
+	// failureThreshold in a row, a node counts as gone: one packet may be lost.
+	failureThreshold = 2
+	// reachableTTL is how long after it was reached a node is named without being asked
 	// anew. At hundreds of nodes each directory is asked seldom, so that what it knows
 	// of a node is mostly older.
-	provenFor = 3 * time.Second
-	// firstTimeout is how long an answer waits for nodes that are not proven: some
+	reachableTTL = 3 * time.Second
+	// initialCheckTimeout is how long an answer waits for nodes that are not proven: some
 	// times the way to another region and back, well under the second after which
 	// callers ask another directory.
-	firstTimeout = 150 * time.Millisecond
-	// forgetAfter is how long after the last question a node is forgotten.
-	forgetAfter = time.Minute
+	initialCheckTimeout = 150 * time.Millisecond
+	// idleExpiry is how long after the last question a node is forgotten.
+	idleExpiry = time.Minute
 )
 
 // Config is what a Checker is made of. Zero values take defaults.
@@ -45,17 +45,17 @@
 type Checker struct {
 	config Config
 	mu     sync.Mutex
-	nodes  map[netip.AddrPort]*state
+	nodes  map[netip.AddrPort]*nodeState
 }
 
-type state struct {
-	asked, checked time.Time
-	// reached is when a check succeeded last.
-	reached  time.Time
-	failures int
-	checking bool
-	// ended is closed when the check that runs ends.
-	ended chan struct{}
+type nodeState struct {
+	lastQueried, lastChecked time.Time
+	// lastReached is when a check succeeded last.
+	lastReached time.Time
+	failures    int
+	checking    bool
+	// done is closed when the check that runs ends.
+	done chan struct{}
 }
 
 // New makes a Checker.
@@ -69,7 +69,7 @@
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Checker{config: config, nodes: make(map[netip.AddrPort]*state)}
+	return &Checker{config: config, nodes: make(map[netip.AddrPort]*nodeState)}
 }
 
 func connect(ctx context.Context, node netip.AddrPort) error {
@@ -88,21 +88,21 @@
 	for _, node := range nodes {
 		c.Reachable(node)
 	}
-	bounded, cancel := context.WithTimeout(ctx, firstTimeout)
+	bounded, cancel := context.WithTimeout(ctx, initialCheckTimeout)
 	defer cancel()
 	var unreachable []netip.AddrPort
 	for _, node := range nodes {
-		if !c.proven(bounded, node) {
+		if !c.awaitReachable(bounded, node) {
 			unreachable = append(unreachable, node)
 		}
 	}
 	return unreachable
 }
 
-// proven tells whether a node that has been asked about can be reached; where nothing
+// awaitReachable tells whether a node that has been asked about can be reached; where nothing
 // recent is known, it waits for the check that runs until ctx ends.
-func (c *Checker) proven(ctx context.Context, node netip.AddrPort) bool {
-	known, recent, ended := c.known(node)
+func (c *Checker) awaitReachable(ctx context.Context, node netip.AddrPort) bool {
+	known, recent, ended := c.status(node)
 	if recent || ended == nil {
 		return known && recent
 	}
@@ -110,24 +110,24 @@
 	case <-ended:
 	case <-ctx.Done():
 	}
-	known, recent, _ = c.known(node)
+	known, recent, _ = c.status(node)
 	return known && recent
 }
 
-// known tells whether a node counts as reachable, whether it was reached lately, and
+// status tells whether a node counts as reachable, whether it was reached lately, and
 // when the check that runs ends; nil when none does.
-func (c *Checker) known(node netip.AddrPort) (reachable, recent bool, ended <-chan struct{}) {
+func (c *Checker) status(node netip.AddrPort) (reachable, recent bool, ended <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.nodes[node]
 	if known == nil {
 		return false, false, nil // forgotten since
 	}
-	recent = !known.reached.IsZero() && c.config.Now().Sub(known.reached) < provenFor
+	recent = !known.lastReached.IsZero() && c.config.Now().Sub(known.lastReached) < reachableTTL
 	if known.checking {
-		ended = known.ended
+		ended = known.done
 	}
-	return known.failures < enoughFailures, recent, ended
+	return known.failures < failureThreshold, recent, ended
 }
 
 // Reachable tells what is known of a node, and has it checked when that is old. A
@@ -138,53 +138,53 @@
 	defer c.mu.Unlock()
 	known := c.nodes[node]
 	if known == nil {
-		c.forget(now)
-		known = &state{}
+		c.evictIdle(now)
+		known = &nodeState{}
 		c.nodes[node] = known
 	}
-	known.asked = now
-	if !known.checking && now.Sub(known.checked) >= known.counts() {
-		known.checking, known.ended = true, make(chan struct{})
+	known.lastQueried = now
+	if !known.checking && now.Sub(known.lastChecked) >= known.recheckInterval() {
+		known.checking, known.done = true, make(chan struct{})
 		go c.check(node, known)
 	}
-	return known.failures < enoughFailures
+	return known.failures < failureThreshold
 }
 
-// counts is how long what is known counts.
-func (s *state) counts() time.Duration {
+// recheckInterval is how long what is known recheckInterval.
+func (s *nodeState) recheckInterval() time.Duration {
 	if s.failures > 0 {
-		return failedInterval
+		return failedCheckInterval
 	}
-	return interval
+	return checkInterval
 }
 
-// forget must be called with the mutex held.
-func (c *Checker) forget(now time.Time) {
+// evictIdle must be called with the mutex held.
+func (c *Checker) evictIdle(now time.Time) {
 	for node, known := range c.nodes {
-		if now.Sub(known.asked) >= forgetAfter {
+		if now.Sub(known.lastQueried) >= idleExpiry {
 			delete(c.nodes, node)
 		}
 	}
 }
 
-func (c *Checker) check(node netip.AddrPort, known *state) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+func (c *Checker) check(node netip.AddrPort, known *nodeState) {
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	err := c.config.Connect(ctx, node)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := known.failures
-	known.checking, known.checked = false, c.config.Now()
-	close(known.ended)
+	known.checking, known.lastChecked = false, c.config.Now()
+	close(known.done)
 	if err == nil {
-		known.failures, known.reached = 0, known.checked
+		known.failures, known.lastReached = 0, known.lastChecked
 	} else {
 		known.failures++
 	}
 	switch {
-	case before >= enoughFailures && known.failures == 0:
+	case before >= failureThreshold && known.failures == 0:
 		c.config.Logger.Info("node reached again", "address", node.String())
-	case before < enoughFailures && known.failures >= enoughFailures:
+	case before < failureThreshold && known.failures >= failureThreshold:
 		c.config.Logger.Warn("node not reached; callers are not led to it", "address", node.String(), "error", err.Error())
 	}
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -77,13 +77,13 @@
 	}
 	f.set(true)
 	for i, want := range []bool{true, true, false, false} {
-		f.pass(interval)
+		f.pass(checkInterval)
 		if got := f.ask(t, c); got != want {
 			t.Errorf("question %d after the node's end: %v, want %v", i, got, want)
 		}
 	}
 	f.set(false)
-	f.pass(failedInterval)
+	f.pass(failedCheckInterval)
 	f.ask(t, c)
 	if !c.Reachable(address) {
 		t.Error("a node that is back counts as gone")
@@ -94,7 +94,7 @@
 	f := &fake{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
 	c := New(Config{Connect: f.connect, Now: f.clock})
 	f.ask(t, c)
-	f.pass(interval - time.Millisecond)
+	f.pass(checkInterval - time.Millisecond)
 	for range 10 {
 		c.Reachable(address)
 	}
@@ -103,7 +103,7 @@
 		t.Error("checked again too soon")
 	case <-time.After(20 * time.Millisecond):
 	}
-	f.pass(2 * forgetAfter)
+	f.pass(2 * idleExpiry)
 	c.Reachable(netip.MustParseAddrPort("10.0.0.2:1"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,13 +156,13 @@
 	c := New(Config{Connect: f.connect, Now: f.clock})
 	f.ask(t, c)
 	f.set(true)
-	f.pass(interval)
+	f.pass(checkInterval)
 	f.ask(t, c) // fails
 	nodes := []netip.AddrPort{address}
 	if found := c.Unreachable(t.Context(), nodes); len(found) != 0 {
 		t.Error("gone after one failure")
 	}
-	f.pass(provenFor - interval)
+	f.pass(reachableTTL - checkInterval)
 	if found := c.Unreachable(t.Context(), nodes); len(found) != 1 {
 		t.Error("not reached for a long time, and counts as there")
 	}
@@ -178,9 +178,9 @@
 		dark := []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
 		asked := time.Now()
 		found := c.Unreachable(t.Context(), dark)
-		if took := time.Since(asked); len(found) != len(dark) || took != firstTimeout {
+		if took := time.Since(asked); len(found) != len(dark) || took != initialCheckTimeout {
 			t.Errorf("%d not reached, after %v", len(found), took)
 		}
-		time.Sleep(timeout) // the checks end
+		time.Sleep(connectTimeout) // the checks end
 	})
 }
