--- a/internal/elapsed/elapsed.go
+++ b/internal/elapsed/elapsed.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// interval is the time between two readings of the clock. Ten wakes a second are a
+	// readInterval is the time between two readings of the clock. Ten wakes a second are a
 	// thousandth of a processor.
-	interval = 100 * time.Millisecond
-	// mostRun is the most that counts as run between two readings: a process that was
+	readInterval = 100 * time.Millisecond
+	// maxActivePerReading is the most that counts as run between two readings: a process that was
 	// stopped shows a long gap, of which it has run for no more than this. Of a call's time
 	// each pause takes this much.
-	mostRun = interval + interval/5
-	// leastPause is the least gap between two readings that is called a pause. A busy machine
+	maxActivePerReading = readInterval + readInterval/5
+	// pauseThreshold is the least gap between two readings that is called a pause. A busy machine
 	// brings shorter ones, which are lost time as well.
-	leastPause = 2 * interval
+	pauseThreshold = 2 * readInterval
 )
 
 // Config is what a Meter is made of. All fields may be left out.
@@ -47,12 +47,12 @@
 // reading is what the clock said at one moment.
 type reading struct {
 	at time.Duration
-	// ran is for how long the process had run by then.
-	ran time.Duration
-	// steadySince is the end of the last pause, or the start.
-	steadySince time.Duration
-	// read is when it was taken, by the clock of package time.
-	read time.Time
+	// active is for how long the process had run by then.
+	active time.Duration
+	// uninterruptedSince is the end of the last pause, or the start.
+	uninterruptedSince time.Duration
+	// takenAt is when it was taken, by the clock of package time.
+	takenAt time.Time
 }
 
 // New makes a Meter that counts from now on; Run must be running.
@@ -70,13 +70,13 @@
 		config.Registerer.MustRegister(m.pauses)
 	}
 	now := config.Now()
-	m.last.Store(&reading{at: now, steadySince: now, read: time.Now()})
+	m.last.Store(&reading{at: now, uninterruptedSince: now, takenAt: time.Now()})
 	return m
 }
 
 // Run reads the clock until ctx ends, and returns nil then.
 func (m *Meter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -90,39 +90,39 @@
 
 // read takes one reading.
 func (m *Meter) read() {
-	next := m.present()
-	if next.steadySince == next.at {
+	next := m.currentReading()
+	if next.uninterruptedSince == next.at {
 		m.pauses.Inc()
 		m.config.Logger.Warn("the process has not run for a while", "gap", (next.at - m.last.Load().at).String())
 	}
 	m.last.Store(&next)
 }
 
-// present is the reading that would be taken now.
-func (m *Meter) present() reading {
+// currentReading is the reading that would be taken now.
+func (m *Meter) currentReading() reading {
 	last, now := m.last.Load(), m.config.Now()
 	gap := max(0, now-last.at)
-	next := reading{at: now, ran: last.ran + min(gap, mostRun), steadySince: last.steadySince, read: time.Now()}
-	if gap > leastPause {
-		next.steadySince = now
+	next := reading{at: now, active: last.active + min(gap, maxActivePerReading), uninterruptedSince: last.uninterruptedSince, takenAt: time.Now()}
+	if gap > pauseThreshold {
+		next.uninterruptedSince = now
 	}
 	return next
 }
 
-// start is what a nil Meter counts from, and startNow what Now was then.
-var start, startNow = time.Now(), Monotonic()
+// startTime is what a nil Meter counts from, and startMonotonic what Now was then.
+var startTime, startMonotonic = time.Now(), Monotonic()
 
 // Time returns the present time. Differences between two such times count a suspension of the
 // machine, where those of time.Now do not.
-func Time() time.Time { return start.Add(Monotonic() - startNow) }
+func Time() time.Time { return startTime.Add(Monotonic() - startMonotonic) }
 
 // ActiveTime returns for how long the process has run. It never falls, and stands still while the
 // process does.
 func (m *Meter) ActiveTime() time.Duration {
 	if m == nil {
-		return time.Since(start)
+		return time.Since(startTime)
 	}
-	return m.present().ran
+	return m.currentReading().active
 }
 
 // PausedTime returns for how much of the time the process has not run. It makes no system call, as it
@@ -133,7 +133,7 @@
 		return 0
 	}
 	last := m.last.Load()
-	return last.at - last.ran + max(0, time.Since(last.read)-mostRun)
+	return last.at - last.active + max(0, time.Since(last.takenAt)-maxActivePerReading)
 }
 
 // RanWithoutPause tells whether the process has run for some time without a pause. What came in
@@ -142,8 +142,8 @@
 	if m == nil {
 		return true
 	}
-	present := m.present()
-	return present.at-present.steadySince >= lasting
+	present := m.currentReading()
+	return present.at-present.uninterruptedSince >= lasting
 }
 
 // WithTimeout returns a context that ends once the process has run for some time, or with its
--- a/internal/elapsed/elapsed_test.go
+++ b/internal/elapsed/elapsed_test.go
@@ -33,23 +33,23 @@
 	for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
 			meter, clock := startMeter(t)
-			time.Sleep(time.Second + interval/2)
+			time.Sleep(time.Second + readInterval/2)
 			before := meter.ActiveTime()
 			clock.pause(pause)
-			if ran := meter.ActiveTime() - before; ran > mostRun {
+			if ran := meter.ActiveTime() - before; ran > maxActivePerReading {
 				t.Errorf("right after a pause of %v it has run for %v of it", pause, ran)
 			}
-			if meter.RanWithoutPause(interval) != (pause == 0) {
+			if meter.RanWithoutPause(readInterval) != (pause == 0) {
 				t.Errorf("steady right after a pause of %v: %v", pause, pause != 0)
 			}
 			time.Sleep(time.Second)
-			if ran := meter.ActiveTime() - before; ran < time.Second || ran > time.Second+mostRun {
+			if ran := meter.ActiveTime() - before; ran < time.Second || ran > time.Second+maxActivePerReading {
 				t.Errorf("ran %v in a second after a pause of %v", ran, pause)
 			}
-			if lost := meter.PausedTime(); lost < pause-mostRun || lost > pause {
+			if lost := meter.PausedTime(); lost < pause-maxActivePerReading || lost > pause {
 				t.Errorf("lost %v by a pause of %v", lost, pause)
 			}
-			if !meter.RanWithoutPause(time.Second-interval) || meter.RanWithoutPause(time.Minute) {
+			if !meter.RanWithoutPause(time.Second-readInterval) || meter.RanWithoutPause(time.Minute) {
 				t.Errorf("a second after a pause of %v it does not count as steady for just that", pause)
 			}
 		})
@@ -60,7 +60,7 @@
 func TestATimeoutIsOfTimeThatTheProcessRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		meter, clock := startMeter(t)
-		time.Sleep(interval / 2)
+		time.Sleep(readInterval / 2)
 		ctx, cancel := meter.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		time.Sleep(500 * time.Millisecond)
--- a/internal/elapsed/monotonic_linux.go
+++ b/internal/elapsed/monotonic_linux.go
@@ -11,7 +11,7 @@
 func Monotonic() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return time.Since(start) // a kernel without that clock; a suspension is not seen
+		return time.Since(startTime) // a kernel without that clock; a suspension is not seen
 	}
 	return time.Duration(now.Nano())
 }
