--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// interval between two readings of the clock.
-	interval = 200 * time.Millisecond
+	// readInterval between two readings of the clock.
+	readInterval = 200 * time.Millisecond
 	// pauseThreshold is the gap between readings that counts as a pause: well
 	// over a garbage collection or a busy machine, well under the seconds
 	// within which a change must be in force.
@@ -70,7 +70,7 @@
 
 // Run reads the clock until ctx ends, and returns nil then.
 func (m *Monitor) Run(ctx context.Context) error {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -44,7 +44,7 @@
 				if got := monitor.Fresh(); got != test.freshAtOnce {
 					t.Errorf("fresh right after the gap: %v", got)
 				}
-				time.Sleep(interval + time.Millisecond)
+				time.Sleep(readInterval + time.Millisecond)
 				if got := monitor.Fresh(); got != test.freshAtOnce {
 					t.Errorf("fresh after the next reading: %v", got)
 				}
