--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides at once whether a query may start: per policy, per
-// daemon by priority under a limit that adapts to what the back ends bear, and
-// by whether its deadline can be met.
+// Package admission decides immediately whether a query may start: by the concurrency
+// limit of its policy, by priority under an adaptive limit per daemon, and by whether
+// its deadline can be met.
 package admission
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// defaultMaxInFlight is the greatest number of queries in flight at one daemon.
+// defaultMaxInFlight is the default of Options.MaxInFlight.
 const defaultMaxInFlight = 1024
 
-// Rank orders priorities: the higher, the later it gives way.
+// Rank orders priorities; queries of lower ranks are rejected first.
 type Rank int
 
-// rankOf returns the rank of a priority; an unknown one is normal.
+// rankOf returns the rank of a priority. Unknown priorities rank as normal.
 func rankOf(priority client.Priority) Rank {
 	switch priority {
 	case client.PriorityBatch:
@@ -37,12 +37,11 @@
 	}
 }
 
-// rankFractions is the part of the daemon's total up to which a query of
-// each rank is let in.
+// rankFractions is the fraction of the limit up to which each rank is admitted.
 var rankFractions = [...]float64{0.5, 0.75, 0.9, 1}
 
-// LowerPriority returns the lower of a policy's and a query's priority; an empty
-// query's priority leaves the policy's.
+// LowerPriority returns the lower of a policy's and a query's priority. A query
+// without a priority has that of its policy.
 func LowerPriority(row, query client.Priority) client.Priority {
 	if query == "" || rankOf(query) >= rankOf(row) {
 		return row
@@ -50,18 +49,19 @@
 	return query
 }
 
-// Options are what a Controller needs. Zero values take defaults.
+// Options configures a Controller. Zero values select defaults.
 type Options struct {
-	// MaxInFlight is the greatest number of queries in flight at this daemon; the
-	// adaptive limit starts there.
+	// MaxInFlight is the maximum number of queries in flight. The adaptive limit
+	// starts there.
 	MaxInFlight int
 	Registerer  prometheus.Registerer
-	// Logger takes a line for each cut of the limit for strain; nil means none.
+	// Logger receives a message when congestion changes the limit; nil disables
+	// logging.
 	Logger *slog.Logger
 }
 
-// Controller counts the queries in flight. It takes no lock on the path of a
-// query.
+// Controller admits queries and counts those in flight. The count and the limit are
+// lock-free.
 type Controller struct {
 	limit    adaptiveLimit
 	inFlight atomic.Int64
@@ -74,7 +74,7 @@
 	minLatency windowedMin
 }
 
-// New makes a Controller.
+// New returns a Controller and registers its metrics.
 func New(options Options) *Controller {
 	if options.MaxInFlight <= 0 {
 		options.MaxInFlight = defaultMaxInFlight
@@ -99,38 +99,38 @@
 	return controller
 }
 
-// Ticket is a query that was let in. Release must be called once.
+// Ticket represents an admitted query. Release must be called exactly once.
 type Ticket struct {
 	controller *Controller
 	policy     *policyState
 }
 
-// Release counts the query out.
+// Release removes the query from the number in flight.
 func (t Ticket) Release() {
 	t.policy.inFlight.Add(-1)
 	t.controller.inFlight.Add(-1)
 }
 
-// Observe takes in what came of the query; it is called before Release.
-func (t Ticket) Observe(now time.Time, ended Outcome) {
-	if ended.complete() {
-		t.policy.minLatency.observe(now, ended.Duration)
+// Observe records the outcome of the query. It must be called before Release.
+func (t Ticket) Observe(now time.Time, outcome Outcome) {
+	if outcome.complete() {
+		t.policy.minLatency.observe(now, outcome.Duration)
 	}
-	t.controller.limit.observe(now, t.controller.inFlight.Load(), &ended)
+	t.controller.limit.observe(now, t.controller.inFlight.Load(), &outcome)
 }
 
-// Admit lets a query in or refuses it. Errors are *failure.Error of kinds
-// Overloaded and DeadlineUnreachable, with NotRun set and a time to come back.
+// Admit admits or rejects a query. Errors are of type *failure.Error with kind
+// Overloaded or DeadlineUnreachable, and have NotRun set and a retry delay.
 func (c *Controller) Admit(row *policy.Row, priority client.Priority, now time.Time, deadline time.Duration) (Ticket, error) {
 	state := c.state(row.Name)
-	if least := state.minLatency.value(now); deadline < least {
+	if minLatency := state.minLatency.value(now); deadline < minLatency {
 		return Ticket{}, c.refuse("deadline", failure.DeadlineUnreachable,
-			fmt.Sprintf("deadline of %v is under the fastest recent answer of %v", deadline, least))
+			fmt.Sprintf("deadline of %v is shorter than the fastest recent answer of %v", deadline, minLatency))
 	}
 	if state.inFlight.Add(1) > int64(row.Limits.Concurrency) {
 		state.inFlight.Add(-1)
 		return Ticket{}, c.refuse("policy", failure.Overloaded,
-			fmt.Sprintf("policy %s is at its limit of %d queries", row.Name, row.Limits.Concurrency))
+			fmt.Sprintf("policy %s has reached its limit of %d concurrent queries", row.Name, row.Limits.Concurrency))
 	}
 	c.limit.restore(now)
 	limit := c.limit.forRank(rankOf(priority))
@@ -138,7 +138,7 @@
 		c.inFlight.Add(-1)
 		state.inFlight.Add(-1)
 		return Ticket{}, c.refuseOverloaded(now, "priority",
-			fmt.Sprintf("daemon is at its limit of %d queries for priority %s", limit, priority))
+			fmt.Sprintf("daemon has reached its limit of %d concurrent queries for priority %s", limit, priority))
 	}
 	return Ticket{controller: c, policy: state}, nil
 }
@@ -148,17 +148,17 @@
 	return failure.New(kind, detail)
 }
 
-// refuseOverloaded is a refusal for load. An overload is taken to last for as long
-// again as it has lasted, so that is when to come back.
+// refuseOverloaded rejects a query for load. The retry delay is the time for which the
+// overload has lasted, as it is expected to last as long again.
 func (c *Controller) refuseOverloaded(now time.Time, reason, detail string) *failure.Error {
 	refused := c.refuse(reason, failure.Overloaded, detail)
 	return refused.WithRetryAfter(min(max(refused.RetryAfter, c.limit.overloadDuration(now)), maxRetryAfter))
 }
 
-// maxRetryAfter bounds the time to come back.
+// maxRetryAfter bounds the retry delay of rejected queries.
 const maxRetryAfter = 5 * time.Second
 
-// Overloaded is true while this node has lately had to refuse for load.
+// Overloaded reports whether the limit was recently cut for overload.
 func (c *Controller) Overloaded(now time.Time) bool { return c.limit.overloadDuration(now) > 0 }
 
 func (c *Controller) state(name string) *policyState {
@@ -169,10 +169,10 @@
 	return state.(*policyState)
 }
 
-// minLatencyWindow is the time for which a fastest answer counts, at least.
+// minLatencyWindow is the minimum time for which a windowedMin keeps a value.
 const minLatencyWindow = 15 * time.Second
 
-// windowedMin is the least duration of the last one to two windows.
+// windowedMin is the minimum duration observed in the current and previous window.
 type windowedMin struct {
 	mutex    sync.Mutex
 	started  time.Time
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-func TestAdmissionByPriority(t *testing.T) {
+func TestAdmitByPriority(t *testing.T) {
 	controller := New(Options{MaxInFlight: 4})
 	row := &policy.Row{Name: "test", Limits: policy.Limits{Concurrency: 100}}
 	var admitted []client.Priority
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAdmissionByDeadline(t *testing.T) {
+func TestAdmitByDeadline(t *testing.T) {
 	controller := New(Options{})
 	row := &policy.Row{Name: "test", Limits: policy.Limits{Concurrency: 100}}
 	now := time.Unix(1000, 0)
@@ -43,11 +43,11 @@
 		t.Errorf("error %v, want deadline_unreachable and not run", err)
 	}
 	if _, err = controller.Admit(row, client.PriorityNormal, now.Add(time.Minute), time.Millisecond); err != nil {
-		t.Errorf("an old answer still counts: %v", err)
+		t.Errorf("an expired answer time still rejects the query: %v", err)
 	}
 }
 
-func TestLower(t *testing.T) {
+func TestLowerPriority(t *testing.T) {
 	cases := []struct{ row, query, want client.Priority }{
 		{client.PriorityHigh, "", client.PriorityHigh},
 		{client.PriorityHigh, client.PriorityCritical, client.PriorityHigh},
@@ -55,7 +55,7 @@
 	}
 	for _, test := range cases {
 		if got := LowerPriority(test.row, test.query); got != test.want {
-			t.Errorf("a %s query under a %s policy runs as %s, want %s", test.query, test.row, got, test.want)
+			t.Errorf("query priority %s, policy priority %s: got %s, want %s", test.query, test.row, got, test.want)
 		}
 	}
 }
--- a/internal/admission/congestion.go
+++ b/internal/admission/congestion.go
@@ -5,40 +5,39 @@
 	"time"
 )
 
-// The constants of a congestion.
 const (
-	// minWindowQueries is the number of queries below which a window tells nothing.
+	// minWindowQueries is the number of queries below which a window is not evaluated.
 	minWindowQueries = 8
-	// congestedFraction of a window's queries are strained in an overload. In any
-	// other trouble, such as slow replicas, most queries have most of their
-	// shards in time.
+	// congestedFraction is the fraction of congested queries from which a window
+	// counts as overloaded. Other problems, such as single slow replicas, leave most
+	// queries with most of their shards in time.
 	congestedFraction = 0.5
-	// headroomFraction of a window's queries are strained at the most when the back
-	// ends could bear more.
+	// headroomFraction is the fraction of congested queries up to which the back ends
+	// could take more load.
 	headroomFraction = 0.25
-	// targetLatencyFraction of the shortest objective is for how long a query may be in
-	// flight, on average, once the load is cut to what the back ends bear.
+	// targetLatencyFraction is the mean query duration to aim for, as a fraction of
+	// the shortest objective.
 	targetLatencyFraction = 0.5
 )
 
-// congestionDetector tells from how queries end whether the back ends have more to do
-// than they bear, and what they bear. Its zero value is ready, and it is safe for
-// concurrent use.
+// congestionDetector evaluates completed queries in windows, and estimates the
+// capacity of the back ends. Its zero value is ready to use. It is safe for concurrent
+// use.
 type congestionDetector struct {
 	mutex     sync.Mutex
 	started   time.Time
 	completed int
 	congested int
-	objective time.Duration // the least of those that ended
+	objective time.Duration // shortest objective in the window
 }
 
-// window is what came of the queries that ended in some time.
+// window summarizes the queries that completed in one period.
 type window struct {
 	completed, congested int
-	// rate is the number that ended in a second.
+	// rate is the number of completed queries per second.
 	rate float64
-	// capacity is the number of queries in flight that the back ends bear, by
-	// Little's law: as many as end in the time that each may take.
+	// capacity is the number of queries in flight that the back ends can sustain. By
+	// Little's law it is the completion rate times the target duration.
 	capacity float64
 }
 
@@ -46,34 +45,34 @@
 	return float64(w.congested) >= congestedFraction*float64(w.completed)
 }
 
-// hasHeadroom is true when the back ends could bear more.
+// hasHeadroom reports whether the back ends could take more load.
 func (w *window) hasHeadroom() bool {
 	return float64(w.congested) <= headroomFraction*float64(w.completed)
 }
 
-// observe takes in the end of a query, and returns the window that ends with it;
-// whole is false when none does. Queries let in before the last cut of the limit
-// do not count, as it could not help them.
-func (c *congestionDetector) observe(now, lastCut time.Time, ended *Outcome) (over window, whole bool) {
-	if now.Add(-ended.Duration).Before(lastCut) {
+// observe records a completed query. If that closes a window, it returns the window
+// and true. Queries admitted before the last cut are ignored, as the cut could not
+// affect them.
+func (d *congestionDetector) observe(now, lastCut time.Time, outcome *Outcome) (closed window, ok bool) {
+	if now.Add(-outcome.Duration).Before(lastCut) {
 		return window{}, false
 	}
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.completed == 0 {
-		c.started, c.objective = now, ended.Objective
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.completed == 0 {
+		d.started, d.objective = now, outcome.Objective
 	}
-	c.completed++
-	c.objective = min(c.objective, ended.Objective)
-	if ended.Congested {
-		c.congested++
+	d.completed++
+	d.objective = min(d.objective, outcome.Objective)
+	if outcome.Congested {
+		d.congested++
 	}
-	length := now.Sub(c.started)
-	if length < ended.Objective || c.completed < minWindowQueries {
+	length := now.Sub(d.started)
+	if length < outcome.Objective || d.completed < minWindowQueries {
 		return window{}, false
 	}
-	over = window{completed: c.completed, congested: c.congested, rate: float64(c.completed) / length.Seconds()}
-	over.capacity = over.rate * targetLatencyFraction * c.objective.Seconds()
-	c.completed, c.congested = 0, 0
-	return over, true
+	closed = window{completed: d.completed, congested: d.congested, rate: float64(d.completed) / length.Seconds()}
+	closed.capacity = closed.rate * targetLatencyFraction * d.objective.Seconds()
+	d.completed, d.congested = 0, 0
+	return closed, true
 }
--- a/internal/admission/controllers.go
+++ b/internal/admission/controllers.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// Controllers holds a Controller for each set of replicas that requests go to: an
-// overload of one must not refuse requests to another. It is safe for
-// concurrent use.
+// Controllers holds one Controller per target, a set of replicas that serves the same
+// requests, so that an overload of one target does not reject requests to another. It
+// is safe for concurrent use.
 type Controllers struct {
 	options  Options
 	byTarget sync.Map // string -> *Controller
 }
 
-// NewControllers makes Targets; each Controller has the same options.
+// NewControllers returns Controllers whose members all use the given options, except
+// that no metrics are registered.
 func NewControllers(options Options) *Controllers {
-	options.Registerer = nil // the controllers' metrics have the same names
+	options.Registerer = nil // all controllers would register the same metric names
 	return &Controllers{options: options}
 }
 
-// ForTarget returns the Controller of a target.
-func (t *Controllers) ForTarget(target string) *Controller {
-	if known, found := t.byTarget.Load(target); found {
-		return known.(*Controller)
+// ForTarget returns the Controller of a target, creating it on first use.
+func (c *Controllers) ForTarget(target string) *Controller {
+	if existing, found := c.byTarget.Load(target); found {
+		return existing.(*Controller)
 	}
-	options := t.options
+	options := c.options
 	if options.Logger != nil {
 		options.Logger = options.Logger.With("target", target)
 	}
-	known, _ := t.byTarget.LoadOrStore(target, New(options))
-	return known.(*Controller)
+	existing, _ := c.byTarget.LoadOrStore(target, New(options))
+	return existing.(*Controller)
 }
 
-// Overloaded is true while requests to any target have lately been refused.
-func (t *Controllers) Overloaded(now time.Time) bool {
-	loaded := false
-	t.byTarget.Range(func(_, controller any) bool {
-		loaded = controller.(*Controller).Overloaded(now)
-		return !loaded
+// Overloaded reports whether any target is overloaded.
+func (c *Controllers) Overloaded(now time.Time) bool {
+	overloaded := false
+	c.byTarget.Range(func(_, controller any) bool {
+		overloaded = controller.(*Controller).Overloaded(now)
+		return !overloaded
 	})
-	return loaded
+	return overloaded
 }
--- a/internal/admission/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -9,31 +9,31 @@
 func TestAdaptiveLimit(t *testing.T) {
 	refused := func(shard string) Outcome { return Outcome{Queried: 2, Answered: 1, Refused: 1, RefusedShard: shard} }
 	all := Outcome{Queried: 1, Refused: 1, RefusedShard: "a"}
-	whole := Outcome{Queried: 2, Answered: 2}
+	complete := Outcome{Queried: 2, Answered: 2}
 	partial := Outcome{Queried: 2, Answered: 1}
 	cases := []struct {
 		name     string
 		inFlight int64
-		ended    []Outcome // one each 100 ms
-		want     int64     // for critical queries, of 100 at the start
+		outcomes []Outcome // one every 100 ms
+		want     int64     // limit for critical queries, starting at 100
 	}{
-		{"refused shards cut to less than what was in flight", 20, []Outcome{refused("a")}, 19},
-		{"one shard refused again is no sign", 20, []Outcome{refused("a"), refused("a"), refused("a")}, 19},
-		{"refused shards that differ cut again", 20, []Outcome{refused("a"), refused("b")}, 18},
+		{"refused shards cut below the queries in flight", 20, []Outcome{refused("a")}, 19},
+		{"the same refused shard does not cut again", 20, []Outcome{refused("a"), refused("a"), refused("a")}, 19},
+		{"different refused shards cut again", 20, []Outcome{refused("a"), refused("b")}, 18},
 		{"all shards refused cut again", 20, []Outcome{all, all}, 18},
-		{"shards missing for another reason are no sign", 20, []Outcome{partial}, 100},
-		{"the limit keeps a trickle", 1, []Outcome{refused("a")}, minLimit},
-		{"whole answers raise it", 20, append([]Outcome{refused("a")}, many(whole, 20)...), 20},
-		{"a limit that is not in use is not raised", 1, append([]Outcome{refused("a")}, many(whole, 19)...), minLimit},
-		{"after calm it grows by each answer", 20, append([]Outcome{refused("a")}, many(whole, 30)...), 30},
-		{"never over the start", 100, many(whole, 40), 100},
+		{"shards missing for another reason do not cut", 20, []Outcome{partial}, 100},
+		{"minimum limit", 1, []Outcome{refused("a")}, minLimit},
+		{"complete answers raise the limit", 20, append([]Outcome{refused("a")}, repeat(complete, 20)...), 20},
+		{"an unused limit is not raised", 1, append([]Outcome{refused("a")}, repeat(complete, 19)...), minLimit},
+		{"after the overload each answer raises the limit", 20, append([]Outcome{refused("a")}, repeat(complete, 30)...), 30},
+		{"never above the initial limit", 100, repeat(complete, 40), 100},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			limit := newLimit(100)
 			now := time.Unix(1000, 0)
-			for _, ended := range test.ended {
-				limit.observe(now, test.inFlight, &ended)
+			for _, outcome := range test.outcomes {
+				limit.observe(now, test.inFlight, &outcome)
 				now = now.Add(100 * time.Millisecond)
 			}
 			if got := limit.forRank(3); got != test.want {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestCutsPause(t *testing.T) {
+func TestAdaptiveLimitMinCutInterval(t *testing.T) {
 	limit := newLimit(100)
 	now := time.Unix(1000, 0)
 	for _, shard := range []string{"a", "b", "c"} {
@@ -51,58 +51,56 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if got := limit.forRank(3); got != 19 {
-		t.Errorf("limit %d, want 19: one cut for the queries let in before it", got)
+		t.Errorf("limit %d, want 19: queries admitted before a cut must not cause another", got)
 	}
 }
 
-func many(ended Outcome, count int) []Outcome {
+func repeat(outcome Outcome, count int) []Outcome {
 	all := make([]Outcome, count)
 	for i := range all {
-		all[i] = ended
+		all[i] = outcome
 	}
 	return all
 }
 
-// newLimit makes the limit of back ends that have been seen without strain.
-func newLimit(total int) *adaptiveLimit {
+// newLimit returns a limit that is already calibrated.
+func newLimit(maxInFlight int) *adaptiveLimit {
 	limit := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
-	limit.start(total)
+	limit.start(maxInFlight)
 	limit.uncongestedWindows.Store(calibrationWindows)
 	return limit
 }
 
-// TestACutLimitIsGivenBackWithTime: a node that few callers come to never makes use of what it
-// was cut to, and so its limit was never raised: a soak's request was refused (429, limit of 3 for
-// its priority) 27 s after the last trouble. Without a sign of strain the limit comes back by
-// itself; while there are such signs it does not.
-func TestACutLimitIsGivenBackWithTime(t *testing.T) {
-	const most = 100
+// Guards against a node with little traffic keeping its reduced limit forever: the
+// limit must recover without congestion, and only then.
+func TestAdaptiveLimitRestore(t *testing.T) {
+	const maxInFlight = 100
 	refused := Outcome{Queried: 2, Answered: 1, Refused: 1, RefusedShard: "a"}
-	strained := Outcome{Queried: 2, Answered: 2, Objective: time.Second, Congested: true}
-	whole := Outcome{Queried: 2, Answered: 2, Objective: time.Second}
+	congested := Outcome{Queried: 2, Answered: 2, Objective: time.Second, Congested: true}
+	complete := Outcome{Queried: 2, Answered: 2, Objective: time.Second}
 	cases := []struct {
 		name string
-		// each second one query ends so.
-		ended Outcome
-		after time.Duration
-		want  int64
+		// outcome of the one query per second.
+		outcome Outcome
+		after   time.Duration
+		want    int64
 	}{
-		{"not at once", whole, restoreDelay - time.Second, minLimit},
-		{"a little, after that", whole, restoreDelay, 2 * minLimit},
-		{"whole in the end", whole, restoreDelay + 8*restoreInterval, most},
-		{"not while queries are strained", strained, time.Minute, minLimit},
-		{"not while shards are refused", refused, time.Minute, minLimit},
+		{"before the delay", complete, restoreDelay - time.Second, minLimit},
+		{"first step after the delay", complete, restoreDelay, 2 * minLimit},
+		{"fully restored", complete, restoreDelay + 8*restoreInterval, maxInFlight},
+		{"congested queries", congested, time.Minute, minLimit},
+		{"refused shards", refused, time.Minute, minLimit},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			limit := newLimit(most)
+			limit := newLimit(maxInFlight)
 			now := time.Unix(1000, 0)
 			limit.observe(now, 1, &refused)
 			for end := now.Add(test.after); now.Before(end); {
 				now = now.Add(time.Second)
 				limit.restore(now)
-				ended := test.ended
-				limit.observe(now, 1, &ended)
+				outcome := test.outcome
+				limit.observe(now, 1, &outcome)
 			}
 			if got := limit.forRank(3); got != test.want {
 				t.Errorf("limit %d, want %d", got, test.want)
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -10,34 +10,32 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// overload feeds a controller with an overload for a while: the cuts help, and
-// the strain comes back.
+// overload feeds a controller for a while with alternating congestion, so that its
+// cuts appear to help and the overload continues. It returns the time at the end.
 func overload(controller *Controller, now time.Time, lasting time.Duration) time.Time {
 	row := &policy.Row{Name: "r", Limits: policy.Limits{Concurrency: 1000}}
 	controller.limit.uncongestedWindows.Store(calibrationWindows)
-	const alternate = 4 // steps with strain, then as many without
+	const period = 4 // steps with congestion, then as many without
 	step := 0
 	for end := now.Add(lasting); now.Before(end); now = now.Add(minCutInterval) {
-		strained := step/alternate%2 == 0
+		congested := step/period%2 == 0
 		step++
 		ticket, err := controller.Admit(row, client.PriorityCritical, now, time.Hour)
 		if err != nil {
 			continue
 		}
 		for range minWindowQueries {
-			ticket.Observe(now, Outcome{Duration: time.Millisecond, Queried: 1, Answered: 1, Objective: minCutInterval, Congested: strained})
+			ticket.Observe(now, Outcome{Duration: time.Millisecond, Queried: 1, Answered: 1, Objective: minCutInterval, Congested: congested})
 		}
 		ticket.Release()
 	}
 	return now
 }
 
-// TestTheTimeToComeBackGrowsWithTheOverload: it is taken to last for as long
-// again as it has lasted.
-func TestTheTimeToComeBackGrowsWithTheOverload(t *testing.T) {
+func TestRetryAfterGrowsWithOverload(t *testing.T) {
 	row := &policy.Row{Name: "r", Limits: policy.Limits{Concurrency: 1000}}
-	for _, test := range []struct{ lasting, least, most time.Duration }{
-		{3 * minCutInterval, shortest(), time.Second},
+	for _, test := range []struct{ lasting, min, max time.Duration }{
+		{3 * minCutInterval, minRetryAfter(), time.Second},
 		{2 * time.Second, 1500 * time.Millisecond, 2 * time.Second},
 		{time.Minute, maxRetryAfter, maxRetryAfter},
 	} {
@@ -50,136 +48,134 @@
 			}
 		}
 		if refused == nil || refused.Kind != failure.Overloaded || !refused.NotRun {
-			t.Fatalf("after %v: refusal %v", test.lasting, refused)
+			t.Fatalf("after an overload of %v: error %v, want overloaded and not run", test.lasting, refused)
 		}
-		if refused.RetryAfter < test.least || refused.RetryAfter > test.most {
-			t.Errorf("after %v: come back after %v, want from %v to %v", test.lasting, refused.RetryAfter, test.least, test.most)
+		if refused.RetryAfter < test.min || refused.RetryAfter > test.max {
+			t.Errorf("after an overload of %v: retry after %v, want %v to %v", test.lasting, refused.RetryAfter, test.min, test.max)
 		}
 		if !controller.Overloaded(now) || controller.Overloaded(now.Add(2*overloadExpiry)) {
-			t.Error("loaded is not told, or told for ever")
+			t.Error("overload not reported, or reported after it expired")
 		}
 	}
 }
 
-func shortest() time.Duration { return failure.New(failure.Overloaded, "").RetryAfter }
+func minRetryAfter() time.Duration { return failure.New(failure.Overloaded, "").RetryAfter }
 
-// TestABurstThatIsSoonWorkedOffIsNoOverload: only when half of the queries that
-// end in an objective's time are strained, twice in a row, is the limit cut.
-func TestABurstThatIsSoonWorkedOffIsNoOverload(t *testing.T) {
+// A single congested window, or windows in which less than half of the queries are
+// congested, must not cut the limit.
+func TestLimitIgnoresShortBursts(t *testing.T) {
 	const objective = 250 * time.Millisecond
 	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
-	play := func(windows, strainedOfTen int) {
+	play := func(windows, congestedOfEleven int) {
 		for range windows {
 			for i := range 11 {
 				now = now.Add(objective / 10)
-				limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: i < strainedOfTen})
+				limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: i < congestedOfEleven})
 			}
 		}
 	}
-	play(20, 5) // 5 of 11
+	play(20, 5)
 	if got := limit.forRank(3); got != defaultMaxInFlight {
-		t.Errorf("the limit is %d after bursts", got)
+		t.Errorf("limit %d after windows with 5 of 11 queries congested, want %d", got, defaultMaxInFlight)
 	}
 	for range 3 {
 		play(1, 6)
 		play(1, 0)
 	}
 	if got := limit.forRank(3); got != defaultMaxInFlight {
-		t.Errorf("the limit is %d after single windows of strain", got)
+		t.Errorf("limit %d after single overloaded windows, want %d", got, defaultMaxInFlight)
 	}
 	play(overloadWindows, 6)
 	if got := limit.forRank(3); got >= 50 {
-		t.Errorf("the limit is %d though most queries are strained", got)
+		t.Errorf("limit %d after %d overloaded windows, want less than 50", got, overloadWindows)
 	}
 }
 
-// TestStrainAfterAStartIsNoOverloadAtOnce: until back ends have been seen without
-// strain, it takes longer to tell an overload from a slow start; then no longer.
-func TestStrainAfterAStartIsNoOverloadAtOnce(t *testing.T) {
+// Before calibration an overload takes longer to detect, so that a slow start does not
+// reject queries.
+func TestLimitCalibration(t *testing.T) {
 	const objective = 200 * time.Millisecond
-	play := func(limit *adaptiveLimit, now time.Time, windows int, strained bool) time.Time {
+	play := func(limit *adaptiveLimit, now time.Time, windows int, congested bool) time.Time {
 		for range windows * 11 {
 			now = now.Add(objective / 10)
-			limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: strained})
+			limit.observe(now, 50, &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: congested})
 		}
 		return now
 	}
-	unknown := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
-	unknown.start(defaultMaxInFlight)
-	now := play(unknown, time.Unix(1000, 0), initialOverloadWindows-1, true)
-	if got := unknown.forRank(3); got != defaultMaxInFlight {
-		t.Errorf("the limit is %d while nothing is known of the back ends", got)
+	uncalibrated := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
+	uncalibrated.start(defaultMaxInFlight)
+	now := play(uncalibrated, time.Unix(1000, 0), initialOverloadWindows-1, true)
+	if got := uncalibrated.forRank(3); got != defaultMaxInFlight {
+		t.Errorf("limit %d after %d overloaded windows before calibration, want %d", got, initialOverloadWindows-1, defaultMaxInFlight)
 	}
-	play(unknown, now, 1, true)
-	if got := unknown.forRank(3); got == defaultMaxInFlight {
-		t.Error("a strain that lasts is never taken for an overload")
+	play(uncalibrated, now, 1, true)
+	if got := uncalibrated.forRank(3); got == defaultMaxInFlight {
+		t.Errorf("limit not cut after %d overloaded windows before calibration", initialOverloadWindows)
 	}
-	known := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
-	known.start(defaultMaxInFlight)
-	now = play(known, time.Unix(1000, 0), calibrationWindows, false)
-	play(known, now, overloadWindows, true)
-	if got := known.forRank(3); got == defaultMaxInFlight {
-		t.Error("an overload of back ends that are known is not noticed soon")
+	calibrated := &adaptiveLimit{logger: slog.New(slog.DiscardHandler)}
+	calibrated.start(defaultMaxInFlight)
+	now = play(calibrated, time.Unix(1000, 0), calibrationWindows, false)
+	play(calibrated, now, overloadWindows, true)
+	if got := calibrated.forRank(3); got == defaultMaxInFlight {
+		t.Errorf("limit not cut after %d overloaded windows after calibration", overloadWindows)
 	}
 }
 
-// TestTheLimitIsWhatTheBackEndsBear: by Little's law, as many queries are in
-// flight as end in the time that each may take.
-func TestTheLimitIsWhatTheBackEndsBear(t *testing.T) {
+// By Little's law, the capacity is the completion rate times the target duration.
+func TestLimitConvergesToCapacity(t *testing.T) {
 	const (
 		objective = 200 * time.Millisecond
-		rate      = 400 // queries that end in a second
+		rate      = 400 // completed queries per second
 	)
 	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
-	play := func(length time.Duration, strained bool) {
+	play := func(length time.Duration, congested bool) {
 		for end := now.Add(length); now.Before(end); now = now.Add(time.Second / rate) {
-			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: strained})
+			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: congested})
 		}
 	}
 	play((overloadWindows+1)*objective, true)
-	borne := int64(rate * targetLatencyFraction * objective.Seconds())
-	if got := limit.forRank(3); got < borne*9/10 || got > borne*11/10 {
-		t.Errorf("the limit is %d, the back ends bear %d", got, borne)
+	capacity := int64(rate * targetLatencyFraction * objective.Seconds())
+	if got := limit.forRank(3); got < capacity*9/10 || got > capacity*11/10 {
+		t.Errorf("limit %d, want the capacity of %d within 10%%", got, capacity)
 	}
-	cut := limit.forRank(3)
+	reduced := limit.forRank(3)
 	play(20*objective, false)
-	if got := limit.forRank(3); got < 3*cut {
-		t.Errorf("the limit is %d some time after the strain, it was %d", got, cut)
+	if got := limit.forRank(3); got < 3*reduced {
+		t.Errorf("limit %d after the congestion, want at least three times %d", got, reduced)
 	}
 }
 
-// TestCutsThatDoNotHelpAreTakenBack: back ends that are slow for another reason
-// stay so however few queries are let in.
-func TestCutsThatDoNotHelpAreTakenBack(t *testing.T) {
+// Back ends that are slow for a reason other than load stay slow after cuts; the limit
+// must return to its maximum and be cut again only later.
+func TestLimitSuspendsIneffectiveCuts(t *testing.T) {
 	const objective = 200 * time.Millisecond
 	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
-	play := func(length time.Duration) (least int64) {
-		least = defaultMaxInFlight
+	play := func(length time.Duration) (lowest int64) {
+		lowest = defaultMaxInFlight
 		for end := now.Add(length); now.Before(end); now = now.Add(objective / 40) {
 			limit.observe(now, limit.forRank(3), &Outcome{Queried: 1, Answered: 1, Objective: objective, Congested: true})
-			least = min(least, limit.forRank(3))
+			lowest = min(lowest, limit.forRank(3))
 		}
-		return least
+		return lowest
 	}
-	if least := play((overloadWindows + maxIneffectiveCuts + 2) * objective); least == defaultMaxInFlight {
-		t.Error("the limit was never cut")
+	if lowest := play((overloadWindows + maxIneffectiveCuts + 2) * objective); lowest == defaultMaxInFlight {
+		t.Error("limit was never cut")
 	}
 	if got := limit.forRank(3); got != defaultMaxInFlight {
-		t.Errorf("the limit is still %d after %d cuts in vain", got, maxIneffectiveCuts)
+		t.Errorf("limit %d after %d ineffective cuts, want %d", got, maxIneffectiveCuts, defaultMaxInFlight)
 	}
-	if least := play(overloadExpiry / 2); least != defaultMaxInFlight {
-		t.Errorf("the limit is cut to %d again at once", least)
+	if lowest := play(overloadExpiry / 2); lowest != defaultMaxInFlight {
+		t.Errorf("limit cut to %d while cuts are suspended", lowest)
 	}
-	if least := play(10 * overloadExpiry); least == defaultMaxInFlight {
-		t.Error("the limit is never tried again")
+	if lowest := play(10 * overloadExpiry); lowest == defaultMaxInFlight {
+		t.Error("limit not cut after the suspension")
 	}
 }
 
-// TestQueriesFromBeforeACutDoNotCount: a cut cannot help them.
-func TestQueriesFromBeforeACutDoNotCount(t *testing.T) {
+func TestLimitIgnoresQueriesBeforeCut(t *testing.T) {
 	const objective = 200 * time.Millisecond
 	limit := newLimit(defaultMaxInFlight)
 	now := time.Unix(1000, 0)
@@ -189,25 +185,24 @@
 		}
 	}
 	play(overloadWindows*(objective+objective/20), 0)
-	cut := limit.forRank(3)
+	reduced := limit.forRank(3)
 	play(2*objective, 3*objective)
-	if got := limit.forRank(3); got != cut || cut == defaultMaxInFlight {
-		t.Errorf("the limit is %d, it was %d after the first cut", got, cut)
+	if got := limit.forRank(3); got != reduced || reduced == defaultMaxInFlight {
+		t.Errorf("limit %d, want %d as after the first cut, and less than %d", got, reduced, defaultMaxInFlight)
 	}
 }
 
-// TestAnOverloadOfOneTargetLeavesTheOthersAlone.
-func TestAnOverloadOfOneTargetLeavesTheOthersAlone(t *testing.T) {
+func TestControllersIsolateTargets(t *testing.T) {
 	targets := NewControllers(Options{})
 	first := targets.ForTarget("a")
 	now := overload(first, time.Unix(1000, 0), time.Second)
 	if !targets.Overloaded(now) {
-		t.Error("the overload is not told")
+		t.Error("overload of a target not reported")
 	}
 	if targets.ForTarget("b").Overloaded(now) || targets.ForTarget("a") != first {
-		t.Error("targets share a controller, or have several")
+		t.Error("targets share a controller, or a target has several")
 	}
 	if units := targets.ForTarget("b").limit.units.Load(); units != defaultMaxInFlight*limitScale {
-		t.Errorf("the other target's limit is %d", units/limitScale)
+		t.Errorf("limit of the other target %d, want %d", units/limitScale, defaultMaxInFlight)
 	}
 }
