--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory decides which nodes a caller should connect to. It is
-// pure: it reads nothing and has no clock.
+// Package directory decides which nodes a caller should connect to. Its functions are
+// pure: they do no I/O and read no clock.
 package directory
 
 import (
@@ -9,40 +9,40 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// maxAddresses is the greatest number of addresses in an answer.
+// maxAddresses is the maximum number of addresses in an answer.
 const maxAddresses = 64
 
-// Answer is what a caller is told.
+// Answer is the result of a lookup.
 type Answer struct {
-	// Addresses are IP:port of nodes, of which the caller picks by chance.
+	// Addresses are the IP:port of nodes. The caller picks one at random.
 	Addresses []string
-	// TTL is how long the caller should keep the answer.
+	// TTL is how long the caller should cache the answer.
 	TTL time.Duration
 }
 
-// Options bound an answer.
+// Options configures a lookup.
 type Options struct {
-	// TTL is how long an answer is kept, ShortTTL one with fewer nodes than EntryNodes:
-	// who knows only one has nowhere to go when it is lost.
+	// TTL is the TTL of an answer with at least EntryNodes nodes, ShortTTL that of one
+	// with fewer: a caller that knows few nodes has little to fail over to.
 	TTL, ShortTTL time.Duration
-	// EntryNodes is how many nodes of each zone callers should know, so that
-	// they can go on when some of them are lost.
+	// EntryNodes is the desired number of entry nodes per zone, so that callers can
+	// fail over when some are lost.
 	EntryNodes int
-	// RestrictRegions is true when callers ask for a host whose requests are bound to Regions.
-	// They are led to nodes there or in their own region, as long as any is ready.
+	// RestrictRegions directs callers only to nodes in Regions or in their own region,
+	// as long as any of these is ready.
 	RestrictRegions bool
 	Regions         []string
 }
 
-// allows tells whether a caller may be led to a node.
+// allows reports whether a caller may be directed to a node.
 func (o *Options) allows(caller topology.Place, node topology.Node) bool {
 	return !o.RestrictRegions || node.Place.Region == caller.Region || slices.Contains(o.Regions, node.Place.Region)
 }
 
-// Resolve returns the entry nodes nearest to a caller: those of its zone, and
-// farther ones as long as all of them are loaded or there are none. When no node
-// is ready, all of the nearest are named: one of them may have become ready.
-// known is false when there is none at all.
+// Resolve returns the entry nodes nearest to a caller: those of its zone, and more
+// distant ones if all nearer ones are overloaded or there are none. If no node is ready,
+// it returns the nearest nodes regardless, as one of them may have become ready. known
+// is false if there are no nodes at all.
 func Resolve(nodes *topology.Nodes, caller topology.Place, options Options) (answer Answer, known bool) {
 	if nodes == nil {
 		return Answer{}, false
@@ -62,7 +62,7 @@
 	return answer, len(chosen) > 0
 }
 
-// allowed returns those of some nodes that a caller may be led to.
+// allowed returns the nodes that a caller may be directed to.
 func (o *Options) allowed(nodes []topology.Node, caller topology.Place) []topology.Node {
 	if !o.RestrictRegions {
 		return nodes
@@ -70,16 +70,16 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(node topology.Node) bool { return !o.allows(caller, node) })
 }
 
-// nearest returns the nodes of the nearest distances up to the first one that
-// has a node that is not loaded.
+// nearest returns the addresses of the nodes in order of distance, up to and including
+// the first distance with a node that is not overloaded.
 func nearest(nodes []topology.Node, caller topology.Place) []string {
 	var chosen []string
-	idle := false
-	for distance := topology.SameZone; distance <= topology.OtherRegion && !idle; distance++ {
+	available := false
+	for distance := topology.SameZone; distance <= topology.OtherRegion && !available; distance++ {
 		for _, node := range nodes {
 			if len(chosen) < maxAddresses && caller.DistanceTo(node.Place) == distance {
 				chosen = append(chosen, node.Address)
-				idle = idle || !node.Overloaded
+				available = available || !node.Overloaded
 			}
 		}
 	}
--- a/internal/directory/entry.go
+++ b/internal/directory/entry.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// minCapacityRatio of the processor time of a region's best node is what a node must have
-	// to be an entry node there, as long as one that is not loaded has it. Measured
-	// with nodes of 0.8 and 0.192 cores: half of a zone's callers on one of the small
-	// ones made it read their requests a second late (docs/ROUNDS.md).
+	// minCapacityRatio is the minimum CPU time of an entry node, relative to the
+	// largest node of its region that is ready and not overloaded. Without it, callers
+	// would be spread evenly over large and small nodes, and overload the small ones.
 	minCapacityRatio = 0.5
-	// maxEntryNodesFactor the wanted number of nodes a zone may have as entry nodes when they
-	// are small: with many, each learns late which replicas are slow.
+	// maxEntryNodesFactor bounds the number of entry nodes of a zone with small nodes,
+	// as a multiple of the desired number. The more nodes share the traffic, the later
+	// each of them detects slow replicas.
 	maxEntryNodesFactor = 4
 )
 
-// EntryNodes returns the nodes that callers are led to, in the order of the
-// nodes given: of each zone the ready ones with the most processor time, until
-// so many of them as are wanted are not loaded, and they have as much processor
-// time as so many of the best nodes that are recorded.
+// EntryNodes returns the nodes that callers are directed to, in the order of the given
+// nodes. For each zone these are the ready nodes with the most CPU time, until the
+// desired number of them is not overloaded and their CPU time matches that of the
+// desired number of the largest recorded nodes.
 //
-// Few nodes with many requests each serve better than many nodes with few: they
-// learn sooner which replicas are slow, share the connections of the replicas
-// among fewer, and keep them in use. The other nodes stand by, and take over as
-// soon as an entry node is gone or loaded. Small nodes take over only where their
-// region has no better ones; the callers of a zone without entry nodes are led to
-// those of its region. All nodes that know the same entries choose the same ones.
+// Concentrating the traffic on few nodes lets them detect slow replicas sooner, share
+// the replicas' connections among fewer, and keep connections in use. The other nodes
+// stand by and take over when an entry node is lost or overloaded. Small nodes become
+// entry nodes only if their region has no larger ones; callers in a zone without entry
+// nodes are directed to those of its region. The choice is deterministic: all nodes
+// with the same view choose the same entry nodes.
 func EntryNodes(nodes []topology.Node, wanted int) []topology.Node {
 	order := byCapacity(nodes)
-	least := minProcessors(nodes)
+	required := minProcessors(nodes)
 	zones := make(map[topology.Place]*zoneCapacity)
-	whole := max(1, wanted)
-	best := maxProcessors(nodes)
+	perZone := max(1, wanted)
+	largest := maxProcessors(nodes)
 	chosen := order[:0]
 	for _, i := range order {
 		node := nodes[i]
@@ -42,11 +42,11 @@
 			zones[node.Place] = &zoneCapacity{}
 		}
 		zone := zones[node.Place]
-		if zone.sufficient(whole) || node.Processors < least[node.Place.Region] {
+		if zone.sufficient(perZone) || node.Processors < required[node.Place.Region] {
 			continue
 		}
 		chosen = append(chosen, i)
-		zone.add(node, best)
+		zone.add(node, largest)
 	}
 	slices.Sort(chosen)
 	entries := make([]topology.Node, 0, len(chosen))
@@ -56,27 +56,27 @@
 	return entries
 }
 
-// zoneCapacity counts the entry nodes of a zone that are not loaded.
+// zoneCapacity sums up the entry nodes of a zone that are not overloaded.
 type zoneCapacity struct {
 	available int
-	// capacity is their processor time, in nodes of the best kind.
+	// capacity is their CPU time as a multiple of that of the largest node.
 	capacity float64
 }
 
-func (z *zoneCapacity) add(node topology.Node, best float64) {
+func (z *zoneCapacity) add(node topology.Node, largest float64) {
 	if node.Overloaded {
 		return
 	}
 	z.available++
-	if best > 0 {
-		z.capacity += node.Processors / best
+	if largest > 0 {
+		z.capacity += node.Processors / largest
 	} else {
 		z.capacity++
 	}
 }
 
-// sufficient tells whether a zone has the wanted entry nodes. A tenth of one less is
-// sufficient, so that small differences between nodes count for nothing.
+// sufficient reports whether a zone has enough entry nodes. The tolerance, a tenth of a
+// node, ignores small differences in CPU time.
 func (z *zoneCapacity) sufficient(wanted int) bool {
 	const tolerance = 0.1
 	if z.available >= maxEntryNodesFactor*wanted {
@@ -85,30 +85,29 @@
 	return z.available >= wanted && z.capacity >= float64(wanted)-tolerance
 }
 
-// maxProcessors is the greatest processor time of a node, ready or not: where all of
-// the best are gone, the others together must take over what those have served.
+// maxProcessors returns the CPU time of the largest node, ready or not: when the
+// largest nodes are lost, the remaining ones must replace their capacity.
 func maxProcessors(nodes []topology.Node) float64 {
-	best := 0.0
+	largest := 0.0
 	for i := range nodes {
-		best = max(best, nodes[i].Processors)
+		largest = max(largest, nodes[i].Processors)
 	}
-	return best
+	return largest
 }
 
-// minProcessors is the processor time that an entry node must have, by region: a
-// share of that of the best node that is ready and not loaded.
+// minProcessors returns the minimum CPU time of an entry node by region.
 func minProcessors(nodes []topology.Node) map[string]float64 {
-	least := make(map[string]float64)
+	required := make(map[string]float64)
 	for i := range nodes {
 		if region := nodes[i].Place.Region; nodes[i].Ready && !nodes[i].Overloaded {
-			least[region] = max(least[region], minCapacityRatio*nodes[i].Processors)
+			required[region] = max(required[region], minCapacityRatio*nodes[i].Processors)
 		}
 	}
-	return least
+	return required
 }
 
-// Watchers returns the nodes of a place that watch the store for the others of
-// their place: the first ones by capacity, whatever their load.
+// Watchers returns the nodes that watch the store on behalf of all nodes of a place:
+// the ready ones with the most CPU time, whether overloaded or not.
 func Watchers(nodes []topology.Node, place topology.Place, wanted int) []topology.Node {
 	var watchers []topology.Node
 	for _, i := range byCapacity(nodes) {
@@ -119,8 +118,7 @@
 	return watchers
 }
 
-// byCapacity returns the positions of the ready nodes, those with the most
-// processor time first.
+// byCapacity returns the indices of the ready nodes in descending order of CPU time.
 func byCapacity(nodes []topology.Node) []int {
 	order := make([]int, 0, len(nodes))
 	for i := range nodes {
--- a/internal/directory/entry_test.go
+++ b/internal/directory/entry_test.go
@@ -8,23 +8,22 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-func sized(address string, place topology.Place, processors float64) topology.Node {
-	made := node(address, place, true)
-	made.Processors = processors
-	return made
+func sizedNode(address string, place topology.Place, processors float64) topology.Node {
+	sized := node(address, place, true)
+	sized.Processors = processors
+	return sized
 }
 
-// gone is a node that is recorded and not ready.
-func gone(address string, place topology.Place, processors float64) topology.Node {
-	made := sized(address, place, processors)
-	made.Ready = false
-	return made
+func unreadySizedNode(address string, place topology.Place, processors float64) topology.Node {
+	unready := sizedNode(address, place, processors)
+	unready.Ready = false
+	return unready
 }
 
-func overloaded(address string, place topology.Place, processors float64) topology.Node {
-	made := sized(address, place, processors)
-	made.Overloaded = true
-	return made
+func overloadedSizedNode(address string, place topology.Place, processors float64) topology.Node {
+	overloaded := sizedNode(address, place, processors)
+	overloaded.Overloaded = true
+	return overloaded
 }
 
 func TestEntryNodes(t *testing.T) {
@@ -33,37 +32,37 @@
 		nodes []topology.Node
 		want  []string
 	}{
-		{"the same number of each zone", []topology.Node{
+		{"desired number per zone", []topology.Node{
 			node("a1", placeA, true), node("a2", placeA, true), node("a3", placeA, true),
 			node("b1", placeB, true), node("c1", placeC, true), node("c2", placeC, true), node("c3", placeC, true),
 		}, []string{"a1", "a2", "b1", "c1", "c2"}},
-		{"those with the most processor time", []topology.Node{
-			sized("a1", placeA, 0.2), sized("a2", placeA, 0.8), sized("a3", placeA, 0.2), sized("a4", placeA, 0.8),
+		{"most CPU time first", []topology.Node{
+			sizedNode("a1", placeA, 0.2), sizedNode("a2", placeA, 0.8), sizedNode("a3", placeA, 0.2), sizedNode("a4", placeA, 0.8),
 		}, []string{"a2", "a4"}},
-		{"one more for each that is loaded", []topology.Node{
-			loaded("a1", placeA), node("a2", placeA, true), loaded("a3", placeA), node("a4", placeA, true), node("a5", placeA, true),
+		{"overloaded nodes are not counted", []topology.Node{
+			overloadedNode("a1", placeA), node("a2", placeA, true), overloadedNode("a3", placeA), node("a4", placeA, true), node("a5", placeA, true),
 		}, []string{"a1", "a2", "a3", "a4"}},
-		{"none that is not ready", []topology.Node{
+		{"unready nodes are excluded", []topology.Node{
 			node("a1", placeA, false), node("a2", placeA, true), node("a3", placeA, true),
 		}, []string{"a2", "a3"}},
-		{"small ones are none while their region has better ones", []topology.Node{
-			sized("a1", placeA, 0.8), sized("a2", placeA, 0.2), sized("b1", placeB, 0.2), sized("b2", placeB, 0.2), sized("c1", placeC, 0.2),
+		{"small nodes are excluded if the region has larger ones", []topology.Node{
+			sizedNode("a1", placeA, 0.8), sizedNode("a2", placeA, 0.2), sizedNode("b1", placeB, 0.2), sizedNode("b2", placeB, 0.2), sizedNode("c1", placeC, 0.2),
 		}, []string{"a1", "c1"}},
-		{"a better one that is loaded does not keep small ones away", []topology.Node{
-			overloaded("a1", placeA, 0.8), sized("a2", placeA, 0.2), sized("a3", placeA, 0.2),
+		{"an overloaded large node does not exclude small ones", []topology.Node{
+			overloadedSizedNode("a1", placeA, 0.8), sizedNode("a2", placeA, 0.2), sizedNode("a3", placeA, 0.2),
 		}, []string{"a1", "a2", "a3"}},
-		{"as many small ones as take over what the best that are gone have served", []topology.Node{
-			gone("a1", placeA, 0.8), gone("a2", placeA, 0.8), sized("a3", placeA, 0.4), sized("a4", placeA, 0.4),
-			sized("a5", placeA, 0.4), sized("a6", placeA, 0.4), sized("a7", placeA, 0.4),
+		{"small nodes replace the capacity of lost large ones", []topology.Node{
+			unreadySizedNode("a1", placeA, 0.8), unreadySizedNode("a2", placeA, 0.8), sizedNode("a3", placeA, 0.4), sizedNode("a4", placeA, 0.4),
+			sizedNode("a5", placeA, 0.4), sizedNode("a6", placeA, 0.4), sizedNode("a7", placeA, 0.4),
 		}, []string{"a3", "a4", "a5", "a6"}},
-		{"but not more than four times the wanted number", []topology.Node{
-			gone("a0", placeA, 64), sized("a1", placeA, 1), sized("a2", placeA, 1), sized("a3", placeA, 1), sized("a4", placeA, 1),
-			sized("a5", placeA, 1), sized("a6", placeA, 1), sized("a7", placeA, 1), sized("a8", placeA, 1), sized("a9", placeA, 1),
+		{"at most four times the desired number", []topology.Node{
+			unreadySizedNode("a0", placeA, 64), sizedNode("a1", placeA, 1), sizedNode("a2", placeA, 1), sizedNode("a3", placeA, 1), sizedNode("a4", placeA, 1),
+			sizedNode("a5", placeA, 1), sizedNode("a6", placeA, 1), sizedNode("a7", placeA, 1), sizedNode("a8", placeA, 1), sizedNode("a9", placeA, 1),
 		}, []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8"}},
-		{"small differences count for nothing", []topology.Node{
-			sized("a1", placeA, 0.8), sized("a2", placeA, 0.78), sized("a3", placeA, 0.78),
+		{"small differences are ignored", []topology.Node{
+			sizedNode("a1", placeA, 0.8), sizedNode("a2", placeA, 0.78), sizedNode("a3", placeA, 0.78),
 		}, []string{"a1", "a2"}},
-		{"none", nil, nil},
+		{"no nodes", nil, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,7 +79,7 @@
 
 func TestWatchers(t *testing.T) {
 	nodes := []topology.Node{
-		sized("a1", placeA, 0.2), sized("a2", placeA, 0.8), node("a3", placeA, false), sized("b1", placeB, 0.8), loaded("a4", placeA),
+		sizedNode("a1", placeA, 0.2), sizedNode("a2", placeA, 0.8), node("a3", placeA, false), sizedNode("b1", placeB, 0.8), overloadedNode("a4", placeA),
 	}
 	var got []string
 	for _, watcher := range Watchers(nodes, placeA, 2) {
