--- a/internal/routing/merge.go
+++ b/internal/routing/merge.go
@@ -8,9 +8,8 @@
 // RecordBytes is the size of one record of a part.
 const RecordBytes = 16
 
-// MergeTop returns the greatest records of some parts, in falling byte order.
-// Equal records all count. What is left of a part after its last whole record
-// is no record.
+// MergeTop returns the top largest records of the parts in descending byte order.
+// Duplicate records are kept. An incomplete record at the end of a part is ignored.
 func MergeTop(parts [][]byte, top int) []byte {
 	records := make([][]byte, 0, recordCount(parts))
 	for _, part := range parts {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -20,7 +20,7 @@
 	}, nil, Limits{})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	cases := []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example", "/x/z", "shallow"},
@@ -43,8 +43,7 @@
 	}
 }
 
-// TestRegionsOfAHost: callers ask for the addresses of a host, whatever its routes.
-func TestRegionsOfAHost(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	table := NewTable(1, []Route{
 		{Name: "free", Host: "a.example", PathPrefix: "/"},
 		{Name: "one", Host: "a.example", PathPrefix: "/x/", Regions: []string{"r1", "r2"}},
@@ -54,41 +53,40 @@
 		{Name: "open", Host: "c.example", PathPrefix: "/"},
 	}, nil, Limits{})
 	cases := []struct {
-		host  string
-		want  []string
-		bound bool
+		host       string
+		want       []string
+		restricted bool
 	}{
 		{"A.example:80", []string{"r2"}, true}, {"b.example", []string{}, true}, {"c.example", nil, false}, {"d.example", nil, false},
 	}
 	for _, test := range cases {
-		got, bound := table.AllowedRegions(test.host)
-		if diff := cmp.Diff(test.want, got); diff != "" || bound != test.bound {
-			t.Errorf("%s: bound %v (-want +got):\n%s", test.host, bound, diff)
+		got, restricted := table.AllowedRegions(test.host)
+		if diff := cmp.Diff(test.want, got); diff != "" || restricted != test.restricted {
+			t.Errorf("%s: restricted %v, regions (-want +got):\n%s", test.host, restricted, diff)
 		}
 	}
-	if free, bound := &table.Routes[0], &table.Routes[1]; !free.AllowsRegion("r9") || !bound.AllowsRegion("r2") || bound.AllowsRegion("r3") {
-		t.Error("a route allows the wrong regions")
+	if free, restricted := &table.Routes[0], &table.Routes[1]; !free.AllowsRegion("r9") || !restricted.AllowsRegion("r2") || restricted.AllowsRegion("r3") {
+		t.Error("AllowsRegion is wrong for an unrestricted or a restricted route")
 	}
 }
 
-func TestSplitterGivesEachShareItsWeight(t *testing.T) {
+func TestSplitterWeights(t *testing.T) {
 	route := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 5}, {"b", 3}, {"c", 2}}}
 	var splitter Splitter
 	counts := map[string]int{}
 	for sent := 1; sent <= 200; sent++ {
 		counts[splitter.Pick(route)]++
-		for _, share := range route.WeightedGroups {
-			due := float64(sent) * share.Weight / 10
-			if off := float64(counts[share.Group]) - due; off > 2 || off < -2 {
-				t.Fatalf("after %d requests %s had %d, %.1f were due", sent, share.Group, counts[share.Group], due)
+		for _, group := range route.WeightedGroups {
+			want := float64(sent) * group.Weight / 10
+			if off := float64(counts[group.Group]) - want; off > 2 || off < -2 {
+				t.Fatalf("after %d requests: group %s got %d, want %.1f within 2", sent, group.Group, counts[group.Group], want)
 			}
 		}
 	}
 }
 
-// TestNodesBeginTheirTurnsByChance: the first requests of many nodes are divided
-// as the weights say.
-func TestNodesBeginTheirTurnsByChance(t *testing.T) {
+// The first requests of many nodes must be distributed by weight, too.
+func TestSplitterRandomStart(t *testing.T) {
 	route := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 3}, {"b", 1}}}
 	const nodes = 4000
 	first := 0
@@ -99,23 +97,23 @@
 		}
 	}
 	if share := float64(first) / nodes; share < 0.7 || share > 0.8 {
-		t.Errorf("%.2f of the nodes begin with the share of weight 0.75", share)
+		t.Errorf("%.2f of the nodes start with the group of weight 0.75, want 0.7 to 0.8", share)
 	}
 }
 
-func TestSplitterFollowsNewShares(t *testing.T) {
+func TestSplitterWeightsChange(t *testing.T) {
 	var splitter Splitter
 	old := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"a", 1}, {"b", 1}}}
 	splitter.Pick(old)
 	changed := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"b", 0}, {"c", 1}}}
 	for range 5 {
 		if got := splitter.Pick(changed); got != "c" {
-			t.Errorf("picked %s", got)
+			t.Errorf("picked %s after the change, want c", got)
 		}
 	}
 	plain := &Route{Name: "r", WeightedGroups: []WeightedGroup{{"d", 0}}}
 	if got := splitter.Pick(plain); got != "d" {
-		t.Errorf("picked %s of a single share", got)
+		t.Errorf("picked %s from a single group, want d", got)
 	}
 }
 
@@ -130,12 +128,12 @@
 		top   int
 		want  []byte
 	}{
-		{"none", nil, 5, []byte{}},
-		{"falling over all parts", [][]byte{join(record(2), record(9)), join(record(5))}, 5, join(record(9), record(5), record(2))},
-		{"cut to the greatest", [][]byte{join(record(2), record(9)), join(record(5))}, 2, join(record(9), record(5))},
-		{"equal records all count", [][]byte{join(record(7), record(7)), join(record(7))}, 5, join(record(7), record(7), record(7))},
-		{"a rest is no record", [][]byte{append(record(4), 0xff, 0xff), {0xff}}, 5, record(4)},
-		{"bytes are unsigned", [][]byte{join(record(0x7f), record(0x80))}, 1, record(0x80)},
+		{"no parts", nil, 5, []byte{}},
+		{"descending across parts", [][]byte{join(record(2), record(9)), join(record(5))}, 5, join(record(9), record(5), record(2))},
+		{"truncated to the largest", [][]byte{join(record(2), record(9)), join(record(5))}, 2, join(record(9), record(5))},
+		{"duplicate records", [][]byte{join(record(7), record(7)), join(record(7))}, 5, join(record(7), record(7), record(7))},
+		{"incomplete records", [][]byte{append(record(4), 0xff, 0xff), {0xff}}, 5, record(4)},
+		{"unsigned bytes", [][]byte{join(record(0x7f), record(0x80))}, 1, record(0x80)},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -146,22 +144,22 @@
 	}
 }
 
-func TestLeastShards(t *testing.T) {
+func TestMinShards(t *testing.T) {
 	cases := []struct {
-		share  float64
+		ratio  float64
 		shards int
 		want   int
 	}{{0.89, 10, 9}, {0.89, 15, 14}, {0.75, 10, 8}, {0.9, 10, 9}, {0.7, 10, 7}, {1, 3, 3}, {0, 3, 1}, {0.1, 10, 1}}
 	for _, test := range cases {
-		if got := MinShards(test.share, test.shards); got != test.want {
-			t.Errorf("%g of %d: %d, want %d", test.share, test.shards, got, test.want)
+		if got := MinShards(test.ratio, test.shards); got != test.want {
+			t.Errorf("MinShards(%g, %d) = %d, want %d", test.ratio, test.shards, got, test.want)
 		}
 	}
 }
 
-func TestPolicyRowIsValid(t *testing.T) {
+func TestPolicyRow(t *testing.T) {
 	cases := []struct {
-		terms    RouteSpec
+		spec     RouteSpec
 		priority client.Priority
 		attempts int
 	}{
@@ -170,12 +168,12 @@
 		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, maxAttempts},
 	}
 	for _, test := range cases {
-		row := PolicyRow(test.terms)
+		row := PolicyRow(test.spec)
 		if err := policy.ValidateRow(row); err != nil {
 			t.Error(err)
 		}
 		if row.Priority != test.priority || row.Retry.Attempts != test.attempts {
-			t.Errorf("%+v: priority %s, attempts %d", test.terms, row.Priority, row.Retry.Attempts)
+			t.Errorf("%+v: priority %s, attempts %d, want %s, %d", test.spec, row.Priority, row.Retry.Attempts, test.priority, test.attempts)
 		}
 	}
 }
--- a/internal/routing/row.go
+++ b/internal/routing/row.go
@@ -8,50 +8,49 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// RouteSpec are what operators state of a route; PolicyRow and LeastShards turn
-// them into weights and limits.
+// RouteSpec is the part of a route's configuration that determines its policy row.
 type RouteSpec struct {
 	Name     string
 	Timeout  time.Duration
 	Attempts int
 	Rank     int
-	// MinShardRatio is the share of the shards without which there is no answer.
+	// MinShardRatio is the minimum fraction of the shards that an answer needs.
 	MinShardRatio float64
 }
 
-// The weights and limits that operators do not state.
+// Policy values that are not part of a route's configuration.
 const (
-	// A farther replica must be expected to be that much faster: its bytes cross
-	// regions.
+	// The weights favor near replicas: a replica in another region must be expected to
+	// be faster by this factor, as its traffic crosses regions.
 	zoneWeight, regionWeight, farWeight = 1.25, 1.15, 1
-	// maxConcurrency leaves it to the node's adaptive limit how many requests of
-	// a route are in flight.
+	// maxConcurrency is high enough to leave concurrency control to the adaptive limit.
 	maxConcurrency = 100_000
 	// maxAttempts bounds the attempts of a policy row.
 	maxAttempts = 10
 )
 
-// priorities by rank; lower ranks have the last one.
+// priorities by rank. Ranks beyond the last one have the lowest priority.
 var priorities = [...]client.Priority{
 	client.PriorityCritical, client.PriorityHigh, client.PriorityNormal, client.PriorityBatch,
 }
 
 // PolicyRow returns the policy row of a route.
-func PolicyRow(terms RouteSpec) *policy.Row {
-	row := policy.DefaultRow(terms.Name)
+func PolicyRow(spec RouteSpec) *policy.Row {
+	row := policy.DefaultRow(spec.Name)
 	row.Replicas = policy.Replicas{ZoneWeight: zoneWeight, RegionWeight: regionWeight, FarWeight: farWeight}
-	row.Wait = policy.Wait{Timeout: policy.Duration(terms.Timeout)}
-	row.Retry.Attempts = min(max(1, terms.Attempts), maxAttempts)
-	row.Completeness = policy.Completeness{Target: 1, Min: terms.MinShardRatio}
+	row.Wait = policy.Wait{Timeout: policy.Duration(spec.Timeout)}
+	row.Retry.Attempts = min(max(1, spec.Attempts), maxAttempts)
+	row.Completeness = policy.Completeness{Target: 1, Min: spec.MinShardRatio}
 	row.Limits.Concurrency = maxConcurrency
-	row.Priority = priorities[min(max(0, terms.Rank), len(priorities)-1)]
+	row.Priority = priorities[min(max(0, spec.Rank), len(priorities)-1)]
 	return &row
 }
 
-// ratioTolerance keeps a share such as 0.9 of 10 from being rounded up.
+// ratioTolerance prevents rounding up products that are inexact in floating point,
+// such as 0.9*10.
 const ratioTolerance = 1e-9
 
-// MinShards returns how many of some shards are the least share of them.
-func MinShards(share float64, shards int) int {
-	return max(1, int(math.Ceil(share*float64(shards)-ratioTolerance)))
+// MinShards returns the minimum number of shards for a ratio, rounded up and at least 1.
+func MinShards(ratio float64, shards int) int {
+	return max(1, int(math.Ceil(ratio*float64(shards)-ratioTolerance)))
 }
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// startOffsets is the number of turns of which one, by chance, is a node's first: the
-// few requests that each of many nodes has sent must not all favor one share.
+// startOffsets is the number of turns among which the first turn of a rotation is
+// chosen at random, so that many nodes with few requests each do not all favor the same
+// group.
 const startOffsets = 64
 
-// Splitter divides the requests of split routes by smooth weighted
-// round-robin: in any run of requests each share has its part, to within two
-// requests. Its zero value is ready, and it is safe for concurrent
-// use.
+// Splitter distributes the requests of split routes by smooth weighted round-robin. In
+// any sequence of requests the count of each group is within two of its exact share. Its
+// zero value is ready to use. It is safe for concurrent use.
 type Splitter struct {
 	mutex  sync.Mutex
 	routes map[string]*roundRobin
 }
 
-// roundRobin is the state of one route's division, for one list of shares.
+// roundRobin is the state of a route for one list of weighted groups.
 type roundRobin struct {
 	groups  []WeightedGroup
 	credits []float64
 }
 
-// Pick returns the group that takes the next request of a plain route.
+// Pick returns the group for the next request of a plain route.
 func (s *Splitter) Pick(route *Route) string {
 	if len(route.WeightedGroups) == 1 {
 		return route.WeightedGroups[0].Group
@@ -38,16 +38,16 @@
 	if s.routes == nil {
 		s.routes = make(map[string]*roundRobin)
 	}
-	known := s.routes[route.Name]
-	if known != nil && equalGroups(known.groups, route.WeightedGroups) {
-		return known
+	state := s.routes[route.Name]
+	if state != nil && equalGroups(state.groups, route.WeightedGroups) {
+		return state
 	}
-	known = &roundRobin{groups: route.WeightedGroups, credits: make([]float64, len(route.WeightedGroups))}
+	state = &roundRobin{groups: route.WeightedGroups, credits: make([]float64, len(route.WeightedGroups))}
 	for range rand.IntN(startOffsets) {
-		known.next()
+		state.next()
 	}
-	s.routes[route.Name] = known
-	return known
+	s.routes[route.Name] = state
+	return state
 }
 
 func equalGroups(a, b []WeightedGroup) bool {
@@ -62,17 +62,17 @@
 	return true
 }
 
-// next gives every share its weight in credit and takes the total from the
-// richest, which has the turn.
+// next credits every group with its weight, picks the group with the highest credit and
+// deducts the total weight from it.
 func (r *roundRobin) next() string {
-	richest, total := 0, 0.0
-	for i, share := range r.groups {
-		r.credits[i] += share.Weight
-		total += share.Weight
-		if r.credits[i] > r.credits[richest] {
-			richest = i
+	highest, total := 0, 0.0
+	for i, group := range r.groups {
+		r.credits[i] += group.Weight
+		total += group.Weight
+		if r.credits[i] > r.credits[highest] {
+			highest = i
 		}
 	}
-	r.credits[richest] -= total
-	return r.groups[richest].Group
+	r.credits[highest] -= total
+	return r.groups[highest].Group
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing holds the operators' routes as immutable data: which
-// requests, told apart by host and path prefix, go to the replicas of which
-// groups, and under which policy row. It reads and writes nothing.
+// Package routing holds the configured routes as immutable data. A route maps requests,
+// matched by host and path prefix, to replica groups and a policy row. The package does
+// no I/O.
 package routing
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// WeightedGroup is one part of a split route.
+// WeightedGroup is a replica group with its weight in a traffic split.
 type WeightedGroup struct {
 	// Group names the replicas of a plain service.
 	Group  string
@@ -23,51 +23,51 @@
 	Name       string
 	Host       string
 	PathPrefix string
-	// Policy holds the waits, the retries, the completeness and the priority.
+	// Policy defines timeouts, retries, completeness and priority.
 	Policy *policy.Row
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective of an answer.
 	Objective time.Duration
-	// Rank is the operators' priority; 0 is the most urgent.
+	// Rank is the configured priority; 0 is the highest.
 	Rank int
-	// Idempotent is true when a request may run more than once.
+	// Idempotent is true if a request may run more than once.
 	Idempotent bool
-	// Regions are those whose replicas may take a request; empty means all. A request
-	// that must not leave a country reaches no replica beyond it, at any attempt.
+	// Regions are the regions whose replicas may receive requests, at any attempt;
+	// empty means all. They enforce data residency.
 	Regions []string
-	// WeightedGroups are the plain services that requests are divided among; empty for
-	// a scattered route.
+	// WeightedGroups are the groups that requests are split among; empty for a
+	// scattered route.
 	WeightedGroups []WeightedGroup
-	// Shards are the groups that each request is scattered over; empty for a
-	// plain route.
+	// Shards are the groups that each request is scattered to; empty for a plain
+	// route.
 	Shards []string
 	// TopRecords is the number of records in a merged answer.
 	TopRecords int
-	// MinShards is the least number of shards that make an answer.
+	// MinShards is the minimum number of shards that an answer needs.
 	MinShards int
 }
 
-// AllowsRegion tells whether the replicas of a region may take the route's requests.
+// AllowsRegion reports whether replicas of a region may receive the route's requests.
 func (r *Route) AllowsRegion(region string) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
-// Scattered is true when a request goes to one replica of each shard.
+// Scattered reports whether each request goes to one replica of every shard.
 func (r *Route) Scattered() bool { return len(r.Shards) > 0 }
 
-// Service is what the operators state of a replica group.
+// Service is the configuration of a replica group.
 type Service struct {
 	Name string
-	// ConnectionLimit is the number of connections that a replica accepts from
-	// all nodes together; 0 means that it is not stated.
+	// ConnectionLimit is the number of connections that a replica accepts from all
+	// nodes together; 0 if not configured.
 	ConnectionLimit int
 	HealthPath      string
-	// ColdDuration is how long a replica is cold after a start, ColdRate the requests a
-	// second that it bears meanwhile; 0 means that it is not stated.
+	// ColdDuration is how long a replica is cold after a start, ColdRate the requests
+	// per second that it can handle while cold; 0 if not configured.
 	ColdDuration time.Duration
 	ColdRate     float64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds callers' requests and connections.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -75,20 +75,20 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is every route at one version. It is immutable once published.
+// Table holds all routes at one version. It must not be modified after publication.
 type Table struct {
-	// Version grows with each accepted change.
+	// Version increases with each accepted change.
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
 
 	byHost map[string][]*Route
-	// allowedRegions has the regions of the hosts with a route that is bound to some.
+	// allowedRegions holds the hosts with at least one region-restricted route.
 	allowedRegions map[string][]string
 }
 
-// NewTable indexes routes by host, longest path prefix first.
+// NewTable returns a Table that indexes routes by host, longest path prefix first.
 func NewTable(version uint64, routes []Route, services map[string]Service, limits Limits) *Table {
 	table := &Table{Version: version, Routes: routes, Services: services, Limits: limits}
 	table.byHost = make(map[string][]*Route)
@@ -103,10 +103,11 @@
 	return table
 }
 
-// restrictRegions leaves those regions of a host that one of its routes allows as well.
+// restrictRegions intersects the allowed regions of a route's host with those of the
+// route.
 func (t *Table) restrictRegions(route *Route) {
-	regions, bound := t.allowedRegions[route.Host]
-	if !bound {
+	regions, restricted := t.allowedRegions[route.Host]
+	if !restricted {
 		regions = route.Regions
 	}
 	common := make([]string, 0, len(regions))
@@ -118,11 +119,11 @@
 	t.allowedRegions[route.Host] = common
 }
 
-// AllowedRegions returns the regions that all bound routes of a host allow; bound is
-// false when no route of the host is bound to regions.
-func (t *Table) AllowedRegions(host string) (regions []string, bound bool) {
-	regions, bound = t.allowedRegions[canonicalHost(host)]
-	return regions, bound
+// AllowedRegions returns the regions that all region-restricted routes of a host allow.
+// restricted is false if the host has no such route.
+func (t *Table) AllowedRegions(host string) (regions []string, restricted bool) {
+	regions, restricted = t.allowedRegions[canonicalHost(host)]
+	return regions, restricted
 }
 
 func insertByPrefix(routes []*Route, route *Route) []*Route {
@@ -136,8 +137,8 @@
 	return routes
 }
 
-// Match returns the route of a host with the longest prefix of a path, or nil.
-// A port in the host is ignored, and so is its case.
+// Match returns the route of a host with the longest matching path prefix, or nil. The
+// host is matched without its port and regardless of case.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.byHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -154,15 +155,15 @@
 	return strings.ToLower(host)
 }
 
-// Groups returns every replica group that a route names, each once.
+// Groups returns the set of replica groups that routes refer to.
 func (t *Table) Groups() map[string]bool {
 	groups := make(map[string]bool)
 	for i := range t.Routes {
 		for _, group := range t.Routes[i].Shards {
 			groups[group] = true
 		}
-		for _, share := range t.Routes[i].WeightedGroups {
-			groups[share.Group] = true
+		for _, weighted := range t.Routes[i].WeightedGroups {
+			groups[weighted.Group] = true
 		}
 	}
 	return groups
