--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,6 +1,6 @@
-// Package liveness tells which other nodes can be reached. A node's record in the
-// store says so as well, but not while the store is away, and seconds late
-// otherwise; callers who are led to a node that is gone have nowhere to go.
+// Package liveness checks whether other nodes accept connections. The records in the
+// store also show which nodes are up, but with a delay of seconds, and not at all during
+// an outage of the store. The directory must not send callers to a node that is down.
 package liveness
 
 import (
@@ -12,36 +12,37 @@
 	"time"
 )
 
-// The constants of a Checker.
 const (
-	// checkInterval is how long an answer counts, failedInterval how long a failure.
+	// checkInterval is how long a successful check is valid, failedCheckInterval how
+	// long a failed one is.
 	checkInterval       = time.Second
 	failedCheckInterval = 250 * time.Millisecond
-	// connectTimeout bounds one attempt to connect.
+	// connectTimeout bounds one connection attempt.
 	connectTimeout = 300 * time.Millisecond
-	// failureThreshold in a row, a node counts as gone: one packet may be lost.
+	// failureThreshold is the number of consecutive failures after which a node counts
+	// as down. It tolerates the loss of one packet.
 	failureThreshold = 2
-	// reachableTTL is how long after it was reached a node is named without being asked
-	// anew. At hundreds of nodes each directory is asked seldom, so that what it knows
-	// of a node is mostly older.
+	// reachableTTL is how long after a successful check Unreachable relies on it. It is
+	// longer than checkInterval because in large deployments each node is queried
+	// rarely, so most of what it knows is older.
 	reachableTTL = 3 * time.Second
-	// initialCheckTimeout is how long an answer waits for nodes that are not proven: some
-	// times the way to another region and back, well under the second after which
-	// callers ask another directory.
+	// initialCheckTimeout bounds the wait for nodes without a recent result. It allows
+	// several round trips to another region, but is well below the second after which
+	// callers query another directory.
 	initialCheckTimeout = 150 * time.Millisecond
-	// idleExpiry is how long after the last question a node is forgotten.
+	// idleExpiry is how long a node is kept after it was last queried.
 	idleExpiry = time.Minute
 )
 
-// Config is what a Checker is made of. Zero values take defaults.
+// Config configures a Checker. Zero values select defaults.
 type Config struct {
-	// Connect opens a connection to a node and closes it; nil means TCP.
+	// Connect opens and closes a connection to a node; nil means TCP.
 	Connect func(ctx context.Context, node netip.AddrPort) error
 	Now     func() time.Time
 	Logger  *slog.Logger
 }
 
-// Checker checks the nodes that it is asked about. It is safe for concurrent use.
+// Checker checks the nodes that it is queried about. It is safe for concurrent use.
 type Checker struct {
 	config Config
 	mu     sync.Mutex
@@ -50,15 +51,15 @@
 
 type nodeState struct {
 	lastQueried, lastChecked time.Time
-	// lastReached is when a check succeeded last.
+	// lastReached is the time of the last successful check.
 	lastReached time.Time
 	failures    int
 	checking    bool
-	// done is closed when the check that runs ends.
+	// done is closed when the running check ends.
 	done chan struct{}
 }
 
-// New makes a Checker.
+// New returns a Checker.
 func New(config Config) *Checker {
 	if config.Connect == nil {
 		config.Connect = connect
@@ -81,9 +82,9 @@
 	return conn.Close()
 }
 
-// Unreachable returns those of some nodes that cannot be reached. Nodes of which
-// nothing recent is known are connected to first, all at once, which takes no longer
-// than firstTimeout, and ends with ctx.
+// Unreachable returns the given nodes that cannot be reached. It waits for concurrent
+// checks of nodes without a recent result, at most for initialCheckTimeout or until ctx
+// ends.
 func (c *Checker) Unreachable(ctx context.Context, nodes []netip.AddrPort) []netip.AddrPort {
 	for _, node := range nodes {
 		c.Reachable(node)
@@ -99,58 +100,57 @@
 	return unreachable
 }
 
-// awaitReachable tells whether a node that has been asked about can be reached; where nothing
-// recent is known, it waits for the check that runs until ctx ends.
+// awaitReachable reports whether a node is reachable. Without a recent result it waits
+// for the running check until ctx ends.
 func (c *Checker) awaitReachable(ctx context.Context, node netip.AddrPort) bool {
-	known, recent, ended := c.status(node)
-	if recent || ended == nil {
-		return known && recent
+	reachable, recent, done := c.status(node)
+	if recent || done == nil {
+		return reachable && recent
 	}
 	select {
-	case <-ended:
+	case <-done:
 	case <-ctx.Done():
 	}
-	known, recent, _ = c.status(node)
-	return known && recent
+	reachable, recent, _ = c.status(node)
+	return reachable && recent
 }
 
-// status tells whether a node counts as reachable, whether it was reached lately, and
-// when the check that runs ends; nil when none does.
-func (c *Checker) status(node netip.AddrPort) (reachable, recent bool, ended <-chan struct{}) {
+// status reports whether a node counts as reachable and whether it was reached recently.
+// done is closed when the running check ends; it is nil if none is running.
+func (c *Checker) status(node netip.AddrPort) (reachable, recent bool, done <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.nodes[node]
-	if known == nil {
-		return false, false, nil // forgotten since
+	state := c.nodes[node]
+	if state == nil {
+		return false, false, nil // evicted in the meantime
 	}
-	recent = !known.lastReached.IsZero() && c.config.Now().Sub(known.lastReached) < reachableTTL
-	if known.checking {
-		ended = known.done
+	recent = !state.lastReached.IsZero() && c.config.Now().Sub(state.lastReached) < reachableTTL
+	if state.checking {
+		done = state.done
 	}
-	return known.failures < failureThreshold, recent, ended
+	return state.failures < failureThreshold, recent, done
 }
 
-// Reachable tells what is known of a node, and has it checked when that is old. A
-// node of which nothing is known counts as reachable.
+// Reachable returns the known state of a node, and starts a check if that is outdated. A
+// node that was never checked counts as reachable.
 func (c *Checker) Reachable(node netip.AddrPort) bool {
 	now := c.config.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.nodes[node]
-	if known == nil {
+	state := c.nodes[node]
+	if state == nil {
 		c.evictIdle(now)
-		known = &nodeState{}
-		c.nodes[node] = known
+		state = &nodeState{}
+		c.nodes[node] = state
 	}
-	known.lastQueried = now
-	if !known.checking && now.Sub(known.lastChecked) >= known.recheckInterval() {
-		known.checking, known.done = true, make(chan struct{})
-		go c.check(node, known)
+	state.lastQueried = now
+	if !state.checking && now.Sub(state.lastChecked) >= state.recheckInterval() {
+		state.checking, state.done = true, make(chan struct{})
+		go c.check(node, state)
 	}
-	return known.failures < failureThreshold
+	return state.failures < failureThreshold
 }
 
-// recheckInterval is how long what is known recheckInterval.
 func (s *nodeState) recheckInterval() time.Duration {
 	if s.failures > 0 {
 		return failedCheckInterval
@@ -158,33 +158,33 @@
 	return checkInterval
 }
 
-// evictIdle must be called with the mutex held.
+// evictIdle must be called with c.mu held.
 func (c *Checker) evictIdle(now time.Time) {
-	for node, known := range c.nodes {
-		if now.Sub(known.lastQueried) >= idleExpiry {
+	for node, state := range c.nodes {
+		if now.Sub(state.lastQueried) >= idleExpiry {
 			delete(c.nodes, node)
 		}
 	}
 }
 
-func (c *Checker) check(node netip.AddrPort, known *nodeState) {
+func (c *Checker) check(node netip.AddrPort, state *nodeState) {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	err := c.config.Connect(ctx, node)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := known.failures
-	known.checking, known.lastChecked = false, c.config.Now()
-	close(known.done)
+	failuresBefore := state.failures
+	state.checking, state.lastChecked = false, c.config.Now()
+	close(state.done)
 	if err == nil {
-		known.failures, known.lastReached = 0, known.lastChecked
+		state.failures, state.lastReached = 0, state.lastChecked
 	} else {
-		known.failures++
+		state.failures++
 	}
 	switch {
-	case before >= failureThreshold && known.failures == 0:
-		c.config.Logger.Info("node reached again", "address", node.String())
-	case before < failureThreshold && known.failures >= failureThreshold:
-		c.config.Logger.Warn("node not reached; callers are not led to it", "address", node.String(), "error", err.Error())
+	case failuresBefore >= failureThreshold && state.failures == 0:
+		c.config.Logger.Info("node reachable again", "address", node.String())
+	case failuresBefore < failureThreshold && state.failures >= failureThreshold:
+		c.config.Logger.Warn("node unreachable; excluding it from directory answers", "address", node.String(), "error", err.Error())
 	}
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -14,101 +14,101 @@
 
 var address = netip.MustParseAddrPort("10.0.0.1:1")
 
-// fake is a node and a clock.
-type fake struct {
+// fakeNode is a node and a clock.
+type fakeNode struct {
 	mu       sync.Mutex
-	gone     bool
+	down     bool
 	now      time.Time
 	attempts chan struct{}
 }
 
-func (f *fake) connect(context.Context, netip.AddrPort) error {
+func (f *fakeNode) connect(context.Context, netip.AddrPort) error {
 	f.mu.Lock()
-	gone := f.gone
+	down := f.down
 	f.mu.Unlock()
 	defer func() { f.attempts <- struct{}{} }()
-	if gone {
-		return errors.New("no answer")
+	if down {
+		return errors.New("connection refused")
 	}
 	return nil
 }
 
-func (f *fake) clock() time.Time {
+func (f *fakeNode) clock() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-func (f *fake) set(gone bool) {
+func (f *fakeNode) setDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gone = gone
+	f.down = down
 }
 
-func (f *fake) pass(d time.Duration) {
+func (f *fakeNode) advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
 }
 
-// ask asks, and waits for the check that this gives rise to.
-func (f *fake) ask(t *testing.T, c *Checker) bool {
+// query calls Reachable and waits for the check that it starts.
+func (f *fakeNode) query(t *testing.T, c *Checker) bool {
 	t.Helper()
-	known := c.Reachable(address)
+	reachable := c.Reachable(address)
 	<-f.attempts
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		checking := c.nodes[address].checking
 		c.mu.Unlock()
 		if !checking {
-			return known
+			return reachable
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the check does not end")
+			t.Fatal("check still running after 10 s")
 		}
 	}
 }
 
 func TestReachable(t *testing.T) {
-	f := &fake{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
+	f := &fakeNode{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
 	c := New(Config{Connect: f.connect, Now: f.clock})
-	if !f.ask(t, c) {
-		t.Error("a node of which nothing is known counts as gone")
+	if !f.query(t, c) {
+		t.Error("a node that was never checked counts as unreachable")
 	}
-	f.set(true)
+	f.setDown(true)
 	for i, want := range []bool{true, true, false, false} {
-		f.pass(checkInterval)
-		if got := f.ask(t, c); got != want {
-			t.Errorf("question %d after the node's end: %v, want %v", i, got, want)
+		f.advance(checkInterval)
+		if got := f.query(t, c); got != want {
+			t.Errorf("query %d after the node went down: reachable %v, want %v", i, got, want)
 		}
 	}
-	f.set(false)
-	f.pass(failedCheckInterval)
-	f.ask(t, c)
+	f.setDown(false)
+	f.advance(failedCheckInterval)
+	f.query(t, c)
 	if !c.Reachable(address) {
-		t.Error("a node that is back counts as gone")
+		t.Error("a node that is up again counts as unreachable")
 	}
 }
 
-func TestANodeIsNotCheckedAtEachQuestion(t *testing.T) {
-	f := &fake{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
+func TestReachableCachesResults(t *testing.T) {
+	f := &fakeNode{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
 	c := New(Config{Connect: f.connect, Now: f.clock})
-	f.ask(t, c)
-	f.pass(checkInterval - time.Millisecond)
+	f.query(t, c)
+	f.advance(checkInterval - time.Millisecond)
 	for range 10 {
 		c.Reachable(address)
 	}
 	select {
 	case <-f.attempts:
-		t.Error("checked again too soon")
+		t.Error("node checked again within the check interval")
 	case <-time.After(20 * time.Millisecond):
 	}
-	f.pass(2 * idleExpiry)
+	f.advance(2 * idleExpiry)
 	c.Reachable(netip.MustParseAddrPort("10.0.0.2:1"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.nodes) != 1 {
-		t.Errorf("%d nodes are kept", len(c.nodes))
+		t.Errorf("%d nodes kept, want 1", len(c.nodes))
 	}
 }
 
@@ -117,25 +117,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	there := listener.Addr().(*net.TCPAddr).AddrPort()
-	if err := connect(t.Context(), there); err != nil {
+	up := listener.Addr().(*net.TCPAddr).AddrPort()
+	if err := connect(t.Context(), up); err != nil {
 		t.Error(err)
 	}
 	_ = listener.Close()
-	if err := connect(t.Context(), there); err == nil {
-		t.Error("a node that is gone was reached")
+	if err := connect(t.Context(), up); err == nil {
+		t.Error("connected to a closed listener")
 	}
 }
 
-// TestANodeOfWhichNothingIsKnownIsAskedFirst: a directory that is asked for the first
-// time names no node that is gone, and does not wait long for it.
-func TestANodeOfWhichNothingIsKnownIsAskedFirst(t *testing.T) {
-	there, gone, dark := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
+// The first query must not report a node as reachable before it was checked.
+func TestUnreachableChecksUnknownNodes(t *testing.T) {
+	up, down, unresponsive := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
 	c := New(Config{Connect: func(ctx context.Context, node netip.AddrPort) error {
 		switch node {
-		case there:
+		case up:
 			return nil
-		case gone:
+		case down:
 			return errors.New("refused")
 		default:
 			<-ctx.Done()
@@ -143,44 +142,45 @@
 		}
 	}})
 	for range 2 {
-		found := c.Unreachable(t.Context(), []netip.AddrPort{dark, there, gone})
-		if !slices.Equal(found, []netip.AddrPort{dark, gone}) {
-			t.Errorf("not reached: %v", found)
+		got := c.Unreachable(t.Context(), []netip.AddrPort{unresponsive, up, down})
+		if !slices.Equal(got, []netip.AddrPort{unresponsive, down}) {
+			t.Errorf("unreachable nodes %v, want %v", got, []netip.AddrPort{unresponsive, down})
 		}
 	}
 }
 
-// TestOneFailureIsForgiven for a node that was reached lately: one packet may be lost.
-func TestOneFailureIsForgiven(t *testing.T) {
-	f := &fake{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
+// One failure, for example a lost packet, must not make a recently reached node
+// unreachable.
+func TestUnreachableToleratesOneFailure(t *testing.T) {
+	f := &fakeNode{now: time.Unix(1000, 0), attempts: make(chan struct{}, 1)}
 	c := New(Config{Connect: f.connect, Now: f.clock})
-	f.ask(t, c)
-	f.set(true)
-	f.pass(checkInterval)
-	f.ask(t, c) // fails
+	f.query(t, c)
+	f.setDown(true)
+	f.advance(checkInterval)
+	f.query(t, c) // fails
 	nodes := []netip.AddrPort{address}
-	if found := c.Unreachable(t.Context(), nodes); len(found) != 0 {
-		t.Error("gone after one failure")
+	if got := c.Unreachable(t.Context(), nodes); len(got) != 0 {
+		t.Error("node unreachable after one failure")
 	}
-	f.pass(reachableTTL - checkInterval)
-	if found := c.Unreachable(t.Context(), nodes); len(found) != 1 {
-		t.Error("not reached for a long time, and counts as there")
+	f.advance(reachableTTL - checkInterval)
+	if got := c.Unreachable(t.Context(), nodes); len(got) != 1 {
+		t.Error("node still reachable after the result expired")
 	}
 }
 
-// TestTheWaitIsOneForAllNodes: several that say nothing take no longer than one.
-func TestTheWaitIsOneForAllNodes(t *testing.T) {
+// Unresponsive nodes must be checked concurrently, within a single timeout.
+func TestUnreachableSharedTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Connect: func(ctx context.Context, _ netip.AddrPort) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}})
-		dark := []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
-		asked := time.Now()
-		found := c.Unreachable(t.Context(), dark)
-		if took := time.Since(asked); len(found) != len(dark) || took != initialCheckTimeout {
-			t.Errorf("%d not reached, after %v", len(found), took)
+		unresponsive := []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
+		started := time.Now()
+		got := c.Unreachable(t.Context(), unresponsive)
+		if took := time.Since(started); len(got) != len(unresponsive) || took != initialCheckTimeout {
+			t.Errorf("%d nodes unreachable after %v, want %d after %v", len(got), took, len(unresponsive), initialCheckTimeout)
 		}
-		time.Sleep(connectTimeout) // the checks end
+		time.Sleep(connectTimeout) // let the checks end
 	})
 }
