--- a/internal/elapsed/elapsed.go
+++ b/internal/elapsed/elapsed.go
@@ -1,8 +1,8 @@
-// Package elapsed tells how much time has gone by, and for how much of it this process has
-// run. A process that is stopped, swapped out or on a machine that stands still does not know
-// it: its timers all fall due at once when it goes on, whatever was to come between them. So
-// what is trusted for its age asks how much time has gone by, and what has to be done in an
-// order, or has been given time to be done in, asks for how long the process has run.
+// Package elapsed measures how much time has passed, and for how much of it this process
+// was running. A process that is stopped, swapped out or suspended with its machine does
+// not notice: its timers all expire at once when it resumes, regardless of their order.
+// Use the elapsed time to judge the age of data, and the active time for timeouts and for
+// sequences of events.
 package elapsed
 
 import (
@@ -15,47 +15,45 @@
 )
 
 const (
-	// readInterval is the time between two readings of the clock. Ten wakes a second are a
-	// thousandth of a processor.
+	// readInterval is the time between two readings of the clock.
 	readInterval = 100 * time.Millisecond
-	// maxActivePerReading is the most that counts as run between two readings: a process that was
-	// stopped shows a long gap, of which it has run for no more than this. Of a call's time
-	// each pause takes this much.
+	// maxActivePerReading bounds the active time between two readings. A longer gap
+	// means that the process was paused; a timeout loses at most this much per pause.
 	maxActivePerReading = readInterval + readInterval/5
-	// pauseThreshold is the least gap between two readings that is called a pause. A busy machine
-	// brings shorter ones, which are lost time as well.
+	// pauseThreshold is the gap between two readings above which a pause is reported.
+	// Shorter gaps, as on a busy machine, still count as paused time.
 	pauseThreshold = 2 * readInterval
 )
 
-// Config is what a Meter is made of. All fields may be left out.
+// Config configures a Meter. All fields are optional.
 type Config struct {
-	// Now is the time since some moment in the past, a suspension of the machine
-	// included; nil means Now of this package.
+	// Now returns a monotonic clock reading that includes time suspended; nil means
+	// Monotonic.
 	Now        func() time.Duration
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Meter measures for how long its process has run. A nil Meter takes all time for run. It is
-// safe for concurrent use.
+// Meter measures the active time of its process. A nil Meter counts all time as active.
+// It is safe for concurrent use.
 type Meter struct {
 	config Config
 	last   atomic.Pointer[reading]
 	pauses prometheus.Counter
 }
 
-// reading is what the clock said at one moment.
+// reading is one reading of the clock.
 type reading struct {
 	at time.Duration
-	// active is for how long the process had run by then.
+	// active is the active time so far.
 	active time.Duration
-	// uninterruptedSince is the end of the last pause, or the start.
+	// uninterruptedSince is the end of the last pause, or the start of the meter.
 	uninterruptedSince time.Duration
-	// takenAt is when it was taken, by the clock of package time.
+	// takenAt is the time of the reading according to package time.
 	takenAt time.Time
 }
 
-// New makes a Meter that counts from now on; Run must be running.
+// New returns a Meter that starts at zero. It measures only while Run is running.
 func New(config Config) *Meter {
 	if config.Now == nil {
 		config.Now = Monotonic
@@ -74,7 +72,7 @@
 	return m
 }
 
-// Run reads the clock until ctx ends, and returns nil then.
+// Run reads the clock periodically until ctx ends, and then returns nil.
 func (m *Meter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
@@ -88,17 +86,17 @@
 	}
 }
 
-// read takes one reading.
+// read stores a new reading and reports a pause before it.
 func (m *Meter) read() {
 	next := m.currentReading()
 	if next.uninterruptedSince == next.at {
 		m.pauses.Inc()
-		m.config.Logger.Warn("the process has not run for a while", "gap", (next.at - m.last.Load().at).String())
+		m.config.Logger.Warn("process was paused", "gap", (next.at - m.last.Load().at).String())
 	}
 	m.last.Store(&next)
 }
 
-// currentReading is the reading that would be taken now.
+// currentReading returns a reading of the present time without storing it.
 func (m *Meter) currentReading() reading {
 	last, now := m.last.Load(), m.config.Now()
 	gap := max(0, now-last.at)
@@ -109,15 +107,15 @@
 	return next
 }
 
-// startTime is what a nil Meter counts from, and startMonotonic what Now was then.
+// startTime and startMonotonic are the readings of both clocks at program start.
 var startTime, startMonotonic = time.Now(), Monotonic()
 
-// Time returns the present time. Differences between two such times count a suspension of the
-// machine, where those of time.Now do not.
+// Time returns the present time. Unlike those of time.Now, differences between two such
+// times include time suspended.
 func Time() time.Time { return startTime.Add(Monotonic() - startMonotonic) }
 
-// ActiveTime returns for how long the process has run. It never falls, and stands still while the
-// process does.
+// ActiveTime returns for how long the process has been running. It never decreases, and
+// does not advance while the process is paused.
 func (m *Meter) ActiveTime() time.Duration {
 	if m == nil {
 		return time.Since(startTime)
@@ -125,9 +123,9 @@
 	return m.currentReading().active
 }
 
-// PausedTime returns for how much of the time the process has not run. It makes no system call, as it
-// is asked at each step of a query, and so counts a suspension of the machine only from the next
-// reading on; the deadline of a query does not count it at all.
+// PausedTime returns for how long the process has been paused. It makes no system call,
+// as it is called at each step of a query, and therefore includes a suspension of the
+// machine only after the next reading. Deadlines of queries do not count suspensions.
 func (m *Meter) PausedTime() time.Duration {
 	if m == nil {
 		return 0
@@ -136,27 +134,27 @@
 	return last.at - last.active + max(0, time.Since(last.takenAt)-maxActivePerReading)
 }
 
-// RanWithoutPause tells whether the process has run for some time without a pause. What came in
-// during a pause may have waited for as long as that lasted.
-func (m *Meter) RanWithoutPause(lasting time.Duration) bool {
+// RanWithoutPause reports whether the process has been running without a pause for at
+// least the given duration. Input received around a pause may be as old as the pause is
+// long.
+func (m *Meter) RanWithoutPause(duration time.Duration) bool {
 	if m == nil {
 		return true
 	}
-	present := m.currentReading()
-	return present.at-present.uninterruptedSince >= lasting
+	current := m.currentReading()
+	return current.at-current.uninterruptedSince >= duration
 }
 
-// WithTimeout returns a context that ends once the process has run for some time, or with its
-// parent.
-func (m *Meter) WithTimeout(parent context.Context, lasting time.Duration) (context.Context, context.CancelFunc) {
+// WithTimeout is like context.WithTimeout, but the timeout counts active time only.
+func (m *Meter) WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if m == nil {
-		return context.WithTimeout(parent, lasting)
+		return context.WithTimeout(parent, timeout)
 	}
 	ctx, cancel := context.WithCancelCause(parent)
-	until := m.ActiveTime() + lasting
+	deadline := m.ActiveTime() + timeout
 	go func() {
-		for left := lasting; left > 0; left = until - m.ActiveTime() {
-			if !sleep(ctx, left) {
+		for remaining := timeout; remaining > 0; remaining = deadline - m.ActiveTime() {
+			if !sleep(ctx, remaining) {
 				return
 			}
 		}
@@ -165,7 +163,7 @@
 	return ctx, func() { cancel(context.Canceled) }
 }
 
-// sleep waits, and returns false when ctx ends first.
+// sleep waits for the given duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/elapsed/elapsed_test.go
+++ b/internal/elapsed/elapsed_test.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
-// paused is a clock that jumps, as that of a process does which was stopped.
-type paused struct {
+// pausableClock is a clock that can jump, as seen by a process that was stopped.
+type pausableClock struct {
 	start   time.Time
 	skipped atomic.Int64
 }
 
-func (p *paused) now() time.Duration { return time.Since(p.start) + time.Duration(p.skipped.Load()) }
+func (c *pausableClock) now() time.Duration {
+	return time.Since(c.start) + time.Duration(c.skipped.Load())
+}
 
-func (p *paused) pause(lasting time.Duration) { p.skipped.Add(int64(lasting)) }
+func (c *pausableClock) pause(length time.Duration) { c.skipped.Add(int64(length)) }
 
-// startMeter runs a Meter on a clock that can jump until the test ends.
-func startMeter(t *testing.T) (*Meter, *paused) {
+// startMeter runs a Meter on a pausable clock until the test ends.
+func startMeter(t *testing.T) (*Meter, *pausableClock) {
 	t.Helper()
-	clock := &paused{start: time.Now()}
+	clock := &pausableClock{start: time.Now()}
 	meter := New(Config{Now: clock.now})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = meter.Run(ctx) }()
@@ -29,35 +31,34 @@
 	return meter, clock
 }
 
-func TestAPauseIsNotTimeThatTheProcessHasRun(t *testing.T) {
+func TestMeterPause(t *testing.T) {
 	for _, pause := range []time.Duration{0, 300 * time.Millisecond, time.Second, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
 			meter, clock := startMeter(t)
 			time.Sleep(time.Second + readInterval/2)
 			before := meter.ActiveTime()
 			clock.pause(pause)
-			if ran := meter.ActiveTime() - before; ran > maxActivePerReading {
-				t.Errorf("right after a pause of %v it has run for %v of it", pause, ran)
+			if active := meter.ActiveTime() - before; active > maxActivePerReading {
+				t.Errorf("active time %v right after a pause of %v, want at most %v", active, pause, maxActivePerReading)
 			}
 			if meter.RanWithoutPause(readInterval) != (pause == 0) {
-				t.Errorf("steady right after a pause of %v: %v", pause, pause != 0)
+				t.Errorf("ran without pause right after a pause of %v: %v", pause, pause != 0)
 			}
 			time.Sleep(time.Second)
-			if ran := meter.ActiveTime() - before; ran < time.Second || ran > time.Second+maxActivePerReading {
-				t.Errorf("ran %v in a second after a pause of %v", ran, pause)
+			if active := meter.ActiveTime() - before; active < time.Second || active > time.Second+maxActivePerReading {
+				t.Errorf("active time %v one second after a pause of %v", active, pause)
 			}
-			if lost := meter.PausedTime(); lost < pause-maxActivePerReading || lost > pause {
-				t.Errorf("lost %v by a pause of %v", lost, pause)
+			if paused := meter.PausedTime(); paused < pause-maxActivePerReading || paused > pause {
+				t.Errorf("paused time %v after a pause of %v", paused, pause)
 			}
 			if !meter.RanWithoutPause(time.Second-readInterval) || meter.RanWithoutPause(time.Minute) {
-				t.Errorf("a second after a pause of %v it does not count as steady for just that", pause)
+				t.Errorf("one second after a pause of %v the time without pause is not about one second", pause)
 			}
 		})
 	}
 }
 
-// TestATimeoutIsOfTimeThatTheProcessRuns: a pause does not use it up.
-func TestATimeoutIsOfTimeThatTheProcessRuns(t *testing.T) {
+func TestWithTimeoutExcludesPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		meter, clock := startMeter(t)
 		time.Sleep(readInterval / 2)
@@ -67,45 +68,43 @@
 		clock.pause(time.Minute)
 		time.Sleep(300 * time.Millisecond)
 		if ctx.Err() != nil {
-			t.Error("a pause has ended it")
+			t.Error("context ended before its timeout of active time")
 		}
 		time.Sleep(300 * time.Millisecond)
 		synctest.Wait()
 		if ctx.Err() == nil || context.Cause(ctx) != context.DeadlineExceeded {
-			t.Errorf("after its time it has ended by %v", context.Cause(ctx))
+			t.Errorf("cause %v after the timeout, want %v", context.Cause(ctx), context.DeadlineExceeded)
 		}
 	})
 }
 
-func TestWithoutAMeterAllTimeIsRun(t *testing.T) {
+func TestNilMeter(t *testing.T) {
 	var meter *Meter
 	synctest.Test(t, func(t *testing.T) {
 		before := meter.ActiveTime()
 		time.Sleep(time.Minute)
-		if ran := meter.ActiveTime() - before; ran != time.Minute || meter.PausedTime() != 0 || !meter.RanWithoutPause(time.Hour) {
-			t.Errorf("ran %v, lost %v", ran, meter.PausedTime())
+		if active := meter.ActiveTime() - before; active != time.Minute || meter.PausedTime() != 0 || !meter.RanWithoutPause(time.Hour) {
+			t.Errorf("active time %v, paused time %v after a minute, want 1m0s and 0s", active, meter.PausedTime())
 		}
 	})
 }
 
-func TestTheClockOfTheMachineGoesOn(t *testing.T) {
+func TestMonotonic(t *testing.T) {
 	before := Monotonic()
 	time.Sleep(20 * time.Millisecond)
-	if gone := Monotonic() - before; gone < 20*time.Millisecond {
-		t.Errorf("%v in 20 ms", gone)
+	if advanced := Monotonic() - before; advanced < 20*time.Millisecond {
+		t.Errorf("clock advanced by %v in 20 ms", advanced)
 	}
 }
 
-// BenchmarkLost: it is asked at each step of a query. 29 ns; by the clock that counts a
-// suspension it takes a system call, and 166 ns (BenchmarkRan).
-func BenchmarkLost(b *testing.B) {
+func BenchmarkPausedTime(b *testing.B) {
 	meter := New(Config{})
 	for b.Loop() {
 		meter.PausedTime()
 	}
 }
 
-func BenchmarkRan(b *testing.B) {
+func BenchmarkActiveTime(b *testing.B) {
 	meter := New(Config{})
 	for b.Loop() {
 		meter.ActiveTime()
--- a/internal/elapsed/monotonic_linux.go
+++ b/internal/elapsed/monotonic_linux.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Monotonic returns the time since the machine was started, of which a suspension is a part
-// (CLOCK_BOOTTIME): the clock of package time stands still while the machine is suspended.
+// Monotonic returns the time since boot, including time suspended (CLOCK_BOOTTIME). The
+// monotonic clock of package time stops while the machine is suspended.
 func Monotonic() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return time.Since(startTime) // a kernel without that clock; a suspension is not seen
+		return time.Since(startTime) // clock not supported; suspensions go undetected
 	}
 	return time.Duration(now.Nano())
 }
--- a/internal/elapsed/monotonic_other.go
+++ b/internal/elapsed/monotonic_other.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// Monotonic returns the time since the program's start. On these systems the clock of package time
-// is used, which may stand still during a suspension of the machine.
-func Monotonic() time.Duration { return time.Since(start) }
+// Monotonic returns the time since program start according to package time, which may not
+// include time suspended.
+func Monotonic() time.Duration { return time.Since(startTime) }
