--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,8 +1,7 @@
-// Package freshness notices that the process was paused (stopped, swapped out,
-// its machine frozen) and keeps it from trusting its policy table until a peer
-// or the store has confirmed it. A paused process does not know that it was
-// paused, so a request that was waiting for it must not be answered from a
-// table that others have replaced long ago.
+// Package freshness detects pauses of the process (stopped, swapped out, machine
+// suspended) and marks the policy table as stale until a peer or the store has confirmed
+// it. After a pause, waiting requests must not be answered from a table that other nodes
+// may have replaced in the meantime.
 package freshness
 
 import (
@@ -15,39 +14,39 @@
 )
 
 const (
-	// readInterval between two readings of the clock.
+	// readInterval is the time between two readings of the clock.
 	readInterval = 200 * time.Millisecond
-	// pauseThreshold is the gap between readings that counts as a pause: well
-	// over a garbage collection or a busy machine, well under the seconds
-	// within which a change must be in force.
+	// pauseThreshold is the gap between readings that counts as a pause. It is well
+	// above the delays of garbage collection or a busy machine, and well below the
+	// seconds within which a change must take effect.
 	pauseThreshold = 1500 * time.Millisecond
-	// confirmTimeout bounds one attempt to confirm.
+	// confirmTimeout bounds one confirmation attempt.
 	confirmTimeout = time.Second
-	// confirmAttempts is how often confirming is tried before the daemon goes
-	// on with what it has: cut off from all peers and the store, nobody can
-	// tell it more.
+	// confirmAttempts is the number of attempts after which the table is used
+	// unconfirmed: a node without peers and store cannot learn of changes.
 	confirmAttempts = 3
 )
 
-// Options are what a Monitor needs.
+// Options configures a Monitor.
 type Options struct {
-	// Confirm asks a peer or the store for the present revisions, takes them
-	// over, and tells whether one of them answered.
+	// Confirm fetches the current revisions from a peer or the store and applies
+	// them. It reports whether one of them answered.
 	Confirm func(ctx context.Context) bool
-	// Now is a monotonic reading; nil means elapsed.Now, which counts a suspension.
+	// Now returns a monotonic clock reading; nil means elapsed.Monotonic, which
+	// includes time suspended.
 	Now    func() time.Duration
 	Logger *slog.Logger
 }
 
-// Monitor watches for pauses of its own process.
+// Monitor detects pauses of its own process.
 type Monitor struct {
 	options Options
-	// lastReading is in nanoseconds of Now.
+	// lastReading is the last reading of Now in nanoseconds.
 	lastReading atomic.Int64
 	confirming  atomic.Bool
 }
 
-// New returns a Monitor that counts from now; Run must be running.
+// New returns a Monitor. It works only while Run is running.
 func New(options Options) *Monitor {
 	if options.Now == nil {
 		options.Now = elapsed.Monotonic
@@ -60,15 +59,16 @@
 	return m
 }
 
-// Fresh tells whether the table may be trusted. It is cheap enough for each
-// query, and true again at the latest after a few failed confirmations.
+// Fresh reports whether the policy table may be used. It is cheap enough to call for each
+// query. After a pause it becomes true again once the table is confirmed or all attempts
+// to confirm it have failed.
 func (m *Monitor) Fresh() bool { return !m.confirming.Load() && !m.paused() }
 
 func (m *Monitor) paused() bool {
 	return m.options.Now()-time.Duration(m.lastReading.Load()) > pauseThreshold
 }
 
-// Run reads the clock until ctx ends, and returns nil then.
+// Run reads the clock periodically until ctx ends, and then returns nil.
 func (m *Monitor) Run(ctx context.Context) error {
 	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
@@ -82,11 +82,11 @@
 	}
 }
 
-// read takes one reading and, after a pause, starts to confirm. The mark is
-// set before the reading, so that no query slips in between.
+// read stores a new reading and starts a confirmation after a pause. It sets confirming
+// before storing the reading, so that Fresh does not return true in between.
 func (m *Monitor) read(ctx context.Context) {
 	if m.paused() && m.confirming.CompareAndSwap(false, true) {
-		m.options.Logger.Warn("the process was paused; confirming the policy table before trusting it")
+		m.options.Logger.Warn("process was paused; confirming the policy table before using it")
 		go m.confirm(ctx)
 	}
 	m.lastReading.Store(int64(m.options.Now()))
@@ -95,13 +95,13 @@
 func (m *Monitor) confirm(ctx context.Context) {
 	defer m.confirming.Store(false)
 	for range confirmAttempts {
-		attempt, cancel := context.WithTimeout(ctx, confirmTimeout)
-		confirmed := m.options.Confirm(attempt)
+		attemptCtx, cancel := context.WithTimeout(ctx, confirmTimeout)
+		confirmed := m.options.Confirm(attemptCtx)
 		cancel()
 		if confirmed {
-			m.options.Logger.Info("the policy table is confirmed after the pause")
+			m.options.Logger.Info("policy table confirmed after the pause")
 			return
 		}
 	}
-	m.options.Logger.Warn("nobody could confirm the policy table; going on with it")
+	m.options.Logger.Warn("policy table not confirmed by any peer or the store; using it unconfirmed")
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-func TestAfterAPauseTheTableIsTrustedOnlyOnceConfirmed(t *testing.T) {
+func TestFreshAfterPause(t *testing.T) {
 	cases := []struct {
-		name    string
-		gap     time.Duration
-		answers bool
-		// confirmAfter is how long each confirmation takes.
-		confirmAfter time.Duration
-		freshAtOnce  bool
-		freshAfter   time.Duration
+		name      string
+		gap       time.Duration
+		confirmed bool
+		// confirmDuration is how long each confirmation takes.
+		confirmDuration  time.Duration
+		freshImmediately bool
+		freshAfter       time.Duration
 	}{
-		{"a short gap", time.Second, true, 0, true, 0},
-		{"a pause, a peer answers", time.Minute, true, 300 * time.Millisecond, false, 600 * time.Millisecond},
-		{"a pause, nobody answers", time.Minute, false, time.Second, false, 4 * time.Second},
+		{"short gap", time.Second, true, 0, true, 0},
+		{"confirmed", time.Minute, true, 300 * time.Millisecond, false, 600 * time.Millisecond},
+		{"not confirmed", time.Minute, false, time.Second, false, 4 * time.Second},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -30,8 +30,8 @@
 				monitor := New(Options{
 					Now: func() time.Duration { return time.Since(start) + time.Duration(skipped.Load()) },
 					Confirm: func(context.Context) bool {
-						time.Sleep(test.confirmAfter)
-						return test.answers
+						time.Sleep(test.confirmDuration)
+						return test.confirmed
 					},
 				})
 				ctx, cancel := context.WithCancel(t.Context())
@@ -41,16 +41,16 @@
 					t.Fatal("not fresh before the gap")
 				}
 				skipped.Add(int64(test.gap))
-				if got := monitor.Fresh(); got != test.freshAtOnce {
-					t.Errorf("fresh right after the gap: %v", got)
+				if got := monitor.Fresh(); got != test.freshImmediately {
+					t.Errorf("right after the gap: fresh %v, want %v", got, test.freshImmediately)
 				}
 				time.Sleep(readInterval + time.Millisecond)
-				if got := monitor.Fresh(); got != test.freshAtOnce {
-					t.Errorf("fresh after the next reading: %v", got)
+				if got := monitor.Fresh(); got != test.freshImmediately {
+					t.Errorf("after the next reading: fresh %v, want %v", got, test.freshImmediately)
 				}
 				time.Sleep(test.freshAfter)
 				if !monitor.Fresh() {
-					t.Error("never fresh again")
+					t.Errorf("not fresh %v after the next reading", test.freshAfter)
 				}
 				cancel()
 				synctest.Wait()
