--- a/internal/topology/node.go
+++ b/internal/topology/node.go
@@ -2,47 +2,47 @@
 
 import "slices"
 
-// Node is one node of the system as it has recorded itself in the store.
+// Node is a node of the system as recorded by itself in the store.
 type Node struct {
-	// ID is unique for each start of the process.
+	// ID is unique per start of the process.
 	ID string `json:"id" msgpack:"i"`
-	// Address is IP:port on which the node takes callers' requests.
+	// Address is the IP:port that serves callers.
 	Address string `json:"address" msgpack:"a"`
-	// PeerAddress is IP:port on which it hears other nodes; empty if it has none.
+	// PeerAddress is the IP:port that serves other nodes; empty if there is none.
 	PeerAddress string `json:"peer_address" msgpack:"p"`
-	// StateAddress is IP:port on which it hands over what it knows of the store.
+	// StateAddress is the IP:port that serves the node's copy of the store.
 	StateAddress string `json:"state_address" msgpack:"s"`
 	Place        Place  `json:"place" msgpack:"l"`
-	// Ready is true while the node takes new callers.
+	// Ready is true while the node accepts new callers.
 	Ready bool `json:"ready" msgpack:"r"`
-	// Overloaded is true while the node has lately had to refuse requests for load, or
-	// has used much of its processor time.
+	// Overloaded is true if the node has recently rejected requests for load or had
+	// high CPU usage.
 	Overloaded bool `json:"loaded,omitempty" msgpack:"o"`
-	// Processors is the processor time that the node may use, in cores.
+	// Processors is the CPU time available to the node, in cores.
 	Processors float64 `json:"processors,omitempty" msgpack:"c"`
 }
 
-// Nodes is every recorded node, sorted by ID.
+// Nodes holds all recorded nodes, sorted by ID.
 type Nodes struct {
 	Self  Node
 	Nodes []Node
-	// EntryNodes are those that callers are led to. They hold the connections to
-	// the replicas and most of the shared retry budget; the others stand by.
+	// EntryNodes are the nodes that callers are directed to. They hold the connections
+	// to the replicas and most of the shared retry budget; the other nodes stand by.
 	EntryNodes []Node
-	// BudgetShares is the number of entry nodes, present or of late, that a shared
-	// budget is divided by.
+	// BudgetShares is the number of current and recent entry nodes that the shared
+	// retry budget is divided by.
 	BudgetShares int
-	// Suspected are the IDs of nodes that are recorded and do not answer. They count
-	// as not ready in Nodes.
+	// Suspected are the IDs of recorded nodes that do not respond. They are not ready
+	// in Nodes.
 	Suspected []string
 }
 
-// SelfIsEntry tells whether callers are led to this node.
+// SelfIsEntry reports whether this node is an entry node.
 func (n *Nodes) SelfIsEntry() bool {
 	return slices.ContainsFunc(n.EntryNodes, func(entry Node) bool { return entry.ID == n.Self.ID })
 }
 
-// WithUnready returns a copy in which some nodes are not ready.
+// WithUnready returns a copy in which the nodes with the given IDs are not ready.
 func (n *Nodes) WithUnready(ids []string) *Nodes {
 	changed := *n
 	changed.Nodes = slices.Clone(n.Nodes)
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,29 +1,28 @@
-// Package topology describes the machines that a daemon knows as immutable
-// data: the daemons of the system (members) and the replicas of the back ends.
+// Package topology describes the known processes as immutable data: the daemons of the
+// system (members) and the replicas of the back ends.
 package topology
 
 import "time"
 
-// Place is where a process runs.
+// Place is the location of a process.
 type Place struct {
 	Region string `json:"region" msgpack:"r" yaml:"region"`
 	Zone   string `json:"zone" msgpack:"z" yaml:"zone"`
 }
 
-// Distance is how far two places are from each other.
+// Distance is the distance between two places.
 type Distance int
 
-// The distances, nearest first.
+// Distances in ascending order.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// distanceNames are the names of the distances in metrics.
+// distanceNames are label values in metrics.
 var distanceNames = [...]string{SameZone: "zone", SameRegion: "region", OtherRegion: "far"}
 
-// String returns the name of a distance.
 func (d Distance) String() string { return distanceNames[d] }
 
 // DistanceTo returns the distance between two places.
@@ -38,10 +37,10 @@
 	}
 }
 
-// MemberState is what is believed of a daemon.
+// MemberState is the state of a daemon in the membership protocol.
 type MemberState uint8
 
-// The states of a member. A higher state wins at equal incarnation.
+// Member states. At equal incarnation, a higher state takes precedence.
 const (
 	MemberAlive MemberState = iota
 	MemberSuspect
@@ -50,55 +49,57 @@
 	MemberLeft
 )
 
-// Member is one daemon.
+// Member is a daemon as known to the membership protocol.
 type Member struct {
-	// ID is the daemon's name, unique for each start of the process.
+	// ID is unique per start of the process.
 	ID string `json:"id" msgpack:"i"`
-	// PeerAddress is IP:port of the internal protocol.
+	// PeerAddress is the IP:port of the internal protocol.
 	PeerAddress string `json:"peer_address" msgpack:"a"`
 	Place       Place  `json:"place" msgpack:"p"`
-	// Incarnation is raised by the member itself to refute suspicion.
+	// Incarnation is incremented by the member itself to refute a suspicion.
 	Incarnation uint64      `json:"incarnation" msgpack:"n"`
 	State       MemberState `json:"state" msgpack:"s"`
 }
 
-// Members is every daemon known, sorted by ID.
+// Members holds all known daemons, sorted by ID.
 type Members struct {
 	Self    Member   `json:"self"`
 	Members []Member `json:"members"`
-	// Standby is true while this daemon holds connections only for the few
-	// requests that come to it all the same.
+	// Standby is true while this daemon is not an entry node. It then holds
+	// connections only for the few requests that it still receives.
 	Standby bool `json:"standby,omitempty"`
-	// ColdRateSharers are the IDs of the daemons that divide among themselves what a cold
-	// replica takes: those that callers are led to, present or of late.
+	// ColdRateSharers are the IDs of the daemons that share the request rate of cold
+	// replicas: the current and recent entry nodes.
 	ColdRateSharers []string `json:"sharing,omitempty"`
 }
 
-// ReplicaState is what is believed of a back-end replica.
+// ReplicaState is the state of a back-end replica.
 type ReplicaState uint8
 
-// The states of a replica.
+// Replica states.
 const (
-	// ReplicaServing takes requests.
+	// ReplicaServing accepts requests.
 	ReplicaServing ReplicaState = iota
-	// ReplicaCold has started lately and takes few requests.
+	// ReplicaCold has recently started and is sent few requests.
 	ReplicaCold
-	// ReplicaLeaving takes no new requests, for good, at this incarnation.
+	// ReplicaLeaving accepts no new requests. The state is final for the incarnation.
 	ReplicaLeaving
-	// ReplicaMissing is no longer listed, without having said that it leaves;
-	// it takes requests only when no other replica is left.
+	// ReplicaMissing is no longer listed but has not announced that it leaves. It is
+	// sent requests only if no other replica is left.
 	ReplicaMissing
-	// ReplicaEvacuated stands in a zone to which operators want nothing sent. It may
-	// serve again, and is cold then.
+	// ReplicaEvacuated is in a zone that operators have evacuated. It is sent no
+	// requests, and is cold if it serves again.
 	ReplicaEvacuated
 )
 
-// AcceptsRequests is true for the states in which a replica may be sent requests.
-func (s ReplicaState) AcceptsRequests() bool { return s != ReplicaLeaving && s != ReplicaEvacuated }
+// AcceptsRequests reports whether a replica in this state may be sent requests.
+func (s ReplicaState) AcceptsRequests() bool {
+	return s != ReplicaLeaving && s != ReplicaEvacuated
+}
 
-// Replica is one back-end process.
+// Replica is a back-end process.
 type Replica struct {
-	// Address is IP:port. Address and Incarnation together name one process.
+	// Address is the IP:port. Address and Incarnation together identify a process.
 	Address     string `json:"address" msgpack:"a"`
 	Incarnation string `json:"incarnation" msgpack:"n"`
 	// Group names the replicas that hold the same shards, or the service for
@@ -106,23 +107,23 @@
 	Group string       `json:"group" msgpack:"g"`
 	Place Place        `json:"place" msgpack:"p"`
 	State ReplicaState `json:"state" msgpack:"s"`
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that the replica runs concurrently.
 	Slots int `json:"slots" msgpack:"l"`
-	// ConnectionLimit is the number of connections it accepts from all
+	// ConnectionLimit is the number of connections that the replica accepts from all
 	// daemons together.
 	ConnectionLimit int `json:"connection_limit" msgpack:"c"`
-	// StartedAt is when the replica has started; zero when it does not say. A replica that
-	// starts again under its identifier is told from the one before by it.
+	// StartedAt is when the replica started; zero if unknown. It distinguishes a
+	// restarted replica from its predecessor with the same identifier.
 	StartedAt time.Time `json:"born,omitzero" msgpack:"b,omitempty"`
-	// ColdRemaining is how much longer the replica is cold, as of its entry; 0 when it does
-	// not say.
+	// ColdRemaining is how much longer the replica is cold, as of its entry; 0 if
+	// unknown.
 	ColdRemaining time.Duration `json:"cold_for,omitempty" msgpack:"f,omitempty"`
-	// ColdRate is the number of requests that all nodes together send it in any one
-	// second while it is cold; 0 means that they are not bounded.
+	// ColdRate is the maximum number of requests per second that all nodes together
+	// send to the replica while it is cold; 0 means unlimited.
 	ColdRate int `json:"cold_rate,omitempty" msgpack:"r,omitempty"`
 }
 
-// Replicas is every replica known, by group; each group is sorted by address.
+// Replicas holds all known replicas by group, each group sorted by address.
 type Replicas struct {
 	Groups map[string][]Replica `json:"groups"`
 }
