--- a/internal/follower/cold.go
+++ b/internal/follower/cold.go
@@ -7,16 +7,16 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// service returns what the configuration in force states of a group.
+// service returns the settings of a group in the active configuration.
 func (s *state) service(group string) routing.Service {
-	if s.adoption.inForce == nil {
+	if s.activation.active == nil {
 		return routing.Service{}
 	}
-	return s.adoption.inForce.Services[group]
+	return s.activation.active.Services[group]
 }
 
-// coldUntil is when a replica is warm at the latest, as its entry has just said; zero
-// when it does not say. While the store is away no entry tells that it is warm.
+// coldUntil returns when a replica's cold period ends according to its entry; zero when the entry
+// does not say. The deadline is needed because entries are not updated during a store outage.
 func (s *state) coldUntil(replica topology.Replica) time.Time {
 	if replica.ColdRemaining == 0 {
 		return time.Time{}
@@ -24,29 +24,31 @@
 	return s.options.Now().Add(replica.ColdRemaining)
 }
 
-// coldEnd is when a replica is warm by its time: as its entry says, and a while after
-// its zone was evacuated. Zero when nothing is known of either.
-func (s *state) coldEnd(entry *replicaEntry) time.Time {
+// coldEndsAt returns when a replica's cold period ends, by its entry or by the end of its zone's
+// evacuation, whichever is later; zero when neither applies.
+func (s *state) coldEndsAt(entry *replicaEntry) time.Time {
 	end := entry.coldUntil
 	service := s.service(entry.replica.Group)
-	readmitted, found := s.readmitted[entry.replica.Place.Zone]
+	endedAt, found := s.evacuationEnded[entry.replica.Place.Zone]
 	if found && service.ColdRate > 0 {
-		if after := readmitted.Add(service.ColdDuration); after.After(end) {
+		if after := endedAt.Add(service.ColdDuration); after.After(end) {
 			end = after
 		}
 	}
 	return end
 }
 
-// isCold tells whether a replica is cold, also one whose entry is gone: it is asked while
-// no other is left, and falls over as before.
+// isCold reports whether a replica is cold. A replica without an entry stays cold, since it is a
+// last resort and can still be overloaded.
 func (s *state) isCold(now time.Time, entry *replicaEntry) bool {
-	end := s.coldEnd(entry)
+	end := s.coldEndsAt(entry)
 	if end.IsZero() {
 		return entry.replica.State == topology.ReplicaCold
 	}
 	return now.Before(end)
 }
 
-// warmed tells whether a replica that was published as cold is warm by its time.
-func (s *state) warmed(now time.Time) bool { return !s.warmAt.IsZero() && !now.Before(s.warmAt) }
+// hasWarmedUp reports whether the cold period of a replica that was published as cold is over.
+func (s *state) hasWarmedUp(now time.Time) bool {
+	return !s.nextWarmAt.IsZero() && !now.Before(s.nextWarmAt)
+}
--- a/internal/follower/event_loop.go
+++ b/internal/follower/event_loop.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// ask attends while a question to the store, which must end by itself, waits for its answer.
-func (f *Follower) ask(question func()) { f.attendFrom(f.options.Now(), question) }
+// callStore runs a call to the store while handling events. The call must be bounded by its own
+// timeout.
+func (f *Follower) callStore(call func()) { f.handleEvents(f.options.Now(), call) }
 
-// attend publishes what falls due and hears other nodes while some
-// work, which must end by itself, waits for an answer.
-func (f *Follower) attend(work func()) { f.attendFrom(time.Time{}, work) }
+// handleEventsDuring runs work while handling events. The work must be bounded by its own timeout.
+func (f *Follower) handleEventsDuring(work func()) { f.handleEvents(time.Time{}, work) }
 
-// attendFrom is attend; asked is when the store was asked, zero when it was not.
-func (f *Follower) attendFrom(asked time.Time, work func()) {
+// handleEvents publishes state as it falls due and handles messages from peers until work returns.
+// calledAt is when the store call began, or zero if work does not call the store.
+func (f *Follower) handleEvents(calledAt time.Time, work func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -21,51 +22,51 @@
 	}()
 	for {
 		f.state.publish(f.options.Now())
-		f.noteUnanswered(asked)
-		f.allow()
-		timer := time.NewTimer(min(f.untilDue(), f.options.share(askShare)))
+		f.recordUnanswered(calledAt)
+		f.publishWindow()
+		timer := time.NewTimer(min(f.untilDeadline(), f.options.fraction(callTimeoutFraction)))
 		select {
 		case <-done:
 			timer.Stop()
 			return
 		case <-timer.C:
-		case news := <-f.options.Announcer.Received():
-			f.told(news)
-		case found := <-f.suspected:
-			f.suspect(found)
+		case announcement := <-f.options.Announcer.Received():
+			f.handleAnnouncement(announcement)
+		case suspicions := <-f.suspected:
+			f.handleSuspicions(suspicions)
 		}
 		timer.Stop()
 	}
 }
 
-// noteUnanswered notes that a question asked some time ago has found nobody so far, once it has
-// waited for long enough. After a pause of the process that cannot be told: its answer may lie
-// unread.
-func (f *Follower) noteUnanswered(asked time.Time) {
-	patience := f.options.share(askShare)
-	unanswered := f.options.Now().Add(-patience)
-	if !asked.IsZero() && !unanswered.Before(asked) && f.options.RanWithoutPause(patience) {
-		f.validity.tried(unanswered)
+// recordUnanswered records an attempt without an answer once the store call has lasted longer than
+// the call timeout. After a pause of the process the answer may be waiting unread, so nothing is
+// recorded then.
+func (f *Follower) recordUnanswered(calledAt time.Time) {
+	timeout := f.options.fraction(callTimeoutFraction)
+	startedAt := f.options.Now().Add(-timeout)
+	if !calledAt.IsZero() && !startedAt.Before(calledAt) && f.options.RanWithoutPause(timeout) {
+		f.validity.recordFailedAttempt(startedAt)
 	}
 }
 
-// untilDue is the time until the state has to be published anew at the latest.
-func (f *Follower) untilDue() time.Duration {
-	at := f.state.dueAt()
+// untilDeadline returns the time until the state must be published again.
+func (f *Follower) untilDeadline() time.Duration {
+	at := f.state.nextDeadline()
 	if at.IsZero() {
-		return longestPause
+		return maxBackoff
 	}
 	return at.Sub(f.options.Now())
 }
 
-// wait lets some time pass, and ends sooner when another node knows more, or a
-// request cannot be handled before the store was asked.
-func (f *Follower) wait(ctx context.Context, pause time.Duration) {
-	until := f.options.Now().Add(pause)
+// waitForRetry waits for the backoff to pass. It returns early when a peer has announced a newer
+// revision, or when a request needs fresh state.
+func (f *Follower) waitForRetry(ctx context.Context, backoff time.Duration) {
+	until := f.options.Now().Add(backoff)
 	for {
 		f.state.publish(f.options.Now())
-		f.allow()
-		timer := time.NewTimer(min(until.Sub(f.options.Now()), f.untilDue()))
+		f.publishWindow()
+		timer := time.NewTimer(min(until.Sub(f.options.Now()), f.untilDeadline()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -74,16 +75,16 @@
 			if !f.options.Now().Before(until) {
 				return
 			}
-		case news := <-f.options.Announcer.Received():
-			f.told(news)
-			if f.staleness.confirmed > f.staleness.known {
+		case announcement := <-f.options.Announcer.Received():
+			f.handleAnnouncement(announcement)
+			if f.staleness.confirmed > f.staleness.applied {
 				timer.Stop()
 				return
 			}
-		case found := <-f.suspected:
-			f.suspect(found)
-		case <-f.asked:
-			if !f.permit.Load().holds(f.options.Now()) {
+		case suspicions := <-f.suspected:
+			f.handleSuspicions(suspicions)
+		case <-f.refreshRequested:
+			if !f.window.Load().contains(f.options.Now()) {
 				timer.Stop()
 				return
 			}
--- a/internal/follower/restore.go
+++ b/internal/follower/restore.go
@@ -7,65 +7,64 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// The store may come back from a copy that is some seconds old. What was written since is
-// missing in it until its writers have written it again, and what was removed since is there
-// again. Nothing that it lacks is taken for gone before its writer has had the time.
+// The store may be restored from a backup that is some seconds old. Recent writes are missing from
+// it until their writers repeat them, and recently deleted entries reappear. Missing entries are
+// retained until their writers have had time to write them again.
 
 const (
-	// rewriteTime is how long replicas and operators may take to write again: the users'
-	// platform says about two seconds from the store's return; a second more is for the
-	// news of it.
-	rewriteTime = 3 * time.Second
-	// nodeRewriteTime is how long nodes may take. They spread their writes over some
-	// seconds, and those that the store refuses are made again up to four seconds later
-	// (package registry). One that is gone is found out by the others meanwhile.
-	nodeRewriteTime = 15 * time.Second
+	// rewriteGrace is how long replicas and operators may take to write again: about two seconds
+	// after the store's return, and a second to learn of it.
+	rewriteGrace = 3 * time.Second
+	// nodeRewriteGrace is how long nodes may take. They spread their writes over several seconds
+	// and retry those that the store rejects (package registry). Dead nodes are detected by their
+	// peers in the meantime.
+	nodeRewriteGrace = 15 * time.Second
 )
 
-// replaceByCopy takes in the first whole reading of a later era of the store. Entries that it
-// lacks stay for a while. Those who watch this node are told only what differs: they keep
-// the rest as it is.
-func (s *state) replaceByCopy(now time.Time, values []store.KeyValue) {
-	s.takeAll(values, s.putOfCopy, func(key string) { s.missInCopy(now, key) })
+// replaceAfterRestore applies the first full listing of a later era. Missing entries are retained
+// for a while, and only differences are published to the feed.
+func (s *state) replaceAfterRestore(now time.Time, values []store.KeyValue) {
+	s.applyAll(values, s.putRestored, func(key string) { s.retainMissing(now, key) })
 }
 
-// putOfCopy takes in an entry that may be the one that is known.
-func (s *state) putOfCopy(value store.KeyValue) {
-	known, found := s.values[value.Key]
-	told := len(s.unpublished)
+// putRestored applies an entry without publishing it to the feed if its value is unchanged.
+func (s *state) putRestored(value store.KeyValue) {
+	previous, found := s.values[value.Key]
+	pending := len(s.pendingEvents)
 	s.put(value)
-	if found && bytes.Equal(known.Value, value.Value) {
-		s.unpublished = s.unpublished[:told]
+	if found && bytes.Equal(previous.Value, value.Value) {
+		s.pendingEvents = s.pendingEvents[:pending]
 	}
 }
 
-// missInCopy keeps an entry that a copy lacks for as long as its writer may take. Quarantined
-// requests are written again by the nodes that know them, which go on refusing them.
-func (s *state) missInCopy(now time.Time, key string) {
-	wait := rewriteTime
+// retainMissing retains an entry that is missing from the restored store until its writer's grace
+// period ends. Quarantine entries are removed at once: nodes that hold them go on rejecting these
+// requests and write them again.
+func (s *state) retainMissing(now time.Time, key string) {
+	grace := rewriteGrace
 	switch {
 	case hasPrefix(key, s.options.Keys.Quarantine):
 		s.remove(now, key)
 		return
 	case hasPrefix(key, s.options.Keys.Nodes):
-		wait = nodeRewriteTime
+		grace = nodeRewriteGrace
 	}
-	s.unproved[key] = now.Add(wait)
+	s.retained[key] = now.Add(grace)
 }
 
-// forgetUnproved takes for gone what has not been written again in time.
-func (s *state) forgetUnproved(now time.Time) {
-	for key, until := range s.unproved {
+// expireRetained removes entries that were not written again in time.
+func (s *state) expireRetained(now time.Time) {
+	for key, until := range s.retained {
 		if !now.Before(until) {
 			s.remove(now, key)
 		}
 	}
 }
 
-// provedAt is when the next entry that a copy lacks is taken for gone; zero when there is none.
-func (s *state) provedAt() time.Time {
+// nextRetainedExpiry returns when the next retained entry expires; zero when none is retained.
+func (s *state) nextRetainedExpiry() time.Time {
 	var next time.Time
-	for _, until := range s.unproved {
+	for _, until := range s.retained {
 		next = earliest(next, until)
 	}
 	return next
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -15,57 +15,55 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// sharedMemory is how long a node to which callers are not led any more still
-// counts for what entry nodes share: it may be there and have lost its record
-// only, and what it has spent counts for a while.
-const sharedMemory = 30 * time.Second
+// formerEntryRetention is how long a former entry node still counts in dividing shared limits. It
+// may be alive with only its entry lost, and its recent use counts too.
+const formerEntryRetention = 30 * time.Second
 
-// state is what the follower knows. It belongs to the follower's goroutine.
+// state is the follower's view of the store. Only the follower's goroutine may use it, apart from
+// publishedSuspects.
 type state struct {
 	options  *Options
 	replicas map[string]replicaEntry
 	nodes    map[string]nodeEntry
-	// evacuated are the zones to whose replicas nothing is to be sent.
+	// evacuated are the zones whose replicas receive no requests.
 	evacuated map[string]bool
-	// readmitted says since when zones that were evacuated are so no more.
-	readmitted map[string]time.Time
-	// values are the store's, as they are handed over to other nodes.
+	// evacuationEnded maps zones that were evacuated to the end of the evacuation.
+	evacuationEnded map[string]time.Time
+	// values are the store's entries, as served to peers.
 	values        map[string]store.KeyValue
 	valuesChanged bool
-	// unpublished are the changes of values that other nodes have not been told.
-	unpublished []store.Event
-	// entryUntil says until when a node was one to which callers are led; zero
-	// while it is one.
-	entryUntil map[string]time.Time
-
-	// suspects are the nodes that do not answer; toldSuspects is what other nodes are
-	// told of them, nil while there are none.
-	suspects     suspects
-	toldSuspects atomic.Pointer[suspects]
-	adoption     adoption
-	// leaving and gone are the replicas that have said so, or vanished, since the last
-	// publication; they are logged with it.
+	// pendingEvents are the changes of values not yet published to the feed.
+	pendingEvents []store.Event
+	// entryNodeUntil maps entry nodes to when they ceased to be one; zero for current ones.
+	entryNodeUntil map[string]time.Time
+
+	// suspects are the nodes that do not respond; publishedSuspects is a copy for other goroutines,
+	// nil when there are none.
+	suspects          suspects
+	publishedSuspects atomic.Pointer[suspects]
+	activation        activation
+	// leaving and gone are the replicas that announced leaving, or whose entries went, since the
+	// last publication. They are logged with it.
 	leaving, gone   []topology.Replica
 	replicasChanged bool
 	nodesChanged    bool
-	// warmAt is when the next replica that was published as cold is warm by its time;
-	// zero while there is none.
-	warmAt time.Time
-	// unproved says until when entries are kept that the store's copy lacks.
-	unproved map[string]time.Time
-	// departed are the replicas whose entries have gone, as they were at last.
+	// nextWarmAt is when the next published cold replica becomes warm; zero when there is none.
+	nextWarmAt time.Time
+	// retained maps entries missing from a restored store to when they expire.
+	retained map[string]time.Time
+	// departed are the replicas whose entries are gone.
 	departed map[string]departedReplica
-	// unusable are the keys of entries that name no replica, and were logged.
-	unusable map[string]bool
+	// loggedUnusable are the keys whose unusable entries have been logged.
+	loggedUnusable map[string]bool
 }
 
 type replicaEntry struct {
 	replica  topology.Replica
 	revision int64
-	// goneAt is when the entry was found to be gone; zero while it is there.
+	// goneAt is when the entry was found missing; zero while it exists.
 	goneAt time.Time
-	// coldUntil is when the replica is warm at the latest, as its entry says; zero when
-	// it says nothing of that.
+	// coldUntil is when the cold period ends according to the entry; zero when the entry does not
+	// say.
 	coldUntil time.Time
 }
 
@@ -76,33 +74,34 @@
 
 func newState(options *Options) *state {
 	return &state{
-		options:    options,
-		replicas:   make(map[string]replicaEntry),
-		nodes:      make(map[string]nodeEntry),
-		evacuated:  make(map[string]bool),
-		readmitted: make(map[string]time.Time),
-		values:     make(map[string]store.KeyValue),
-		entryUntil: make(map[string]time.Time),
-		unproved:   make(map[string]time.Time),
-		departed:   make(map[string]departedReplica),
-		unusable:   make(map[string]bool),
-		suspects:   make(suspects),
-		adoption:   adoption{wait: options.share(adoptShare)},
+		options:         options,
+		replicas:        make(map[string]replicaEntry),
+		nodes:           make(map[string]nodeEntry),
+		evacuated:       make(map[string]bool),
+		evacuationEnded: make(map[string]time.Time),
+		values:          make(map[string]store.KeyValue),
+		entryNodeUntil:  make(map[string]time.Time),
+		retained:        make(map[string]time.Time),
+		departed:        make(map[string]departedReplica),
+		loggedUnusable:  make(map[string]bool),
+		suspects:        make(suspects),
+		activation:      activation{wait: options.fraction(activationFraction)},
 	}
 }
 
-// replace takes in a whole reading: entries that it lacks are gone, but for those that a copy
-// has lacked a short while ago.
+// replace applies a full listing. Missing entries are removed, except for those retained after a
+// restore.
 func (s *state) replace(now time.Time, values []store.KeyValue) {
-	s.takeAll(values, s.put, func(key string) {
-		if _, kept := s.unproved[key]; !kept {
+	s.applyAll(values, s.put, func(key string) {
+		if _, kept := s.retained[key]; !kept {
 			s.remove(now, key)
 		}
 	})
 }
 
-// takeAll puts each entry of a whole reading, then hands over the keys that it lacks.
-func (s *state) takeAll(values []store.KeyValue, put func(store.KeyValue), lacks func(key string)) {
+// applyAll calls put for each entry of a full listing, and missing for each known key that it
+// lacks.
+func (s *state) applyAll(values []store.KeyValue, put func(store.KeyValue), missing func(key string)) {
 	present := make(map[string]bool, len(values))
 	for _, value := range values {
 		present[value.Key] = true
@@ -110,12 +109,12 @@
 	}
 	for key := range s.values {
 		if !present[key] {
-			lacks(key)
+			missing(key)
 		}
 	}
 }
 
-// apply takes in one event of a watch.
+// apply applies one event of a watch.
 func (s *state) apply(now time.Time, event store.Event) {
 	if event.Deleted {
 		s.remove(now, event.KeyValue.Key)
@@ -129,14 +128,14 @@
 		s.putReplica(value)
 		return
 	}
-	isNew := s.keep(value)
+	isNew := s.recordValue(value)
 	switch {
 	case value.Key == s.options.Keys.Configuration:
 		s.putTable(value)
 	case hasPrefix(value.Key, s.options.Keys.Evacuations):
 		s.evacuate(value.Key[len(s.options.Keys.Evacuations):])
 	case hasPrefix(value.Key, s.options.Keys.Quarantine):
-		if isNew { // its time counts from when it is first seen
+		if isNew { // the quarantine period starts when the entry is first seen
 			s.options.Quarantine.Adopt(value.Key[len(s.options.Keys.Quarantine):], value.Value)
 		}
 	case hasPrefix(value.Key, s.options.Keys.Nodes):
@@ -144,59 +143,61 @@
 	}
 }
 
-// keep keeps an entry for other nodes, and tells whether it is newer than the one before.
-func (s *state) keep(value store.KeyValue) (isNew bool) {
-	delete(s.unproved, value.Key)
-	known := s.values[value.Key].ModRevision
-	if value.ModRevision >= known {
+// recordValue records an entry for peers. It reports whether the entry is newer than the one
+// before.
+func (s *state) recordValue(value store.KeyValue) (isNew bool) {
+	delete(s.retained, value.Key)
+	previous := s.values[value.Key].ModRevision
+	if value.ModRevision >= previous {
 		s.values[value.Key] = value
 		s.valuesChanged = true
-		s.unpublished = append(s.unpublished, store.Event{KeyValue: value})
+		s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: value})
 	}
-	return value.ModRevision > known
+	return value.ModRevision > previous
 }
 
-// putTable takes a configuration in.
+// putTable decodes a configuration and offers it for activation.
 func (s *state) putTable(value store.KeyValue) {
 	table, err := s.options.Decoder.Routes(value.Value)
 	if err != nil {
-		s.options.Logger.Error("configuration refused; keeping the one in force", "error", err.Error(), "revision", value.ModRevision)
+		s.options.Logger.Error("invalid configuration rejected; keeping the active one", "error", err.Error(), "revision", value.ModRevision)
 		return
 	}
-	s.adoption.offer(table)
+	s.activation.offer(table)
 }
 
-// putReplica takes a replica's entry in, unless a copy of the store shows one that is over.
+// putReplica applies a replica's entry, unless it is outdated or a restored store has brought back
+// a departed replica's.
 func (s *state) putReplica(value store.KeyValue) {
-	if s.isOfDeparted(value) {
+	if s.isFromDeparted(value) {
 		return
 	}
-	known, found := s.replicas[value.Key]
-	if found && value.ModRevision < known.revision {
+	previous, found := s.replicas[value.Key]
+	if found && value.ModRevision < previous.revision {
 		return
 	}
 	replica, err := s.options.Decoder.Replica(value.Key, value.Value)
 	switch {
 	case err != nil:
-		s.keep(value)
-		s.refuseReplica(value.Key, err)
+		s.recordValue(value)
+		s.rejectReplica(value.Key, err)
 		return
-	case replica.StartedAt.Before(s.bornAt(value.Key)):
-		s.refuseReplica(value.Key, errEarlierLife)
+	case replica.StartedAt.Before(s.startTime(value.Key)):
+		s.rejectReplica(value.Key, errEarlierInstance)
 		return
 	}
-	s.keep(value)
-	delete(s.unusable, value.Key)
+	s.recordValue(value)
+	delete(s.loggedUnusable, value.Key)
 	replica.Place.Region = s.options.Regions[replica.Place.Zone]
 	entry := replicaEntry{revision: value.ModRevision, coldUntil: s.coldUntil(replica)}
-	replica.ColdRemaining = 0 // it changes with each entry
+	replica.ColdRemaining = 0 // changes with each entry
 	if s.isLeaving(value.Key, replica.StartedAt) {
 		replica.State = topology.ReplicaLeaving
 	}
 	entry.replica = replica
 	s.replicas[value.Key] = entry
 	now := s.options.Now()
-	if found && known.goneAt.IsZero() && known.replica == replica && s.stateOf(now, &known) == s.stateOf(now, &entry) {
+	if found && previous.goneAt.IsZero() && previous.replica == replica && s.stateOf(now, &previous) == s.stateOf(now, &entry) {
 		return
 	}
 	s.replicasChanged = true
@@ -205,45 +206,45 @@
 	}
 }
 
-// errForeignNode refuses an entry that no node has written of itself.
-var errForeignNode = eris.New("the entry names another node than its key")
+// errNodeIDMismatch rejects an entry that was not written by the node of its key.
+var errNodeIDMismatch = eris.New("node ID does not match the key")
 
 func (s *state) putNode(value store.KeyValue) {
-	known, found := s.nodes[value.Key]
-	if found && value.ModRevision < known.revision {
+	previous, found := s.nodes[value.Key]
+	if found && value.ModRevision < previous.revision {
 		return
 	}
 	var node topology.Node
 	err := json.Unmarshal(value.Value, &node)
 	if err == nil && s.options.Keys.Nodes+node.ID != value.Key {
-		err = errForeignNode
+		err = errNodeIDMismatch
 	}
 	if err != nil {
-		s.options.Logger.Error("node's entry refused; keeping the one before", "key", value.Key, "error", err.Error())
+		s.options.Logger.Error("invalid node entry rejected; keeping the previous one", "key", value.Key, "error", err.Error())
 		return
 	}
-	started := s.suspects.clear(node.ID) // it has just written this
-	s.nodesChanged = s.nodesChanged || started || !found || known.node != node
+	wasSuspected := s.suspects.clear(node.ID) // the node has just written the entry
+	s.nodesChanged = s.nodesChanged || wasSuspected || !found || previous.node != node
 	s.nodes[value.Key] = nodeEntry{node: node, revision: value.ModRevision}
 }
 
 func (s *state) remove(now time.Time, key string) {
 	if last, found := s.values[key]; found && hasPrefix(key, s.options.Keys.Replicas) {
 		s.departed[key] = departedReplica{
-			entry: last, born: s.bornAt(key), leaving: s.isLeaving(key, s.bornAt(key)), until: now.Add(departedMemory),
+			entry: last, startedAt: s.startTime(key), leaving: s.isLeaving(key, s.startTime(key)), expiresAt: now.Add(departedRetention),
 		}
 	}
-	delete(s.unproved, key)
-	delete(s.unusable, key)
+	delete(s.retained, key)
+	delete(s.loggedUnusable, key)
 	delete(s.values, key)
 	s.valuesChanged = true
-	s.unpublished = append(s.unpublished, store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true})
-	s.replicaGone(now, key)
+	s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true})
+	s.markReplicaGone(now, key)
 	if hasPrefix(key, s.options.Keys.Quarantine) {
 		s.options.Quarantine.Forgotten(key[len(s.options.Keys.Quarantine):])
 	}
 	if hasPrefix(key, s.options.Keys.Evacuations) {
-		s.readmit(now, key[len(s.options.Keys.Evacuations):])
+		s.endEvacuation(now, key[len(s.options.Keys.Evacuations):])
 	}
 	if known, found := s.nodes[key]; found {
 		delete(s.nodes, key)
@@ -252,8 +253,8 @@
 	}
 }
 
-// replicaGone notes that a replica has no entry that names it.
-func (s *state) replicaGone(now time.Time, key string) {
+// markReplicaGone records that a replica has no valid entry.
+func (s *state) markReplicaGone(now time.Time, key string) {
 	known, found := s.replicas[key]
 	if !found || !known.goneAt.IsZero() {
 		return
@@ -264,8 +265,8 @@
 	s.gone = append(s.gone, known.replica)
 }
 
-// list returns the store's values, in no order.
-func (s *state) list() []store.KeyValue {
+// listValues returns the store's entries in no particular order.
+func (s *state) listValues() []store.KeyValue {
 	values := make([]store.KeyValue, 0, len(s.values))
 	for _, value := range s.values {
 		values = append(values, value)
@@ -273,20 +274,20 @@
 	return values
 }
 
-// publish writes what has changed to the blackboard.
+// publish expires outdated state and publishes changes to the blackboard.
 func (s *state) publish(now time.Time) {
-	s.forget(now)
-	s.replicasChanged = s.warmed(now) || s.replicasChanged
-	if s.adoption.adopt(now, s.hasReplica) {
-		table := s.adoption.inForce
+	s.expire(now)
+	s.replicasChanged = s.hasWarmedUp(now) || s.replicasChanged
+	if s.activation.activate(now, s.hasReplica) {
+		table := s.activation.active
 		s.options.Board.Routes.Publish(table)
 		s.options.Logger.Info("configuration in force", "version", table.Version, "routes", len(table.Routes))
-		s.replicasChanged = true // the limits of connections are the services'
+		s.replicasChanged = true // connection limits depend on the configuration
 	}
 	if s.replicasChanged {
-		s.options.Board.Replicas.Publish(&topology.Replicas{Groups: s.groups(now)})
+		s.options.Board.Replicas.Publish(&topology.Replicas{Groups: s.replicaGroups(now)})
 	}
-	s.nodesChanged = s.suspects.lapse(now) || s.nodesChanged
+	s.nodesChanged = s.suspects.expire(now) || s.nodesChanged
 	if s.nodesChanged || s.options.Board.Nodes.Load() == nil {
 		s.publishNodes(now)
 	}
@@ -296,13 +297,13 @@
 	s.replicasChanged, s.nodesChanged = false, false
 }
 
-// mostReplicaLines is the number of replicas that are logged with a line each. A
-// reshard takes hundreds away at once; then one line counts them.
-const mostReplicaLines = 4
+// maxReplicaLogLines is the number of replicas up to which each is logged on its own line. A
+// reshard affects hundreds at once, which are logged as one line.
+const maxReplicaLogLines = 4
 
-// logReplicas logs what has become of some replicas.
+// logReplicas logs replicas that have changed state.
 func (s *state) logReplicas(message string, replicas []topology.Replica) {
-	if len(replicas) > mostReplicaLines {
+	if len(replicas) > maxReplicaLogLines {
 		groups := make(map[string]bool)
 		for _, replica := range replicas {
 			groups[replica.Group] = true
@@ -315,28 +316,28 @@
 	}
 }
 
-// forget drops replicas that have been gone for long enough.
-func (s *state) forget(now time.Time) {
+// expire drops replicas, retained entries and former entry nodes whose retention period is over.
+func (s *state) expire(now time.Time) {
 	for key, entry := range s.replicas {
 		if !entry.goneAt.IsZero() && now.Sub(entry.goneAt) >= s.options.VanishedRetention {
 			delete(s.replicas, key)
 			s.replicasChanged = true
 		}
 	}
-	s.forgetUnproved(now)
-	s.forgetDeparted(now)
-	for id, until := range s.entryUntil {
-		if !until.IsZero() && now.Sub(until) >= sharedMemory {
-			delete(s.entryUntil, id)
+	s.expireRetained(now)
+	s.expireDeparted(now)
+	for id, until := range s.entryNodeUntil {
+		if !until.IsZero() && now.Sub(until) >= formerEntryRetention {
+			delete(s.entryNodeUntil, id)
 			s.nodesChanged = true
 		}
 	}
 }
 
-// dueAt returns when the next vanished replica is forgotten or a configuration is
-// put in force at the latest; zero when there is neither.
-func (s *state) dueAt() time.Time {
-	next := earliest(s.adoption.dueAt(), s.suspects.dueAt(), s.warmAt, s.provedAt())
+// nextDeadline returns when the state must be published again because something expires or a
+// pending configuration is activated; zero when nothing is due.
+func (s *state) nextDeadline() time.Time {
+	next := earliest(s.activation.nextDeadline(), s.suspects.nextExpiry(), s.nextWarmAt, s.nextRetainedExpiry())
 	for _, entry := range s.replicas {
 		if entry.goneAt.IsZero() {
 			continue
@@ -348,8 +349,8 @@
 	return next
 }
 
-// stateOf is what is believed of a replica: its entry tells neither of an evacuation nor
-// that its time to be cold is over.
+// stateOf returns the effective state of a replica, which its entry alone does not tell: the zone
+// may be evacuated or the cold period over.
 func (s *state) stateOf(now time.Time, entry *replicaEntry) topology.ReplicaState {
 	switch {
 	case entry.replica.State == topology.ReplicaLeaving:
@@ -365,14 +366,14 @@
 	}
 }
 
-func (s *state) groups(now time.Time) map[string][]topology.Replica {
+func (s *state) replicaGroups(now time.Time) map[string][]topology.Replica {
 	groups := make(map[string][]topology.Replica)
-	s.warmAt = time.Time{}
-	tellLives := s.tellLives()
+	s.nextWarmAt = time.Time{}
+	expectStartTimes := s.expectsStartTimes()
 	for _, entry := range s.replicas {
 		replica := entry.replica
-		if tellLives && replica.StartedAt.IsZero() {
-			continue // another writer's
+		if expectStartTimes && replica.StartedAt.IsZero() {
+			continue // from a foreign writer
 		}
 		replica.State = s.stateOf(now, &entry)
 		replica.ConnectionLimit = s.service(replica.Group).ConnectionLimit
@@ -380,7 +381,7 @@
 			replica.ColdRate = s.options.ColdBound.Rate(s.service(replica.Group).ColdRate)
 		}
 		if replica.ColdRate > 0 {
-			s.warmAt = earliest(s.warmAt, s.coldEnd(&entry))
+			s.nextWarmAt = earliest(s.nextWarmAt, s.coldEndsAt(&entry))
 		}
 		groups[replica.Group] = append(groups[replica.Group], replica)
 	}
@@ -402,42 +403,42 @@
 		nodes.Nodes = append(nodes.Nodes, node)
 	}
 	nodes.Suspected = s.suspects.ids()
-	s.tellSuspects()
+	s.publishSuspects()
 	slices.SortFunc(nodes.Nodes, func(a, b topology.Node) int { return cmp.Compare(a.ID, b.ID) })
 	nodes.EntryNodes = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
-	s.noteEntries(now, nodes.EntryNodes)
-	nodes.BudgetShares = max(1, len(s.entryUntil))
+	s.recordEntryNodes(now, nodes.EntryNodes)
+	nodes.BudgetShares = max(1, len(s.entryNodeUntil))
 	members := &topology.Members{
-		Self: member(s.options.Self), Standby: !nodes.SelfIsEntry(), ColdRateSharers: slices.Sorted(maps.Keys(s.entryUntil)),
+		Self: memberOf(s.options.Self), Standby: !nodes.SelfIsEntry(), ColdRateSharers: slices.Sorted(maps.Keys(s.entryNodeUntil)),
 	}
 	for _, node := range nodes.EntryNodes {
-		members.Members = append(members.Members, member(node))
+		members.Members = append(members.Members, memberOf(node))
 	}
 	s.options.Board.Nodes.Publish(nodes)
 	s.options.Board.Members.Publish(members)
 }
 
-// noteEntries keeps who is an entry node, and who was one of late.
-func (s *state) noteEntries(now time.Time, entries []topology.Node) {
+// recordEntryNodes tracks current and former entry nodes.
+func (s *state) recordEntryNodes(now time.Time, entries []topology.Node) {
 	isEntry := make(map[string]bool, len(entries))
 	for _, node := range entries {
 		isEntry[node.ID] = true
-		s.entryUntil[node.ID] = time.Time{}
+		s.entryNodeUntil[node.ID] = time.Time{}
 	}
-	for id, until := range s.entryUntil {
+	for id, until := range s.entryNodeUntil {
 		if until.IsZero() && !isEntry[id] {
-			s.entryUntil[id] = now
+			s.entryNodeUntil[id] = now
 		}
 	}
 }
 
-// isRecorded tells whether a node has an entry.
-func (s *state) isRecorded(id string) bool {
+// isRegistered reports whether a node has an entry.
+func (s *state) isRegistered(id string) bool {
 	_, found := s.nodes[s.options.Keys.Nodes+id]
 	return found
 }
 
-// member is a node as those that divide connections see it.
-func member(node topology.Node) topology.Member {
+// memberOf returns the node as a member for dividing connections.
+func memberOf(node topology.Node) topology.Member {
 	return topology.Member{ID: node.ID, PeerAddress: node.PeerAddress, Place: node.Place}
 }
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -38,36 +38,36 @@
 	lingerTime = 300 * time.Millisecond
 )
 
-// Forwarding is a request that is passed on as it is.
-type Forwarding struct {
+// ForwardRequest is a request that is passed on as it is.
+type ForwardRequest struct {
 	Message *upstream.Message
 	// Route is pinned for the whole request.
 	Route *routing.Route
-	// Wait is how long the caller waits from the request's arrival on; 0 means that it did
+	// CallerTimeout is how long the caller waits from the request's arrival on; 0 means that it did
 	// not say.
-	Wait time.Duration
-	// Waited is how much of the request's time is over.
-	Waited time.Duration
+	CallerTimeout time.Duration
+	// Elapsed is how much of the request's time is over.
+	Elapsed time.Duration
 }
 
 // deadline is how much of the request's time is left: of its caller's, and of its route's.
-func (f *Forwarding) deadline() time.Duration {
+func (f *ForwardRequest) deadline() time.Duration {
 	deadline := time.Duration(f.Route.Policy.Wait.Timeout)
-	if f.Wait > 0 {
-		deadline = min(deadline, f.Wait)
+	if f.CallerTimeout > 0 {
+		deadline = min(deadline, f.CallerTimeout)
 	}
-	return deadline - f.Waited
+	return deadline - f.Elapsed
 }
 
-// Forwarded is the answer to a Forwarding.
-type Forwarded struct {
+// ForwardResult is the answer to a Forwarding.
+type ForwardResult struct {
 	// Reply is a replica's answer; nil for a scattered request.
 	Reply *upstream.Reply
 	// Records are the merged records of a scattered request, Signatures those
 	// of the parts that are in, and Missing the number of shards left out.
-	Records    []byte
-	Signatures []string
-	Missing    int
+	Records       []byte
+	Signatures    []string
+	MissingShards int
 	// Attempts and Hedges are what the request cost.
 	Attempts, Hedges int
 	// Late is true when the answer came after the route's objective.
@@ -84,9 +84,9 @@
 	Attempts []AttemptTrace `json:"attempts"`
 	// AnsweredMilliseconds counts from the request's start, 0 when it has not.
 	AnsweredMilliseconds int64 `json:"answered_ms,omitempty"`
-	// NoHedge is why a hedge that was due was not sent.
-	NoHedge decision.HedgeDenial `json:"no_hedge,omitempty"`
-	Error   string               `json:"error,omitempty"`
+	// HedgeDenial is why a hedge that was due was not sent.
+	HedgeDenial decision.HedgeDenial `json:"no_hedge,omitempty"`
+	Error       string               `json:"error,omitempty"`
 }
 
 // AttemptTrace is one sub-request.
@@ -102,44 +102,44 @@
 // forwardRun is a run of a forwarded request.
 type forwardRun struct {
 	*run
-	forwarding *Forwarding
+	forwarding *ForwardRequest
 	terms      replica.SelectionCriteria
 }
 
 // Forward passes a request on to one replica of a service, or to one of each
 // shard. Errors are *failure.Error; NotRun is true only when no replica ran
 // any part of it.
-func (s *Service) Forward(ctx context.Context, forwarding *Forwarding) (Forwarded, error) {
+func (s *Service) Forward(ctx context.Context, forwarding *ForwardRequest) (ForwardResult, error) {
 	started := s.options.Now()
-	if errors.Is(context.Cause(ctx), ErrStopping) {
+	if errors.Is(context.Cause(ctx), ErrShuttingDown) {
 		err := failure.New(failure.Draining, "the node stops")
 		s.metrics.observe(0, err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	row, deadline := forwarding.Route.Policy, forwarding.deadline()
 	if deadline <= 0 {
 		err := failure.New(failure.DeadlineExceeded, "the request's time was over before it could be passed on").WithNotRun(true)
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	suspicion := s.options.Quarantine.Lookup(forwarding.Message)
 	if suspicion.RefuseFor > 0 {
 		s.options.Quarantine.CountRefused()
 		err := failure.New(failure.Quarantined, "replicas have ended by running this request").WithRetryAfter(suspicion.RefuseFor)
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	groups := s.groupsOf(forwarding.Route)
 	terms := s.termsOf(forwarding.Route)
 	if err := s.checkServable(forwarding.Route, groups, terms); err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	target := s.targets.ForTarget(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
-		return Forwarded{}, err
+		return ForwardResult{}, err
 	}
 	defer ticket.Release()
 	current := s.newForwardRun(forwarding, groups, terms, deadline, target.Overloaded(started), suspicion.Evidence)
@@ -150,12 +150,12 @@
 	return answer, err
 }
 
-// Loaded is true while this node has lately had to refuse requests for load.
-func (s *Service) Loaded() bool { return s.targets.Overloaded(s.options.Now()) }
+// Overloaded is true while this node has lately had to refuse requests for load.
+func (s *Service) Overloaded() bool { return s.targets.Overloaded(s.options.Now()) }
 
-// Measured returns what was measured of each policy and route for some time
+// Statistics returns what was measured of each policy and route for some time
 // back.
-func (s *Service) Measured(last time.Duration) []statistics.PolicyStatistics {
+func (s *Service) Statistics(last time.Duration) []statistics.PolicyStatistics {
 	return s.options.Statistics.Snapshot(last)
 }
 
@@ -190,7 +190,7 @@
 }
 
 func (s *Service) newForwardRun(
-	forwarding *Forwarding, groups []string, terms replica.SelectionCriteria, deadline time.Duration, overloaded bool,
+	forwarding *ForwardRequest, groups []string, terms replica.SelectionCriteria, deadline time.Duration, overloaded bool,
 	known decision.CrashEvidence,
 ) *forwardRun {
 	route := forwarding.Route
@@ -249,8 +249,8 @@
 func (r *forwardRun) otherSnapshot() bool { return false }
 
 // conclude turns the run into an answer or an error.
-func (r *forwardRun) conclude() (Forwarded, error) {
-	answer := Forwarded{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
+func (r *forwardRun) conclude() (ForwardResult, error) {
+	answer := ForwardResult{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
 	answer.Late = r.inbox.Elapsed() > r.forwarding.Route.Objective
 	if answer.Late || r.core.Answered() < len(r.shards) {
 		answer.Trace = r.trace()
@@ -276,13 +276,13 @@
 			answer.Signatures = append(answer.Signatures, r.shards[i].part.Signature)
 		}
 	}
-	answer.Missing = len(r.shards) - answered
+	answer.MissingShards = len(r.shards) - answered
 	answer.Records = routing.MergeTop(parts, r.forwarding.Route.TopRecords)
 	return answer, nil
 }
 
 // concludePlain hands on the replica's answer, also its own failure.
-func (r *forwardRun) concludePlain(answer Forwarded) (Forwarded, error) {
+func (r *forwardRun) concludePlain(answer ForwardResult) (ForwardResult, error) {
 	shard := &r.shards[0]
 	switch {
 	case shard.part != nil:
@@ -323,7 +323,7 @@
 		}
 		described := ShardTrace{
 			Group: r.plan.Shards[i].Group, Reason: string(status.Reason),
-			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), NoHedge: diagnosis.HedgeDenial,
+			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), HedgeDenial: diagnosis.HedgeDenial,
 		}
 		if shard.err != nil {
 			described.Error = shard.err.Error()
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -204,14 +204,14 @@
 		sending.Go(func() {
 			started := time.Now()
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
-			answer, err := service.Forward(context.Background(), &query.Forwarding{Message: message, Route: route})
+			answer, err := service.Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route})
 			mutex.Lock()
 			defer mutex.Unlock()
 			result.requests++
 			if err == nil && time.Since(started) <= virtualObjective {
 				result.inTime++
 			}
-			if err == nil && answer.Missing == 0 {
+			if err == nil && answer.MissingShards == 0 {
 				result.whole++
 			}
 		})
@@ -293,7 +293,7 @@
 	for number := range restartBacklog {
 		sending.Go(func() {
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
-			if _, err := service.Forward(context.Background(), &query.Forwarding{Message: message, Route: route}); err == nil {
+			if _, err := service.Forward(context.Background(), &query.ForwardRequest{Message: message, Route: route}); err == nil {
 				answered.Add(1)
 			}
 		})
--- a/internal/replica/latency.go
+++ b/internal/replica/latency.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// The latency window keeps counts in buckets of a quarter of a power of two
-// of microseconds: the error is under 25%.
+// Latencies are counted in logarithmic buckets, four per power of two of
+// microseconds, which keeps the error below 25%.
 const (
 	subBuckets    = 4
 	subBucketBits = 2
 	bucketCount   = 32 * subBuckets
-	// windowSamples is the number of samples after which the older half of
-	// the window is dropped.
+	// windowSamples is the number of samples after which the older half of the
+	// window is discarded.
 	windowSamples = 512
-	// leastSamples is the number below which a quantile is not known.
-	leastSamples = 20
-	// cacheSamples is the number of samples between two computations.
+	// minSamples is the number of samples required to estimate a quantile.
+	minSamples = 20
+	// cacheSamples is the number of samples for which a computed quantile is
+	// reused.
 	cacheSamples = 32
 )
 
-// latencyWindow estimates quantiles of the latest 512 to 1,024 latencies. It
-// is safe for concurrent use; samples that race a rotation may be lost.
+// latencyWindow estimates quantiles over the latest 512 to 1,024 latencies. It
+// is safe for concurrent use; samples recorded during a rotation may be lost.
 type latencyWindow struct {
 	halves  [2]latencyHalf
 	current atomic.Uint32
@@ -36,9 +37,9 @@
 }
 
 type cachedQuantile struct {
-	quantile float64
-	value    time.Duration
-	until    uint64
+	quantile   float64
+	value      time.Duration
+	validUntil uint64
 }
 
 func bucketOf(latency time.Duration) int {
@@ -51,14 +52,13 @@
 	return min(exponent*subBuckets+fraction, bucketCount-1)
 }
 
-// bucketEnd returns the upper edge of a bucket.
-func bucketEnd(bucket int) time.Duration {
+func bucketUpperBound(bucket int) time.Duration {
 	exponent, fraction := bucket/subBuckets, bucket%subBuckets
 	micros := float64(uint64(1)<<exponent) * (1 + float64(fraction+1)/subBuckets)
 	return time.Duration(micros * float64(time.Microsecond))
 }
 
-// Record adds one latency.
+// Record adds a sample.
 func (w *latencyWindow) Record(latency time.Duration) {
 	half := &w.halves[w.current.Load()&1]
 	half.counts[bucketOf(latency)].Add(1)
@@ -77,18 +77,18 @@
 	w.current.Add(1)
 }
 
-// Quantile returns the latency below which a share of the window lies, or 0
-// while there are too few samples.
+// Quantile returns an estimate of the given quantile, or 0 if there are too few
+// samples.
 func (w *latencyWindow) Quantile(quantile float64) time.Duration {
 	total := w.total.Load()
-	if total < leastSamples {
+	if total < minSamples {
 		return 0
 	}
-	if cached := w.cached.Load(); cached != nil && cached.quantile == quantile && total < cached.until {
+	if cached := w.cached.Load(); cached != nil && cached.quantile == quantile && total < cached.validUntil {
 		return cached.value
 	}
 	value := w.compute(quantile)
-	w.cached.Store(&cachedQuantile{quantile: quantile, value: value, until: total + cacheSamples})
+	w.cached.Store(&cachedQuantile{quantile: quantile, value: value, validUntil: total + cacheSamples})
 	return value
 }
 
@@ -102,9 +102,9 @@
 	rank := uint32(quantile * float64(sum))
 	for i, count := range counts {
 		if count > rank {
-			return bucketEnd(i)
+			return bucketUpperBound(i)
 		}
 		rank -= count
 	}
-	return bucketEnd(bucketCount - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
