--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -15,123 +15,123 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// The constants of a forwarded request.
+// Parameters of forwarded requests. Fractions are of the route's objective.
 const (
-	// answerShare is the part of a route's objective that is left to this
-	// node; the rest is for the way to the caller and back.
-	answerShare = 0.88
-	// unknownLateShare of the objective is how long an answer is waited for
-	// before a hedge, while the usual times are not known.
-	unknownLateShare = 0.25
-	// offerShare of the objective is the time by which a plain request must have
-	// been sent to a replica.
-	offerShare = 0.25
-	// delayShare of the objective is how long sending all first attempts may
-	// take: beyond it, this node or the replicas have too much to do.
-	delayShare = 0.125
-	// strainShare of the objective is what the faster half of the shards takes at
-	// most while the replicas have no more to do than they bear.
-	strainShare = 0.5
-	// lingerTime is for how long an attempt that is not needed any more may
-	// still answer. Replicas must have stopped half a second after a caller
-	// has left.
-	lingerTime = 300 * time.Millisecond
+	// answerByFraction is the time available to this node; the rest is for the
+	// network between the caller and the node.
+	answerByFraction = 0.88
+	// defaultLateFraction is the time after which an attempt is late as long as no
+	// latency has been measured.
+	defaultLateFraction = 0.25
+	// dispatchByFraction is the time within which a plain request must be sent to a
+	// replica.
+	dispatchByFraction = 0.25
+	// firstAttemptsFraction is the time within which all first attempts should be
+	// sent; longer indicates that this node or the replicas are overloaded.
+	firstAttemptsFraction = 0.125
+	// halfAnsweredFraction is the time within which half of the shards should
+	// answer; longer indicates that the replicas are overloaded.
+	halfAnsweredFraction = 0.5
+	// lingerTimeout is how long an attempt that is no longer needed may still
+	// answer. Replicas must stop within half a second after a caller disconnects.
+	lingerTimeout = 300 * time.Millisecond
 )
 
-// ForwardRequest is a request that is passed on as it is.
+// ForwardRequest is a request that is forwarded unchanged.
 type ForwardRequest struct {
 	Message *upstream.Message
 	// Route is pinned for the whole request.
 	Route *routing.Route
-	// CallerTimeout is how long the caller waits from the request's arrival on; 0 means that it did
-	// not say.
+	// CallerTimeout is how long the caller waits, from the request's arrival; 0 means
+	// unspecified.
 	CallerTimeout time.Duration
-	// Elapsed is how much of the request's time is over.
+	// Elapsed is the time already spent since the request's arrival.
 	Elapsed time.Duration
 }
 
-// deadline is how much of the request's time is left: of its caller's, and of its route's.
-func (f *ForwardRequest) deadline() time.Duration {
-	deadline := time.Duration(f.Route.Policy.Wait.Timeout)
+// timeLeft returns the time left until the earlier of the caller's and the route's
+// timeout.
+func (f *ForwardRequest) timeLeft() time.Duration {
+	timeout := time.Duration(f.Route.Policy.Wait.Timeout)
 	if f.CallerTimeout > 0 {
-		deadline = min(deadline, f.CallerTimeout)
+		timeout = min(timeout, f.CallerTimeout)
 	}
-	return deadline - f.Elapsed
+	return timeout - f.Elapsed
 }
 
-// ForwardResult is the answer to a Forwarding.
+// ForwardResult is the result of a ForwardRequest.
 type ForwardResult struct {
-	// Reply is a replica's answer; nil for a scattered request.
+	// Reply is a replica's response; nil for a scattered request.
 	Reply *upstream.Reply
-	// Records are the merged records of a scattered request, Signatures those
-	// of the parts that are in, and Missing the number of shards left out.
+	// Records holds the merged records of a scattered request, Signatures those of the
+	// parts included, and MissingShards the number of shards left out.
 	Records       []byte
 	Signatures    []string
 	MissingShards int
-	// Attempts and Hedges are what the request cost.
+	// Attempts counts the sub-requests sent, including the Hedges.
 	Attempts, Hedges int
-	// Late is true when the answer came after the route's objective.
+	// Late is true if the answer took longer than the route's objective.
 	Late bool
-	// Trace says, for an answer that is late, partial or a failure, what was
-	// tried at each shard that has not answered at its first attempt.
+	// Trace describes, for a late, partial or failed answer, the attempts at each shard
+	// that did not answer its first attempt in time.
 	Trace []ShardTrace
 }
 
-// ShardTrace is a shard as logs tell of it. Reason is empty when it answered.
+// ShardTrace describes a shard in logs. Reason is empty if it answered.
 type ShardTrace struct {
 	Group    string         `json:"group"`
 	Reason   string         `json:"reason,omitempty"`
 	Attempts []AttemptTrace `json:"attempts"`
-	// AnsweredMilliseconds counts from the request's start, 0 when it has not.
+	// AnsweredMilliseconds is relative to the request's start, 0 if unanswered.
 	AnsweredMilliseconds int64 `json:"answered_ms,omitempty"`
-	// HedgeDenial is why a hedge that was due was not sent.
+	// HedgeDenial is why a due hedge was not sent.
 	HedgeDenial decision.HedgeDenial `json:"no_hedge,omitempty"`
 	Error       string               `json:"error,omitempty"`
 }
 
-// AttemptTrace is one sub-request.
+// AttemptTrace describes one sub-request in logs.
 type AttemptTrace struct {
 	Replica string `json:"replica,omitempty"`
-	// SentMilliseconds counts from the request's start.
+	// SentMilliseconds is relative to the request's start.
 	SentMilliseconds int64 `json:"sent_ms"`
-	// Cause is why it was sent, empty for the first to its shard.
+	// Cause is why it was sent, empty for the first attempt at its shard.
 	Cause   string `json:"cause,omitempty"`
 	Outcome string `json:"outcome"`
 }
 
-// forwardRun is a run of a forwarded request.
+// forwardRun executes a forwarded request.
 type forwardRun struct {
 	*run
-	forwarding *ForwardRequest
-	terms      replica.SelectionCriteria
+	request  *ForwardRequest
+	criteria replica.SelectionCriteria
 }
 
-// Forward passes a request on to one replica of a service, or to one of each
-// shard. Errors are *failure.Error; NotRun is true only when no replica ran
-// any part of it.
-func (s *Service) Forward(ctx context.Context, forwarding *ForwardRequest) (ForwardResult, error) {
+// Forward sends a request to one replica of a service, or to one replica of each shard.
+// Errors are *failure.Error; NotRun is true only if no replica executed any part of the
+// request.
+func (s *Service) Forward(ctx context.Context, request *ForwardRequest) (ForwardResult, error) {
 	started := s.options.Now()
 	if errors.Is(context.Cause(ctx), ErrShuttingDown) {
-		err := failure.New(failure.Draining, "the node stops")
+		err := failure.New(failure.Draining, "node is shutting down")
 		s.metrics.observe(0, err)
 		return ForwardResult{}, err
 	}
-	row, deadline := forwarding.Route.Policy, forwarding.deadline()
+	row, deadline := request.Route.Policy, request.timeLeft()
 	if deadline <= 0 {
-		err := failure.New(failure.DeadlineExceeded, "the request's time was over before it could be passed on").WithNotRun(true)
+		err := failure.New(failure.DeadlineExceeded, "deadline exceeded before the request could be forwarded").WithNotRun(true)
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	suspicion := s.options.Quarantine.Lookup(forwarding.Message)
+	suspicion := s.options.Quarantine.Lookup(request.Message)
 	if suspicion.RefuseFor > 0 {
 		s.options.Quarantine.CountRefused()
-		err := failure.New(failure.Quarantined, "replicas have ended by running this request").WithRetryAfter(suspicion.RefuseFor)
+		err := failure.New(failure.Quarantined, "request is quarantined for crashing replicas").WithRetryAfter(suspicion.RefuseFor)
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	groups := s.groupsOf(forwarding.Route)
-	terms := s.termsOf(forwarding.Route)
-	if err := s.checkServable(forwarding.Route, groups, terms); err != nil {
+	groups := s.replicaGroups(request.Route)
+	criteria := s.selectionCriteria(request.Route)
+	if err := s.checkServable(request.Route, groups, criteria); err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
@@ -142,77 +142,76 @@
 		return ForwardResult{}, err
 	}
 	defer ticket.Release()
-	current := s.newForwardRun(forwarding, groups, terms, deadline, target.Overloaded(started), suspicion.Evidence)
+	current := s.newForwardRun(request, groups, criteria, deadline, target.Overloaded(started), suspicion.Evidence)
 	current.execute(ctx, deadline)
-	current.concludeEnds()
-	answer, err := current.conclude()
+	current.reportOutcome()
+	answer, err := current.buildResult()
 	s.recordForward(current, ticket, s.options.Now().Sub(started), err)
 	return answer, err
 }
 
-// Overloaded is true while this node has lately had to refuse requests for load.
+// Overloaded reports whether this node has recently rejected requests because of load.
 func (s *Service) Overloaded() bool { return s.targets.Overloaded(s.options.Now()) }
 
-// Statistics returns what was measured of each policy and route for some time
-// back.
-func (s *Service) Statistics(last time.Duration) []statistics.PolicyStatistics {
-	return s.options.Statistics.Snapshot(last)
+// Statistics returns the statistics of each policy and route over the last window.
+func (s *Service) Statistics(window time.Duration) []statistics.PolicyStatistics {
+	return s.options.Statistics.Snapshot(window)
 }
 
-// groupsOf returns the replica groups that a request goes to, one for each
-// shard. The first one names them all: an index has its own.
-func (s *Service) groupsOf(route *routing.Route) []string {
+// replicaGroups returns the replica groups that a request goes to, one for each shard.
+// The first one identifies them all, as no two indexes share a group.
+func (s *Service) replicaGroups(route *routing.Route) []string {
 	if route.Scattered() {
 		return route.Shards
 	}
 	return []string{s.splitter.Pick(route)}
 }
 
-// termsOf returns what the replicas for a route's requests are chosen by.
-func (s *Service) termsOf(route *routing.Route) replica.SelectionCriteria {
+// selectionCriteria returns the criteria for choosing replicas for a route's requests.
+func (s *Service) selectionCriteria(route *routing.Route) replica.SelectionCriteria {
 	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
-		Baseline:  s.usuals.Of(route.Name),
-		LateAfter: time.Duration(unknownLateShare * float64(route.Objective)),
+		Baseline:  s.latencies.Of(route.Name),
+		LateAfter: time.Duration(defaultLateFraction * float64(route.Objective)),
 		Regions:   route.Regions,
 	}
 }
 
-// checkServable refuses a request at once for which too few shards have a replica that
-// it may go to: what is sent to the others would be work for nothing, and the refusal
-// could no longer say that nothing ran.
-func (s *Service) checkServable(route *routing.Route, groups []string, terms replica.SelectionCriteria) error {
-	servable, needed := s.options.Pool.CountServableGroups(groups, &terms), max(1, route.MinShards)
+// checkServable rejects a request for which too few shards have an eligible replica.
+// Sending it to the others would waste their work, and the rejection could no longer
+// state that nothing was executed.
+func (s *Service) checkServable(route *routing.Route, groups []string, criteria replica.SelectionCriteria) error {
+	servable, needed := s.options.Pool.CountServableGroups(groups, &criteria), max(1, route.MinShards)
 	if servable >= needed {
 		return nil
 	}
-	return failure.New(failure.NoReplica, fmt.Sprintf("%d of %d shards have a replica, %d are needed", servable, len(groups), needed))
+	return failure.New(failure.NoReplica, fmt.Sprintf("%d of %d shards have an eligible replica, %d are needed", servable, len(groups), needed))
 }
 
 func (s *Service) newForwardRun(
-	forwarding *ForwardRequest, groups []string, terms replica.SelectionCriteria, deadline time.Duration, overloaded bool,
-	known decision.CrashEvidence,
+	request *ForwardRequest, groups []string, criteria replica.SelectionCriteria, deadline time.Duration, overloaded bool,
+	prior decision.CrashEvidence,
 ) *forwardRun {
-	route := forwarding.Route
+	route := request.Route
 	plan := decision.Plan{
-		Shards: s.forwardShards(route, groups, terms.Baseline), Policy: route.Policy, Deadline: deadline,
+		Shards: s.shardPlans(route, groups, criteria.Baseline), Policy: route.Policy, Deadline: deadline,
 		MinShards: route.MinShards, AtMostOnce: !route.Idempotent, NoHedges: overloaded,
-		CrashDetection: s.endsPlan(forwarding, known),
+		CrashDetection: s.crashPlan(request, prior),
 	}
 	if !route.Scattered() {
-		plan.DispatchDeadline = time.Duration(offerShare * float64(route.Objective))
+		plan.DispatchDeadline = time.Duration(dispatchByFraction * float64(route.Objective))
 	} else {
-		plan.SoftDeadline = time.Duration(answerShare * float64(route.Objective))
+		plan.SoftDeadline = time.Duration(answerByFraction * float64(route.Objective))
 	}
-	forward := &forwardRun{forwarding: forwarding, terms: terms}
+	forward := &forwardRun{request: request, criteria: criteria}
 	forward.run = s.newRun(plan, forward)
-	forward.linger = lingerTime
-	forward.quarantined, forward.contested, forward.onEnded = forward.isQuarantined, forward.isContested, forward.noteEnded
+	forward.linger = lingerTimeout
+	forward.checkQuarantined, forward.checkContested, forward.onCrash = forward.isQuarantined, forward.isContested, forward.reportCrash
 	return forward
 }
 
-func (s *Service) forwardShards(route *routing.Route, groups []string, usual *replica.LatencyBaseline) []decision.ShardPlan {
-	expected := usual.NearestMedian()
+func (s *Service) shardPlans(route *routing.Route, groups []string, latency *replica.LatencyBaseline) []decision.ShardPlan {
+	expected := latency.NearestMedian()
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
@@ -224,166 +223,165 @@
 }
 
 func (r *forwardRun) acquire(shard *decision.ShardPlan, canary bool, tried []*replica.Handle) replica.AcquireResult {
-	r.terms.Canary = canary
-	acquired := r.service.options.Pool.AcquireForMessage(shard.Group, &r.terms, tried)
+	r.criteria.Canary = canary
+	acquired := r.service.options.Pool.AcquireForMessage(shard.Group, &r.criteria, tried)
 	if acquired.Handle != nil && r.plan.SoftDeadline > 0 {
-		left := r.plan.SoftDeadline - r.elapsed()
-		acquired.LateAfter = hedgeAfter(acquired.LateAfter, left, r.terms.MaxLateAfter())
+		remaining := r.plan.SoftDeadline - r.elapsed()
+		acquired.LateAfter = hedgeDelay(acquired.LateAfter, remaining, r.criteria.MaxLateAfter())
 	}
 	return acquired
 }
 
-// hedgeAfter is the wait before a hedge: until the answer is late, or as long as
-// still leaves the hedge its own late time before the answer is due, but no
-// longer than half of what is left, as little is known of where it will go.
-func hedgeAfter(late, left, lateElsewhere time.Duration) time.Duration {
-	return max(late, min(left-lateElsewhere, left/2))
+// hedgeDelay returns the delay before a hedge: until the answer is late, or as long as
+// the hedge still has its own late time before the answer is due, but at most half of
+// the remaining time, as the replica of the hedge is not known yet.
+func hedgeDelay(lateAfter, remaining, hedgeLateAfter time.Duration) time.Duration {
+	return max(lateAfter, min(remaining-hedgeLateAfter, remaining/2))
 }
 
 func (r *forwardRun) exchange(ctx context.Context, handle *replica.Handle, _ *decision.ShardPlan, action decision.Action) replica.SubrequestResult {
-	scattered := r.forwarding.Route.Scattered()
-	return r.service.options.Pool.Forward(ctx, handle, r.forwarding.Message, action.Timeout, &r.terms, scattered)
+	scattered := r.request.Route.Scattered()
+	return r.service.options.Pool.Forward(ctx, handle, r.request.Message, action.Timeout, &r.criteria, scattered)
 }
 
-// otherSnapshot is false: the shards of a route are those of one version.
-func (r *forwardRun) otherSnapshot() bool { return false }
+// hasAlternateSnapshot is always false: the shards of a route have one version.
+func (r *forwardRun) hasAlternateSnapshot() bool { return false }
 
-// conclude turns the run into an answer or an error.
-func (r *forwardRun) conclude() (ForwardResult, error) {
-	answer := ForwardResult{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
-	answer.Late = r.inbox.Elapsed() > r.forwarding.Route.Objective
-	if answer.Late || r.core.Answered() < len(r.shards) {
-		answer.Trace = r.trace()
+// buildResult turns the run into a result or an error.
+func (r *forwardRun) buildResult() (ForwardResult, error) {
+	result := ForwardResult{Attempts: r.counts.dispatched, Hedges: r.counts.hedges}
+	result.Late = r.inbox.Elapsed() > r.request.Route.Objective
+	if result.Late || r.core.Answered() < len(r.shards) {
+		result.Trace = r.shardTraces()
 	}
 	if r.reason == decision.CallerCanceled {
-		return answer, failure.New(failure.Canceled, "the caller gave up")
+		return result, failure.New(failure.Canceled, "request canceled by the caller")
 	}
 	if r.reason == decision.ReplicasCrashed {
-		return answer, failure.New(failure.Quarantined, "replicas end by running this request").WithNotRun(false)
+		return result, failure.New(failure.Quarantined, "request crashes the replicas executing it").WithNotRun(false)
 	}
-	if !r.forwarding.Route.Scattered() {
-		return r.concludePlain(answer)
+	if !r.request.Route.Scattered() {
+		return r.buildPlainResult(result)
 	}
 	answered := r.core.Answered()
 	if answered == 0 || answered < r.plan.MinShards {
-		return answer, r.refusal(fmt.Sprintf("%d of %d shards answered, %d are needed",
+		return result, r.noAnswerError(fmt.Sprintf("%d of %d shards answered, %d are needed",
 			answered, len(r.shards), max(1, r.plan.MinShards)))
 	}
 	parts := make([][]byte, 0, answered)
 	for i := range r.shards {
 		if r.core.Status(i).Answered {
-			parts = append(parts, r.shards[i].part.Body)
-			answer.Signatures = append(answer.Signatures, r.shards[i].part.Signature)
+			parts = append(parts, r.shards[i].forwardReply.Body)
+			result.Signatures = append(result.Signatures, r.shards[i].forwardReply.Signature)
 		}
 	}
-	answer.MissingShards = len(r.shards) - answered
-	answer.Records = routing.MergeTop(parts, r.forwarding.Route.TopRecords)
-	return answer, nil
+	result.MissingShards = len(r.shards) - answered
+	result.Records = routing.MergeTop(parts, r.request.Route.TopRecords)
+	return result, nil
 }
 
-// concludePlain hands on the replica's answer, also its own failure.
-func (r *forwardRun) concludePlain(answer ForwardResult) (ForwardResult, error) {
+// buildPlainResult returns the replica's response, including an error response.
+func (r *forwardRun) buildPlainResult(result ForwardResult) (ForwardResult, error) {
 	shard := &r.shards[0]
 	switch {
-	case shard.part != nil:
-		answer.Reply = shard.part
-	case shard.refusal != nil && r.reason != decision.DeadlineReached:
-		answer.Reply = shard.refusal
+	case shard.forwardReply != nil:
+		result.Reply = shard.forwardReply
+	case shard.errorReply != nil && r.reason != decision.DeadlineReached:
+		result.Reply = shard.errorReply
 	default:
-		return answer, r.refusal("no replica answered")
+		return result, r.noAnswerError("no replica answered")
 	}
-	return answer, nil
+	return result, nil
 }
 
-// refusal is the error of a request without an answer. It says that nothing
-// ran only when each attempt was proved not to have run.
-func (r *forwardRun) refusal(what string) *failure.Error {
-	notRun := r.counts.proven == r.counts.dispatched
+// noAnswerError returns the error of an unanswered request. It states that nothing was
+// executed only if that is proven for each attempt.
+func (r *forwardRun) noAnswerError(message string) *failure.Error {
+	notRun := r.counts.provenNotRun == r.counts.dispatched
 	switch {
 	case r.counts.dispatched == 0:
-		return failure.New(failure.NoReplica, what)
+		return failure.New(failure.NoReplica, message)
 	case notRun:
-		return failure.New(failure.BackendRefused, what)
+		return failure.New(failure.BackendRefused, message)
 	case r.reason == decision.DeadlineReached:
-		return failure.New(failure.DeadlineExceeded, what)
+		return failure.New(failure.DeadlineExceeded, message)
 	default:
-		return failure.New(failure.InsufficientCoverage, what)
+		return failure.New(failure.InsufficientCoverage, message)
 	}
 }
 
-// trace describes the shards that have not answered at their first attempt, or too
-// late.
-func (r *forwardRun) trace() []ShardTrace {
-	var traced []ShardTrace
+// shardTraces describes the shards that did not answer their first attempt in time.
+func (r *forwardRun) shardTraces() []ShardTrace {
+	var traces []ShardTrace
 	for i := range r.shards {
 		shard, status, diagnosis := &r.shards[i], r.core.Status(i), r.core.Diagnosis(i)
-		inTime := r.plan.SoftDeadline == 0 || diagnosis.AnsweredAt <= r.plan.SoftDeadline
-		if status.Answered && len(shard.attempts) == 1 && inTime {
+		onTime := r.plan.SoftDeadline == 0 || diagnosis.AnsweredAt <= r.plan.SoftDeadline
+		if status.Answered && len(shard.attempts) == 1 && onTime {
 			continue
 		}
-		described := ShardTrace{
+		trace := ShardTrace{
 			Group: r.plan.Shards[i].Group, Reason: string(status.Reason),
 			AnsweredMilliseconds: diagnosis.AnsweredAt.Milliseconds(), HedgeDenial: diagnosis.HedgeDenial,
 		}
 		if shard.err != nil {
-			described.Error = shard.err.Error()
+			trace.Error = shard.err.Error()
 		}
-		for _, tried := range shard.attempts {
-			described.Attempts = append(described.Attempts, tried.describe())
+		for _, sent := range shard.attempts {
+			trace.Attempts = append(trace.Attempts, sent.trace())
 		}
-		traced = append(traced, described)
+		traces = append(traces, trace)
 	}
-	return traced
+	return traces
 }
 
-func (a *attempt) describe() AttemptTrace {
-	described := AttemptTrace{SentMilliseconds: a.sent.Milliseconds(), Outcome: a.ended}
+func (a *attempt) trace() AttemptTrace {
+	trace := AttemptTrace{SentMilliseconds: a.sentAt.Milliseconds(), Outcome: a.outcome}
 	if a.cause != decision.CauseFirst {
-		described.Cause = a.cause.String()
+		trace.Cause = a.cause.String()
 	}
 	if a.handle != nil {
-		described.Replica = a.handle.Address()
+		trace.Replica = a.handle.Address()
 	}
-	return described
+	return trace
 }
 
 func (s *Service) recordForward(current *forwardRun, ticket admission.Ticket, took time.Duration, err error) {
-	route := current.forwarding.Route
+	route := current.request.Route
 	s.options.Statistics.Record(route.Name, statistics.Sample{
 		Group: route.Host, Latency: took, Failed: err != nil,
 		Asked: len(current.shards), Answered: current.core.Answered(),
 		Attempts: current.counts.dispatched, Hedges: current.counts.hedges, Cancelled: current.counts.cancelled,
 	})
 	s.metrics.observe(took, err)
-	var known *failure.Error
-	if errors.As(err, &known) && known.Kind == failure.Canceled {
+	var failed *failure.Error
+	if errors.As(err, &failed) && failed.Kind == failure.Canceled {
 		return
 	}
-	ticket.Observe(s.options.Now(), current.endedWith(took))
+	ticket.Observe(s.options.Now(), current.forwardOutcome(took))
 }
 
-// endedWith is what admission learns. A request is strained when the faster
-// half of its shards answered late, or too few were asked in time. A few shards
-// that are slow or out of reach are no strain: the answer does without them.
-func (r *forwardRun) endedWith(took time.Duration) admission.Outcome {
-	ended := r.ended(took)
-	objective := r.forwarding.Route.Objective
-	half := r.halfAt
-	if half == 0 {
-		half = took
+// forwardOutcome returns what the run reports to admission control. A request is strained
+// if half of its shards answered late, or too few first attempts were sent in time. A few
+// slow or unreachable shards are no sign of overload, as the answer does without them.
+func (r *forwardRun) forwardOutcome(took time.Duration) admission.Outcome {
+	outcome := r.admissionOutcome(took)
+	objective := r.request.Route.Objective
+	halfAnsweredAt := r.halfAnsweredAt
+	if halfAnsweredAt == 0 {
+		halfAnsweredAt = took
 	}
-	onTime := r.sentBy(time.Duration(delayShare * float64(objective)))
-	ended.Objective = objective
-	ended.Congested = onTime < max(1, r.plan.MinShards) || half > time.Duration(strainShare*float64(objective))
-	return ended
+	sentInTime := r.countSentBy(time.Duration(firstAttemptsFraction * float64(objective)))
+	outcome.Objective = objective
+	outcome.Congested = sentInTime < max(1, r.plan.MinShards) || halfAnsweredAt > time.Duration(halfAnsweredFraction*float64(objective))
+	return outcome
 }
 
-// sentBy counts the shards whose first attempt was sent by some time.
-func (r *forwardRun) sentBy(at time.Duration) int {
+// countSentBy counts the shards whose first attempt was sent within limit of the start.
+func (r *forwardRun) countSentBy(limit time.Duration) int {
 	sent := 0
 	for i := range r.shards {
 		attempts := r.shards[i].attempts
-		if len(attempts) > 0 && attempts[0].handle != nil && attempts[0].sent <= at {
+		if len(attempts) > 0 && attempts[0].handle != nil && attempts[0].sentAt <= limit {
 			sent++
 		}
 	}
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -27,148 +27,146 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-// The deployment of the virtual runs: ten shards with a replica in each of three
-// zones, of which two are far; each replica pauses for 300 ms each 7.5 s.
+// The simulated deployment: ten shards with a replica in each of three zones, two of which
+// are remote. Each replica pauses for 300 ms every 7.5 s.
 const (
-	virtualShards    = 10
-	virtualObjective = 250 * time.Millisecond
-	virtualWork      = 28 * time.Millisecond
-	virtualSpread    = 0.35
-	farDelay         = 12 * time.Millisecond
-	pauseLength      = 300 * time.Millisecond
-	pauseInterval    = 7500 * time.Millisecond
-	virtualRate      = 15 // requests a second
-	virtualSeconds   = 40
-	virtualRatio     = 0.2
-	virtualSlack     = 8
+	virtualShards      = 10
+	virtualObjective   = 250 * time.Millisecond
+	serviceTime        = 28 * time.Millisecond
+	serviceTimeSpread  = 0.35
+	farDelay           = 12 * time.Millisecond
+	pauseLength        = 300 * time.Millisecond
+	pauseInterval      = 7500 * time.Millisecond
+	virtualRate        = 15 // requests per second
+	virtualSeconds     = 40
+	virtualBudgetRatio = 0.2
+	virtualBudgetBurst = 8
 )
 
 var virtualZones = []string{"near", "far-1", "far-2"}
 
-// virtualReplicas is the network of the virtual runs, on the clock of a synctest
-// bubble.
-type virtualReplicas struct {
+// virtualNetwork connects a service to replicas on the virtual clock of a synctest bubble.
+type virtualNetwork struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
 	started  time.Time
 	phases   map[string]time.Duration
 	delays   map[string]time.Duration
-	slow     map[string]float64
+	slowdown map[string]float64
 	arrivals map[string]int // by shard
 	shards   map[string]string
-	// fullUntil is until when replicas still count the connections of before, and
-	// reset most of the new ones.
-	fullUntil time.Time
+	// resetUntil is when replicas stop resetting new connections: after a restart of the
+	// node, its old connections still count towards their limit.
+	resetUntil time.Time
 }
 
-// memoryConnection is a net.Pipe that cannot be probed while it is idle, so that
-// each request has a connection of its own.
+// memoryConnection is a net.Pipe that cannot be probed while idle, so that each request
+// gets a new connection.
 type memoryConnection struct{ net.Conn }
 
 var errNoDescriptor = errors.New("no descriptor")
 
 func (memoryConnection) SyscallConn() (syscall.RawConn, error) { return nil, errNoDescriptor }
 
-// fullShare is the share of new connections that a full replica resets.
-const fullShare = 0.7
+// resetFraction is the fraction of new connections that are reset until resetUntil.
+const resetFraction = 0.7
 
-// resetConnection is a connection that its peer has reset.
+// resetConnection is a connection that was reset by its peer.
 type resetConnection struct{ memoryConnection }
 
 func (resetConnection) Read([]byte) (int, error) { return 0, syscall.ECONNRESET }
 
-func (v *virtualReplicas) dial(_ context.Context, address string) (net.Conn, error) {
-	own, other := net.Pipe()
-	if time.Now().Before(v.fullUntil) && float64(v.draw()%1000)/1000 < fullShare {
-		go func() { _, _ = io.Copy(io.Discard, other) }()
-		return resetConnection{memoryConnection{own}}, nil
+func (v *virtualNetwork) dial(_ context.Context, address string) (net.Conn, error) {
+	clientConn, serverConn := net.Pipe()
+	if time.Now().Before(v.resetUntil) && float64(v.randomUint64()%1000)/1000 < resetFraction {
+		go func() { _, _ = io.Copy(io.Discard, serverConn) }()
+		return resetConnection{memoryConnection{clientConn}}, nil
 	}
-	go v.serve(other, address)
-	return memoryConnection{own}, nil
+	go v.serve(serverConn, address)
+	return memoryConnection{clientConn}, nil
 }
 
-func (v *virtualReplicas) serve(conn net.Conn, address string) {
+func (v *virtualNetwork) serve(conn net.Conn, address string) {
 	defer conn.Close()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
 	time.Sleep(v.delays[address])
-	time.Sleep(v.work(address))
+	time.Sleep(v.processingTime(address))
 	time.Sleep(v.delays[address])
 	body := make([]byte, routing.RecordBytes)
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: "+request.Header.Get("Id")+"\r\nSignature: "+v.shards[address]+
 		"\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+string(body))
 }
 
-// work counts an arrival and returns how long it takes, with the rest of a pause
-// that it meets.
-func (v *virtualReplicas) work(address string) time.Duration {
+// processingTime counts an arrival and returns how long the replica takes to process it,
+// including the rest of a pause.
+func (v *virtualNetwork) processingTime(address string) time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.arrivals[v.shards[address]]++
-	spread := math.Exp(virtualSpread * v.random.NormFloat64())
-	took := time.Duration(float64(virtualWork) * spread * max(1, v.slow[address]))
-	inCycle := (time.Since(v.started) + v.phases[address]) % pauseInterval
-	if inCycle < pauseLength {
-		took += pauseLength - inCycle
+	factor := math.Exp(serviceTimeSpread * v.random.NormFloat64())
+	took := time.Duration(float64(serviceTime) * factor * max(1, v.slowdown[address]))
+	cyclePosition := (time.Since(v.started) + v.phases[address]) % pauseInterval
+	if cyclePosition < pauseLength {
+		took += pauseLength - cyclePosition
 	}
 	return took
 }
 
-// virtualRun is what came of a run.
-type virtualRun struct {
-	requests, inTime, whole int
-	answered                int
-	mostArrivals            int
+// virtualResult is the result of a simulated run.
+type virtualResult struct {
+	requests, onTime, complete int
+	answered                   int
+	maxArrivals                int
 }
 
-// playVirtual sends requests at a steady rate through the whole path below the
-// ingress, with so many attempts a shard. Some replicas of the node's zone are so
-// many times slower in the middle half of the run.
-func playVirtual(t *testing.T, seed uint64, attempts, slowReplicas int) virtualRun {
+// runVirtual sends requests at a steady rate through a Service with the given number of
+// attempts per shard. In the middle half of the run some replicas in the near zone are
+// slower.
+func runVirtual(t *testing.T, seed uint64, attempts, slowReplicas int) virtualResult {
 	t.Helper()
-	return inVirtualTime(t, seed, attempts, func(network *virtualReplicas, service *query.Service, route *routing.Route) virtualRun {
-		return network.send(service, route, slowReplicas)
+	return withVirtualService(t, seed, attempts, func(network *virtualNetwork, service *query.Service, route *routing.Route) virtualResult {
+		return network.sendRequests(service, route, slowReplicas)
 	})
 }
 
-// inVirtualTime plays a run on the path below the ingress of a node that has just
-// started.
-func inVirtualTime(t *testing.T, seed uint64, attempts int, play func(*virtualReplicas, *query.Service, *routing.Route) virtualRun) virtualRun {
+// withVirtualService runs a test with the Service of a node that has just started.
+func withVirtualService(t *testing.T, seed uint64, attempts int, test func(*virtualNetwork, *query.Service, *routing.Route) virtualResult) virtualResult {
 	t.Helper()
-	var result virtualRun
+	var result virtualResult
 	synctest.Test(t, func(t *testing.T) {
-		network := &virtualReplicas{
+		network := &virtualNetwork{
 			random: rand.New(rand.NewPCG(seed, 1)), started: time.Now(),
-			phases: map[string]time.Duration{}, delays: map[string]time.Duration{}, slow: map[string]float64{},
+			phases: map[string]time.Duration{}, delays: map[string]time.Duration{}, slowdown: map[string]float64{},
 			arrivals: map[string]int{}, shards: map[string]string{},
 		}
 		board := &blackboard.Board{}
-		route := virtualRoute(board, network, attempts)
+		route := newVirtualRoute(board, network, attempts)
 		budgets := make(map[string]*decision.TokenBudget)
 		for _, shard := range route.Shards {
-			budgets[shard] = decision.NewTokenBudgetWithReserve(virtualRatio, virtualSlack, 0.2)
+			budgets[shard] = decision.NewTokenBudgetWithReserve(virtualBudgetRatio, virtualBudgetBurst, 0.2)
 		}
 		pool := replica.NewPool(replica.PoolOptions{
 			Board: board, Self: topology.Place{Region: "near", Zone: "near"}, Codec: benchCodec{},
-			DialUpstream: network.dial, Random: network.draw,
+			DialUpstream: network.dial, Random: network.randomUint64,
 			GroupRetryBudget: func(group string) decision.Budget { return budgets[group] },
 		})
 		service := query.NewService(query.Options{Board: board, Pool: pool})
-		result = play(network, service, route)
+		result = test(network, service, route)
 		pool.Close()
 	})
 	return result
 }
 
-func (v *virtualReplicas) draw() uint64 {
+func (v *virtualNetwork) randomUint64() uint64 {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.random.Uint64()
 }
 
-func virtualRoute(board *blackboard.Board, network *virtualReplicas, attempts int) *routing.Route {
+func newVirtualRoute(board *blackboard.Board, network *virtualNetwork, attempts int) *routing.Route {
 	route := &routing.Route{
 		Name: "r", Policy: routing.PolicyRow(routing.RouteSpec{Name: "r", Timeout: 4 * time.Second, Attempts: attempts, MinShardRatio: 0.89}),
 		Objective: virtualObjective, Idempotent: true, TopRecords: 5, MinShards: routing.MinShards(0.89, virtualShards),
@@ -194,13 +192,13 @@
 	return route
 }
 
-func (v *virtualReplicas) send(service *query.Service, route *routing.Route, slowReplicas int) virtualRun {
-	var result virtualRun
+func (v *virtualNetwork) sendRequests(service *query.Service, route *routing.Route, slowReplicas int) virtualResult {
+	var result virtualResult
 	var sending sync.WaitGroup
 	var mutex sync.Mutex
 	const total = virtualRate * virtualSeconds
 	for number := range total {
-		v.slowDown(number > total/4 && number < 3*total/4, slowReplicas)
+		v.setSlowdown(number > total/4 && number < 3*total/4, slowReplicas)
 		sending.Go(func() {
 			started := time.Now()
 			message := &upstream.Message{ID: fmt.Sprint("q", number), Method: http.MethodGet, Target: "/", Host: "h"}
@@ -209,26 +207,26 @@
 			defer mutex.Unlock()
 			result.requests++
 			if err == nil && time.Since(started) <= virtualObjective {
-				result.inTime++
+				result.onTime++
 			}
 			if err == nil && answer.MissingShards == 0 {
-				result.whole++
+				result.complete++
 			}
 		})
 		time.Sleep(time.Second / virtualRate)
 	}
 	sending.Wait()
-	time.Sleep(time.Second) // what lingers ends
+	time.Sleep(time.Second) // lingering attempts end
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, count := range v.arrivals {
-		result.mostArrivals = max(result.mostArrivals, count)
+		result.maxArrivals = max(result.maxArrivals, count)
 	}
 	return result
 }
 
-// slowDown makes a number of the near replicas eight times slower, or none.
-func (v *virtualReplicas) slowDown(slow bool, replicas int) {
+// setSlowdown makes the given number of near replicas eight times slower, or resets them.
+func (v *virtualNetwork) setSlowdown(slow bool, replicas int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for shard := range replicas {
@@ -236,58 +234,58 @@
 		if slow {
 			factor = 8
 		}
-		v.slow[fmt.Sprint("shard-", shard, ".near")] = factor
+		v.slowdown[fmt.Sprint("shard-", shard, ".near")] = factor
 	}
 }
 
-// TestPausesAndSlowReplicasInVirtualTime: nearly all answers are whole and within
-// the objective though a replica pauses somewhere during one query in three, and
-// no service receives more than the budget allows.
-func TestPausesAndSlowReplicasInVirtualTime(t *testing.T) {
+// TestForwardPausesAndSlowReplicas checks that nearly all answers are complete and on time
+// though replicas pause in one of three requests, and that no service receives more requests
+// than the budget allows.
+func TestForwardPausesAndSlowReplicas(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		slow          int
-		inTime, whole float64
+		name             string
+		slow             int
+		onTime, complete float64
 	}{
 		{"pauses", 0, 0.995, 0.97},
 		{"pauses and three slow replicas", 3, 0.98, 0.9},
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s, seed %d", test.name, seed), func(t *testing.T) {
-				got := playVirtual(t, seed, 2, test.slow)
-				inTime, whole := float64(got.inTime)/float64(got.requests), float64(got.whole)/float64(got.requests)
-				t.Logf("in time %.3f, whole %.3f, most arrivals %d of %d requests", inTime, whole, got.mostArrivals, got.requests)
-				if inTime < test.inTime || whole < test.whole {
-					t.Errorf("in time %.3f, want %.3f; whole %.3f, want %.3f", inTime, test.inTime, whole, test.whole)
+				got := runVirtual(t, seed, 2, test.slow)
+				onTime, complete := float64(got.onTime)/float64(got.requests), float64(got.complete)/float64(got.requests)
+				t.Logf("on time %.3f, complete %.3f, max arrivals %d for %d requests", onTime, complete, got.maxArrivals, got.requests)
+				if onTime < test.onTime || complete < test.complete {
+					t.Errorf("on time %.3f, want %.3f; complete %.3f, want %.3f", onTime, test.onTime, complete, test.complete)
 				}
-				if most := int(float64(got.requests)*(1+virtualRatio)) + virtualSlack; got.mostArrivals > most {
-					t.Errorf("%d arrivals at a service, the budget allows %d", got.mostArrivals, most)
+				if limit := int(float64(got.requests)*(1+virtualBudgetRatio)) + virtualBudgetBurst; got.maxArrivals > limit {
+					t.Errorf("%d arrivals at a service, want at most %d", got.maxArrivals, limit)
 				}
 			})
 		}
 	}
 }
 
-// TestWithoutHedgesPausesAreSeen: the run above is not good by itself. Avoiding
-// silent replicas alone leaves a shard out of one answer in twelve.
-func TestWithoutHedgesPausesAreSeen(t *testing.T) {
-	got := playVirtual(t, 0, 1, 0)
-	if whole := float64(got.whole) / float64(got.requests); whole > 0.96 {
-		t.Errorf("whole %.3f with a single attempt: the pauses cost nothing", whole)
+// TestForwardPausesWithoutHedges checks that the pauses in the test above do have an effect:
+// with a single attempt, answers miss shards.
+func TestForwardPausesWithoutHedges(t *testing.T) {
+	got := runVirtual(t, 0, 1, 0)
+	if complete := float64(got.complete) / float64(got.requests); complete > 0.96 {
+		t.Errorf("complete %.3f with a single attempt, want at most 0.96", complete)
 	}
 }
 
-// restartBacklog is the number of requests that wait for a node that has just
-// started, fullFor is how long replicas then still count connections of before.
+// restartBacklog is the number of requests that wait for a node that has just started,
+// resetDuration how long replicas then reset new connections.
 const (
 	restartBacklog = 40
-	fullFor        = time.Second
+	resetDuration  = time.Second
 )
 
-// sendBacklog sends all at once what waited for the node to start.
-func (v *virtualReplicas) sendBacklog(service *query.Service, route *routing.Route) virtualRun {
-	v.fullUntil = time.Now().Add(fullFor)
-	result := virtualRun{requests: restartBacklog}
+// sendBacklog sends all requests of the backlog at once.
+func (v *virtualNetwork) sendBacklog(service *query.Service, route *routing.Route) virtualResult {
+	v.resetUntil = time.Now().Add(resetDuration)
+	result := virtualResult{requests: restartBacklog}
 	var answered atomic.Int64
 	var sending sync.WaitGroup
 	for number := range restartBacklog {
@@ -299,18 +297,18 @@
 		})
 	}
 	sending.Wait()
-	time.Sleep(time.Second) // what lingers ends
+	time.Sleep(time.Second) // lingering attempts end
 	result.answered = int(answered.Load())
 	return result
 }
 
-// TestNothingIsLostAfterARestartInVirtualTime: callers ask once more only, so what
-// a node that has just started fails or refuses is lost.
-func TestNothingIsLostAfterARestartInVirtualTime(t *testing.T) {
+// TestForwardBacklogAfterRestart checks that a node that has just started answers every
+// request, though replicas reset most new connections at first.
+func TestForwardBacklogAfterRestart(t *testing.T) {
 	for seed := range uint64(3) {
-		got := inVirtualTime(t, seed, 2, (*virtualReplicas).sendBacklog)
+		got := withVirtualService(t, seed, 2, (*virtualNetwork).sendBacklog)
 		if got.answered != got.requests {
-			t.Errorf("seed %d: %d of %d requests were answered", seed, got.answered, got.requests)
+			t.Errorf("seed %d: %d of %d requests answered", seed, got.answered, got.requests)
 		}
 	}
 }
