--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -28,11 +28,11 @@
 	bounds := n.current.Load().Bounds
 	fewTTL := scaleDuration(fewTTLShare, bounds.DirectoryTTL)
 	options := directory.Options{
-		TTL:    max(fewTTL, min(bounds.DirectoryTTL, scaleDuration(ttlShare, bounds.Grace))),
-		FewTTL: fewTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
+		TTL:      max(fewTTL, min(bounds.DirectoryTTL, scaleDuration(ttlShare, bounds.Grace))),
+		ShortTTL: fewTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
-		options.Regions, options.Bound = table.RegionsOf(host)
+		options.Regions, options.RestrictRegions = table.AllowedRegions(host)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
@@ -54,7 +54,7 @@
 		if len(gone) == 0 {
 			return answer, known
 		}
-		nodes = nodes.Without(gone)
+		nodes = nodes.WithUnready(gone)
 	}
 }
 
--- a/internal/edge/shutdown.go
+++ b/internal/edge/shutdown.go
@@ -34,8 +34,10 @@
 // the requests in flight, and answers those that take too long with what is available.
 func (n *Node) shutdown(stopRegistration func()) {
 	grace := n.current.Load().Bounds.Grace
-	startedAt := elapsed.Now()
-	until := func(share float64) time.Duration { return startedAt + scaleDuration(share, grace) - elapsed.Now() }
+	startedAt := elapsed.Monotonic()
+	until := func(share float64) time.Duration {
+		return startedAt + scaleDuration(share, grace) - elapsed.Monotonic()
+	}
 	n.setPhase(blackboard.PhaseDraining)
 	n.logger.Info("stopping", "node", n.settings.Node, "grace", grace.String(), "connections", n.connections.Count())
 	stopRegistration()
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -86,8 +86,8 @@
 	Objective int64 `json:"objective_ms"`
 	// Shards counts those of a scattered route, Shares divide a plain one's
 	// requests.
-	Shards int             `json:"shards"`
-	Shares []routing.Share `json:"shares"`
+	Shards int                     `json:"shards"`
+	Shares []routing.WeightedGroup `json:"shares"`
 	// Regions are those whose replicas may take a request; empty means all.
 	Regions []string `json:"regions"`
 }
@@ -155,7 +155,7 @@
 
 func (h *handler) node() Node {
 	described := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: requestsOf(h.config.Quarantined())}
-	described.Node.Loaded = h.config.Loaded()
+	described.Node.Overloaded = h.config.Loaded()
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
 		described.Entry = nodes.SelfIsEntry()
 	}
@@ -212,7 +212,7 @@
 	for _, group := range replicas.Groups {
 		for _, replica := range group {
 			switch replica.State {
-			case topology.ReplicaLeaving, topology.ReplicaVanished:
+			case topology.ReplicaLeaving, topology.ReplicaMissing:
 				known.Leaving = append(known.Leaving, replica)
 			case topology.ReplicaEvacuated:
 				known.Evacuated[replica.Place.Zone]++
@@ -228,10 +228,10 @@
 
 func describe(route *routing.Route) Route {
 	return Route{
-		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
+		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Idempotent,
 		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		Timeout: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), Objective: route.Objective.Milliseconds(),
-		Shards: len(route.Shards), Shares: route.Shares, Regions: route.Regions,
+		Shards: len(route.Shards), Shares: route.WeightedGroups, Regions: route.Regions,
 	}
 }
 
--- a/internal/query/crashing_request_virtual_test.go
+++ b/internal/query/crashing_request_virtual_test.go
@@ -276,8 +276,8 @@
 	}
 	slices.SortFunc(all, func(a, b topology.Replica) int { return strings.Compare(a.Address, b.Address) })
 	network.board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{service: all}})
-	route.Shards, route.Shares = nil, []routing.Share{{Group: service, Weight: 1}}
-	route.LeastShards = 0
+	route.Shards, route.WeightedGroups = nil, []routing.WeightedGroup{{Group: service, Weight: 1}}
+	route.MinShards = 0
 }
 
 // TestCrashingPlainRequestQuarantined sends the crashing request to one replica at a time, so
@@ -295,7 +295,7 @@
 		for seed := range uint64(3) {
 			got := runCrashing(t, seed, budgetNodes, changingAddress, func(network *crashNetwork, route *routing.Route) {
 				usePlainRoute(network, route)
-				route.Repeatable = repeatable
+				route.Idempotent = repeatable
 			})
 			t.Logf("repeatable %v, seed %d: %d crashes, last arrival %v after the third crash; %d of %d other requests answered, %d quarantined",
 				repeatable, seed, got.crashes, got.lastAfterThird, got.answered, got.others, got.refused)
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -54,7 +54,7 @@
 	options   Options
 	metrics   serviceMetrics
 	latencies replica.LatencyBaselines
-	targets   *admission.Targets
+	targets   *admission.Controllers
 	splitter  routing.Splitter
 }
 
@@ -77,7 +77,7 @@
 	}
 	return &Service{
 		options: options, metrics: newServiceMetrics(options.Registerer),
-		targets: admission.NewTargets(admission.Options{Logger: options.Logger}),
+		targets: admission.NewControllers(admission.Options{Logger: options.Logger}),
 	}
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return client.Answer{}, err
 	}
-	priority := admission.Lower(request.row.Priority, query.Priority)
+	priority := admission.LowerPriority(request.row.Priority, query.Priority)
 	ticket, err := s.options.Admission.Admit(request.row, priority, started, request.deadline)
 	if err != nil {
 		return client.Answer{}, err
@@ -214,7 +214,7 @@
 	took := s.options.Now().Sub(request.started)
 	answer.TookMicroseconds = took.Microseconds()
 	s.recordSearch(request, last, took, err)
-	ticket.Ended(s.options.Now(), last.admissionOutcome(took))
+	ticket.Observe(s.options.Now(), last.admissionOutcome(took))
 	if err != nil {
 		return client.Answer{}, err
 	}
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -317,11 +317,11 @@
 	board := f.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
-		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
+		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
 	if got := f.acquire(t).Address(); got != "far:1" {
 		t.Errorf("chose %s while another replica is listed", got)
 	}
-	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
+	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
 	if got := f.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
