--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -59,7 +59,7 @@
 // TestEncodingWithEra checks the round trip and the compatibility with versions without eras:
 // they read the number alone, and what they send decodes as era 0.
 func TestEncodingWithEra(t *testing.T) {
-	announcement := Announcement{Revision: store.RevisionIn(3, 42), AgeMilliseconds: 7}
+	announcement := Announcement{Revision: store.MakeRevision(3, 42), AgeMilliseconds: 7}
 	sent, err := encode(announcement)
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 
 // FuzzDecode checks that no datagram causes a panic or decodes to a negative revision or age.
 func FuzzDecode(f *testing.F) {
-	for _, announcement := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.RevisionIn(store.MostEra, store.MostNumber)}} {
+	for _, announcement := range []Announcement{{}, {Revision: 42, AgeMilliseconds: 7}, {Revision: store.MakeRevision(store.MaxEra, store.MaxSequence)}} {
 		sent, err := encode(announcement)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -137,24 +137,24 @@
 	d.assembleMembership(place)
 	d.assembleDocuments()
 	d.calls = once.New(once.Options{
-		Store:        d.store,
-		Dispatcher:   d.pool,
-		Holder:       d.id,
-		Logger:       d.logger,
-		Registerer:   d.registry,
-		StoreTimeout: d.settings.Store.Timeout,
-		HasPeers:     d.seeds.mayHaveSeeds,
-		StoreTrouble: d.storeUnreachable,
-		Announce:     d.announceMark,
-		WithTimeout:  d.meter.WithTimeout,
+		Store:          d.store,
+		Dispatcher:     d.pool,
+		Holder:         d.id,
+		Logger:         d.logger,
+		Registerer:     d.registry,
+		StoreTimeout:   d.settings.Store.Timeout,
+		HasPeers:       d.seeds.mayHaveSeeds,
+		StoreUnhealthy: d.storeUnreachable,
+		Announce:       d.announceMark,
+		WithTimeout:    d.meter.WithTimeout,
 	})
 	d.queries = query.NewService(query.Options{
 		Board:      d.board,
 		Pool:       d.pool,
 		Statistics: d.statistics,
-		Admission:  admission.New(admission.Options{Total: d.settings.Callers.MaxInFlight, Registerer: d.registry}),
+		Admission:  admission.New(admission.Options{MaxInFlight: d.settings.Callers.MaxInFlight, Registerer: d.registry}),
 		Registerer: d.registry,
-		PausedTime: d.meter.Lost,
+		PausedTime: d.meter.PausedTime,
 	})
 	d.connectGossip()
 	d.listeners.createServers(d)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -44,7 +44,7 @@
 	case membership.RecordDocument:
 		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
 	case membership.RecordStoreMark:
-		d.calls.Learn(once.MarkOf(record.Version))
+		d.calls.MergeWatermark(once.WatermarkFromVersion(record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, valid := strings.Cut(record.Key, incarnationSeparator)
 		if valid {
@@ -54,7 +54,7 @@
 }
 
 // announceMark announces to peers how recent the store's state must be.
-func (d *Daemon) announceMark(mark once.Mark) {
+func (d *Daemon) announceMark(mark once.Watermark) {
 	d.node.Announce(membership.Record{
 		Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
 	})
--- a/internal/drain/connections.go
+++ b/internal/drain/connections.go
@@ -35,7 +35,7 @@
 
 // setState is the server's http.Server.ConnState hook.
 func (c *Connections) setState(connection net.Conn, state http.ConnState) {
-	now := c.Meter.Ran()
+	now := c.Meter.ActiveTime()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open == nil {
@@ -74,7 +74,7 @@
 
 // allIdle reports whether every open connection has been idle for at least the given time.
 func (c *Connections) allIdle(idle time.Duration) bool {
-	latest := c.Meter.Ran() - idle
+	latest := c.Meter.ActiveTime() - idle
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, connection := range c.open {
--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -34,7 +34,7 @@
 // startTime returns the start time of the latest known instance of a replica; zero when unknown.
 func (s *state) startTime(key string) time.Time {
 	if known, found := s.replicas[key]; found {
-		return known.replica.Born
+		return known.replica.StartedAt
 	}
 	return s.departed[key].startedAt
 }
@@ -43,7 +43,7 @@
 // that it leaves. An instance cannot take that back, even if its entry has gone since.
 func (s *state) isLeaving(key string, startedAt time.Time) bool {
 	if known, found := s.replicas[key]; found {
-		return known.replica.State == topology.ReplicaLeaving && known.replica.Born.Equal(startedAt)
+		return known.replica.State == topology.ReplicaLeaving && known.replica.StartedAt.Equal(startedAt)
 	}
 	departed, found := s.departed[key]
 	return found && departed.leaving && departed.startedAt.Equal(startedAt)
@@ -55,7 +55,7 @@
 	departed, found := s.departed[value.Key]
 	return found &&
 		store.EraOf(value.ModRevision) > store.EraOf(departed.entry.ModRevision) &&
-		store.NumberOf(value.ModRevision) == store.NumberOf(departed.entry.ModRevision) &&
+		store.SequenceOf(value.ModRevision) == store.SequenceOf(departed.entry.ModRevision) &&
 		bytes.Equal(value.Value, departed.entry.Value)
 }
 
@@ -73,7 +73,7 @@
 func (s *state) expectsStartTimes() bool {
 	withStart := 0
 	for _, entry := range s.replicas {
-		if !entry.replica.Born.IsZero() {
+		if !entry.replica.StartedAt.IsZero() {
 			withStart++
 		}
 	}
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -86,8 +86,8 @@
 	ObjectiveMilliseconds int64   `json:"objective_ms"`
 	// Shards is the number of shards of a scatter-gather route. Shares are the weights
 	// of the replica groups of any other route.
-	Shards int             `json:"shards"`
-	Shares []routing.Share `json:"shares"`
+	Shards int                     `json:"shards"`
+	Shares []routing.WeightedGroup `json:"shares"`
 	// Regions are the regions whose replicas may serve a request; empty means all.
 	Regions []string `json:"regions"`
 }
@@ -103,7 +103,7 @@
 	Unreachable []comparison.Unreachable `json:"unreachable"`
 	Routes      []Route                  `json:"routes"`
 	// Replicas is the number of serving replicas. Leaving are the replicas that are
-	// leaving or have vanished.
+	// leaving or missing.
 	Replicas int                `json:"replicas"`
 	Leaving  []topology.Replica `json:"leaving"`
 	// Cold is the number of serving replicas that are limited to their cold rate.
@@ -156,7 +156,7 @@
 
 func (h *handler) node() Node {
 	state := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: describeRequests(h.config.Quarantined())}
-	state.Node.Loaded = h.config.Loaded()
+	state.Node.Overloaded = h.config.Loaded()
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
 		state.Entry = nodes.SelfIsEntry()
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	revision, confirmedAt := h.config.StoreProgress()
-	state.StoreEra, state.StoreRevision = store.EraOf(revision), store.NumberOf(revision)
+	state.StoreEra, state.StoreRevision = store.EraOf(revision), store.SequenceOf(revision)
 	if !confirmedAt.IsZero() {
 		state.ConfirmedAgoMilliseconds = max(0, elapsed.Time().Sub(confirmedAt).Milliseconds())
 	}
@@ -213,7 +213,7 @@
 	for _, group := range replicas.Groups {
 		for _, replica := range group {
 			switch replica.State {
-			case topology.ReplicaLeaving, topology.ReplicaVanished:
+			case topology.ReplicaLeaving, topology.ReplicaMissing:
 				system.Leaving = append(system.Leaving, replica)
 			case topology.ReplicaEvacuated:
 				system.Evacuated[replica.Place.Zone]++
@@ -229,10 +229,10 @@
 
 func describeRoute(route *routing.Route) Route {
 	return Route{
-		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Repeatable,
+		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Idempotent,
 		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		TimeoutMilliseconds: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), ObjectiveMilliseconds: route.Objective.Milliseconds(),
-		Shards: len(route.Shards), Shares: route.Shares, Regions: route.Regions,
+		Shards: len(route.Shards), Shares: route.WeightedGroups, Regions: route.Regions,
 	}
 }
 
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -41,8 +41,8 @@
 	}))
 	routes := []routing.Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Objective: time.Second, Rank: 2,
-		Policy: routing.PolicyRow(routing.Terms{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, LeastShare: 0.5}),
-		Shares: []routing.Share{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
+		Policy:         routing.PolicyRow(routing.RouteSpec{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, MinShardRatio: 0.5}),
+		WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	n.board.Routes.Publish(routing.NewTable(version, routes, nil, routing.Limits{}))
 	n.board.Replicas.Publish(&topology.Replicas{Groups: map[string][]topology.Replica{
@@ -59,7 +59,7 @@
 		all = append(all, n.self)
 	}
 	for _, n := range nodes {
-		n.board.Nodes.Publish(&topology.Nodes{Self: n.self, Nodes: all, Entries: all[:1]})
+		n.board.Nodes.Publish(&topology.Nodes{Self: n.self, Nodes: all, EntryNodes: all[:1]})
 	}
 }
 
@@ -92,15 +92,15 @@
 	if len(got.Unreachable) != 1 || got.Unreachable[0].Member.ID != "n3" {
 		t.Errorf("got unreachable nodes %+v, want n3", got.Unreachable)
 	}
-	if !got.Nodes[0].Node.Loaded || got.Nodes[0].Entry || !got.Nodes[1].Entry || !got.Nodes[0].StoreReachable {
-		t.Errorf("got nodes %+v, want n2 loaded and not an entry, n1 an entry, store reachable", got.Nodes)
+	if !got.Nodes[0].Node.Overloaded || got.Nodes[0].Entry || !got.Nodes[1].Entry || !got.Nodes[0].StoreReachable {
+		t.Errorf("got nodes %+v, want n2 overloaded and not an entry, n1 an entry, store reachable", got.Nodes)
 	}
 	if got.Replicas != 1 || len(got.Leaving) != 1 || got.Leaving[0].Address != "10.0.0.2:1" {
 		t.Errorf("got %d serving replicas, leaving %+v; want 1, leaving 10.0.0.2:1", got.Replicas, got.Leaving)
 	}
 	want := []Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, LeastShare: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
-		Shares: []routing.Share{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
+		Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	if diff := cmp.Diff(want, got.Routes); diff != "" {
 		t.Errorf("routes (-want +got):\n%s", diff)
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,6 +1,6 @@
-// Package liveness tells which other nodes can be reached. A node's record in the
-// store says so as well, but not while the store is away, and seconds late
-// otherwise; callers who are led to a node that is gone have nowhere to go.
+// Package liveness checks whether other nodes accept connections. The records in the
+// store also show which nodes are up, but with a delay of seconds, and not at all during
+// an outage of the store. The directory must not send callers to a node that is down.
 package liveness
 
 import (
@@ -12,53 +12,54 @@
 	"time"
 )
 
-// The constants of a Checker.
 const (
-	// interval is how long an answer counts, failedInterval how long a failure.
-	interval       = time.Second
-	failedInterval = 250 * time.Millisecond
-	// timeout bounds one attempt to connect.
-	timeout = 300 * time.Millisecond
-	// enoughFailures in a row, a node counts as gone: one packet may be lost.
-	enoughFailures = 2
-	// provenFor is how long after it was reached a node is named without being asked
-	// anew. At hundreds of nodes each directory is asked seldom, so that what it knows
-	// of a node is mostly older.
-	provenFor = 3 * time.Second
-	// firstTimeout is how long an answer waits for nodes that are not proven: some
-	// times the way to another region and back, well under the second after which
-	// callers ask another directory.
-	firstTimeout = 150 * time.Millisecond
-	// forgetAfter is how long after the last question a node is forgotten.
-	forgetAfter = time.Minute
+	// checkInterval is how long a successful check is valid, failedCheckInterval how
+	// long a failed one is.
+	checkInterval       = time.Second
+	failedCheckInterval = 250 * time.Millisecond
+	// connectTimeout bounds one connection attempt.
+	connectTimeout = 300 * time.Millisecond
+	// failureThreshold is the number of consecutive failures after which a node counts
+	// as down. It tolerates the loss of one packet.
+	failureThreshold = 2
+	// reachableTTL is how long after a successful check Unreachable relies on it. It is
+	// longer than checkInterval because in large deployments each node is queried
+	// rarely, so most of what it knows is older.
+	reachableTTL = 3 * time.Second
+	// initialCheckTimeout bounds the wait for nodes without a recent result. It allows
+	// several round trips to another region, but is well below the second after which
+	// callers query another directory.
+	initialCheckTimeout = 150 * time.Millisecond
+	// idleExpiry is how long a node is kept after it was last queried.
+	idleExpiry = time.Minute
 )
 
-// Config is what a Checker is made of. Zero values take defaults.
+// Config configures a Checker. Zero values select defaults.
 type Config struct {
-	// Connect opens a connection to a node and closes it; nil means TCP.
+	// Connect opens and closes a connection to a node; nil means TCP.
 	Connect func(ctx context.Context, node netip.AddrPort) error
 	Now     func() time.Time
 	Logger  *slog.Logger
 }
 
-// Checker checks the nodes that it is asked about. It is safe for concurrent use.
+// Checker checks the nodes that it is queried about. It is safe for concurrent use.
 type Checker struct {
 	config Config
 	mu     sync.Mutex
-	nodes  map[netip.AddrPort]*state
+	nodes  map[netip.AddrPort]*nodeState
 }
 
-type state struct {
-	asked, checked time.Time
-	// reached is when a check succeeded last.
-	reached  time.Time
-	failures int
-	checking bool
-	// ended is closed when the check that runs ends.
-	ended chan struct{}
+type nodeState struct {
+	lastQueried, lastChecked time.Time
+	// lastReached is the time of the last successful check.
+	lastReached time.Time
+	failures    int
+	checking    bool
+	// done is closed when the running check ends.
+	done chan struct{}
 }
 
-// New makes a Checker.
+// New returns a Checker.
 func New(config Config) *Checker {
 	if config.Connect == nil {
 		config.Connect = connect
@@ -69,7 +70,7 @@
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Checker{config: config, nodes: make(map[netip.AddrPort]*state)}
+	return &Checker{config: config, nodes: make(map[netip.AddrPort]*nodeState)}
 }
 
 func connect(ctx context.Context, node netip.AddrPort) error {
@@ -81,110 +82,109 @@
 	return conn.Close()
 }
 
-// Unreachable returns those of some nodes that cannot be reached. Nodes of which
-// nothing recent is known are connected to first, all at once, which takes no longer
-// than firstTimeout, and ends with ctx.
+// Unreachable returns the given nodes that cannot be reached. It waits for concurrent
+// checks of nodes without a recent result, at most for initialCheckTimeout or until ctx
+// ends.
 func (c *Checker) Unreachable(ctx context.Context, nodes []netip.AddrPort) []netip.AddrPort {
 	for _, node := range nodes {
 		c.Reachable(node)
 	}
-	bounded, cancel := context.WithTimeout(ctx, firstTimeout)
+	bounded, cancel := context.WithTimeout(ctx, initialCheckTimeout)
 	defer cancel()
 	var unreachable []netip.AddrPort
 	for _, node := range nodes {
-		if !c.proven(bounded, node) {
+		if !c.awaitReachable(bounded, node) {
 			unreachable = append(unreachable, node)
 		}
 	}
 	return unreachable
 }
 
-// proven tells whether a node that has been asked about can be reached; where nothing
-// recent is known, it waits for the check that runs until ctx ends.
-func (c *Checker) proven(ctx context.Context, node netip.AddrPort) bool {
-	known, recent, ended := c.known(node)
-	if recent || ended == nil {
-		return known && recent
+// awaitReachable reports whether a node is reachable. Without a recent result it waits
+// for the running check until ctx ends.
+func (c *Checker) awaitReachable(ctx context.Context, node netip.AddrPort) bool {
+	reachable, recent, done := c.status(node)
+	if recent || done == nil {
+		return reachable && recent
 	}
 	select {
-	case <-ended:
+	case <-done:
 	case <-ctx.Done():
 	}
-	known, recent, _ = c.known(node)
-	return known && recent
+	reachable, recent, _ = c.status(node)
+	return reachable && recent
 }
 
-// known tells whether a node counts as reachable, whether it was reached lately, and
-// when the check that runs ends; nil when none does.
-func (c *Checker) known(node netip.AddrPort) (reachable, recent bool, ended <-chan struct{}) {
+// status reports whether a node counts as reachable and whether it was reached recently.
+// done is closed when the running check ends; it is nil if none is running.
+func (c *Checker) status(node netip.AddrPort) (reachable, recent bool, done <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.nodes[node]
-	if known == nil {
-		return false, false, nil // forgotten since
+	state := c.nodes[node]
+	if state == nil {
+		return false, false, nil // evicted in the meantime
 	}
-	recent = !known.reached.IsZero() && c.config.Now().Sub(known.reached) < provenFor
-	if known.checking {
-		ended = known.ended
+	recent = !state.lastReached.IsZero() && c.config.Now().Sub(state.lastReached) < reachableTTL
+	if state.checking {
+		done = state.done
 	}
-	return known.failures < enoughFailures, recent, ended
+	return state.failures < failureThreshold, recent, done
 }
 
-// Reachable tells what is known of a node, and has it checked when that is old. A
-// node of which nothing is known counts as reachable.
+// Reachable returns the known state of a node, and starts a check if that is outdated. A
+// node that was never checked counts as reachable.
 func (c *Checker) Reachable(node netip.AddrPort) bool {
 	now := c.config.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.nodes[node]
-	if known == nil {
-		c.forget(now)
-		known = &state{}
-		c.nodes[node] = known
-	}
-	known.asked = now
-	if !known.checking && now.Sub(known.checked) >= known.counts() {
-		known.checking, known.ended = true, make(chan struct{})
-		go c.check(node, known)
-	}
-	return known.failures < enoughFailures
+	state := c.nodes[node]
+	if state == nil {
+		c.evictIdle(now)
+		state = &nodeState{}
+		c.nodes[node] = state
+	}
+	state.lastQueried = now
+	if !state.checking && now.Sub(state.lastChecked) >= state.recheckInterval() {
+		state.checking, state.done = true, make(chan struct{})
+		go c.check(node, state)
+	}
+	return state.failures < failureThreshold
 }
 
-// counts is how long what is known counts.
-func (s *state) counts() time.Duration {
+func (s *nodeState) recheckInterval() time.Duration {
 	if s.failures > 0 {
-		return failedInterval
+		return failedCheckInterval
 	}
-	return interval
+	return checkInterval
 }
 
-// forget must be called with the mutex held.
-func (c *Checker) forget(now time.Time) {
-	for node, known := range c.nodes {
-		if now.Sub(known.asked) >= forgetAfter {
+// evictIdle must be called with c.mu held.
+func (c *Checker) evictIdle(now time.Time) {
+	for node, state := range c.nodes {
+		if now.Sub(state.lastQueried) >= idleExpiry {
 			delete(c.nodes, node)
 		}
 	}
 }
 
-func (c *Checker) check(node netip.AddrPort, known *state) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+func (c *Checker) check(node netip.AddrPort, state *nodeState) {
+	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	err := c.config.Connect(ctx, node)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := known.failures
-	known.checking, known.checked = false, c.config.Now()
-	close(known.ended)
+	failuresBefore := state.failures
+	state.checking, state.lastChecked = false, c.config.Now()
+	close(state.done)
 	if err == nil {
-		known.failures, known.reached = 0, known.checked
+		state.failures, state.lastReached = 0, state.lastChecked
 	} else {
-		known.failures++
+		state.failures++
 	}
 	switch {
-	case before >= enoughFailures && known.failures == 0:
-		c.config.Logger.Info("node reached again", "address", node.String())
-	case before < enoughFailures && known.failures >= enoughFailures:
-		c.config.Logger.Warn("node not reached; callers are not led to it", "address", node.String(), "error", err.Error())
+	case failuresBefore >= failureThreshold && state.failures == 0:
+		c.config.Logger.Info("node reachable again", "address", node.String())
+	case failuresBefore < failureThreshold && state.failures >= failureThreshold:
+		c.config.Logger.Warn("node unreachable; excluding it from directory answers", "address", node.String(), "error", err.Error())
 	}
 }
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -135,14 +135,14 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	target := s.targets.Of(groups[0])
+	target := s.targets.ForTarget(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
 	defer ticket.Release()
-	current := s.newForwardRun(request, groups, criteria, deadline, target.Loaded(started), suspicion.Evidence)
+	current := s.newForwardRun(request, groups, criteria, deadline, target.Overloaded(started), suspicion.Evidence)
 	current.execute(ctx, deadline)
 	current.reportOutcome()
 	answer, err := current.buildResult()
@@ -151,7 +151,7 @@
 }
 
 // Overloaded reports whether this node has recently rejected requests because of load.
-func (s *Service) Overloaded() bool { return s.targets.Loaded(s.options.Now()) }
+func (s *Service) Overloaded() bool { return s.targets.Overloaded(s.options.Now()) }
 
 // Statistics returns the statistics of each policy and route over the last window.
 func (s *Service) Statistics(window time.Duration) []statistics.PolicyStatistics {
@@ -181,7 +181,7 @@
 // Sending it to the others would waste their work, and the rejection could no longer
 // state that nothing was executed.
 func (s *Service) checkServable(route *routing.Route, groups []string, criteria replica.SelectionCriteria) error {
-	servable, needed := s.options.Pool.CountServableGroups(groups, &criteria), max(1, route.LeastShards)
+	servable, needed := s.options.Pool.CountServableGroups(groups, &criteria), max(1, route.MinShards)
 	if servable >= needed {
 		return nil
 	}
@@ -195,7 +195,7 @@
 	route := request.Route
 	plan := decision.Plan{
 		Shards: s.shardPlans(route, groups, criteria.Baseline), Policy: route.Policy, Deadline: deadline,
-		MinShards: route.LeastShards, AtMostOnce: !route.Repeatable, NoHedges: overloaded,
+		MinShards: route.MinShards, AtMostOnce: !route.Idempotent, NoHedges: overloaded,
 		CrashDetection: s.crashPlan(request, prior),
 	}
 	if !route.Scattered() {
@@ -357,13 +357,13 @@
 	if errors.As(err, &failed) && failed.Kind == failure.Canceled {
 		return
 	}
-	ticket.Ended(s.options.Now(), current.forwardOutcome(took))
+	ticket.Observe(s.options.Now(), current.forwardOutcome(took))
 }
 
 // forwardOutcome returns what the run reports to admission control. A request is strained
 // if half of its shards answered late, or too few first attempts were sent in time. A few
 // slow or unreachable shards are no sign of overload, as the answer does without them.
-func (r *forwardRun) forwardOutcome(took time.Duration) admission.Ended {
+func (r *forwardRun) forwardOutcome(took time.Duration) admission.Outcome {
 	outcome := r.admissionOutcome(took)
 	objective := r.request.Route.Objective
 	halfAnsweredAt := r.halfAnsweredAt
@@ -372,7 +372,7 @@
 	}
 	sentInTime := r.countSentBy(time.Duration(firstAttemptsFraction * float64(objective)))
 	outcome.Objective = objective
-	outcome.Strained = sentInTime < max(1, r.plan.MinShards) || halfAnsweredAt > time.Duration(halfAnsweredFraction*float64(objective))
+	outcome.Congested = sentInTime < max(1, r.plan.MinShards) || halfAnsweredAt > time.Duration(halfAnsweredFraction*float64(objective))
 	return outcome
 }
 
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -335,8 +335,8 @@
 }
 
 // admissionOutcome returns what the run reports to admission control.
-func (r *run) admissionOutcome(took time.Duration) admission.Ended {
-	outcome := admission.Ended{Took: took, Asked: len(r.plan.Shards), Answered: r.core.Answered()}
+func (r *run) admissionOutcome(took time.Duration) admission.Outcome {
+	outcome := admission.Outcome{Duration: took, Queried: len(r.plan.Shards), Answered: r.core.Answered()}
 	for i := range r.plan.Shards {
 		if r.core.Status(i).Reason == client.MissingShed {
 			outcome.Refused++
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -227,7 +227,7 @@
 		}
 		handle.setBudget(budget)
 		handle.setStandby(next.standby())
-		handle.vanished.Store(replica.State == topology.ReplicaVanished)
+		handle.vanished.Store(replica.State == topology.ReplicaMissing)
 		handle.coldLimiter.setLimit(next.coldLimit(replica))
 		next.handles[key] = handle
 		built.handles = append(built.handles, handle)
@@ -247,7 +247,7 @@
 func acceptingWork(listed []topology.Replica) []topology.Replica {
 	accepting := make([]topology.Replica, 0, len(listed))
 	for _, replica := range listed {
-		if replica.State.TakesWork() {
+		if replica.State.AcceptsRequests() {
 			accepting = append(accepting, replica)
 		}
 	}
