--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -32,8 +32,7 @@
 	// Statistics returns this node's statistics of each route over the most recent
 	// period of the given length.
 	Statistics func(last time.Duration) []statistics.PolicyStatistics
-	// Loaded reports whether this node is under high load.
-	Loaded func() bool
+	Overloaded func() bool
 	// Budgets returns this node's most used retry budgets, ordered by CompareBudgets.
 	Budgets func() []Budget
 	// Quarantined returns the requests that are suspected or quarantined on this node. It
@@ -78,16 +77,16 @@
 	Host                  string  `json:"host"`
 	PathPrefix            string  `json:"path_prefix"`
 	Rank                  int     `json:"rank"`
-	Repeatable            bool    `json:"repeatable"`
+	Idempotent            bool    `json:"repeatable"`
 	Attempts              int     `json:"attempts"`
-	LeastShare            float64 `json:"least_share"`
+	MinShardRatio         float64 `json:"least_share"`
 	TopRecords            int     `json:"top_records"`
 	TimeoutMilliseconds   int64   `json:"timeout_ms"`
 	ObjectiveMilliseconds int64   `json:"objective_ms"`
-	// Shards is the number of shards of a scatter-gather route. Shares are the weights
-	// of the replica groups of any other route.
-	Shards int                     `json:"shards"`
-	Shares []routing.WeightedGroup `json:"shares"`
+	// Shards is the number of shards of a scatter-gather route. WeightedGroups are the
+	// replica groups of any other route.
+	Shards         int                     `json:"shards"`
+	WeightedGroups []routing.WeightedGroup `json:"shares"`
 	// Regions are the regions whose replicas may serve a request; empty means all.
 	Regions []string `json:"regions"`
 }
@@ -156,7 +155,7 @@
 
 func (h *handler) node() Node {
 	state := Node{Node: h.config.Node, Budgets: h.config.Budgets(), Quarantined: describeRequests(h.config.Quarantined())}
-	state.Node.Overloaded = h.config.Loaded()
+	state.Node.Overloaded = h.config.Overloaded()
 	if nodes := h.config.Board.Nodes.Load(); nodes != nil {
 		state.Entry = nodes.SelfIsEntry()
 	}
@@ -229,10 +228,10 @@
 
 func describeRoute(route *routing.Route) Route {
 	return Route{
-		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Repeatable: route.Idempotent,
-		Attempts: route.Policy.Retry.Attempts, LeastShare: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
+		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Idempotent: route.Idempotent,
+		Attempts: route.Policy.Retry.Attempts, MinShardRatio: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		TimeoutMilliseconds: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), ObjectiveMilliseconds: route.Objective.Milliseconds(),
-		Shards: len(route.Shards), Shares: route.WeightedGroups, Regions: route.Regions,
+		Shards: len(route.Shards), WeightedGroups: route.WeightedGroups, Regions: route.Regions,
 	}
 }
 
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -36,8 +36,8 @@
 	n.self.StateAddress = strings.TrimPrefix(n.server.URL, "http://")
 	mux.Handle("/", New(Config{
 		Board: n.board, Node: n.self, Statistics: n.recorder.Snapshot, Client: n.server.Client(),
-		Loaded:  func() bool { return id == "n2" },
-		Budgets: func() []Budget { return n.budgets },
+		Overloaded: func() bool { return id == "n2" },
+		Budgets:    func() []Budget { return n.budgets },
 	}))
 	routes := []routing.Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Objective: time.Second, Rank: 2,
@@ -99,8 +99,8 @@
 		t.Errorf("got %d serving replicas, leaving %+v; want 1, leaving 10.0.0.2:1", got.Replicas, got.Leaving)
 	}
 	want := []Route{{
-		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, LeastShare: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
-		Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
+		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, MinShardRatio: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
+		WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	if diff := cmp.Diff(want, got.Routes); diff != "" {
 		t.Errorf("routes (-want +got):\n%s", diff)
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -98,7 +98,7 @@
 func printRoutes(to io.Writer, routes []inspect.Route) {
 	lines := newGrid(to, "ROUTE", "HOST", "PATH", "RANK", "REPEATABLE", "ATTEMPTS", "TIMEOUT", "OBJECTIVE", "REGIONS", "TO")
 	for _, one := range routes {
-		lines.row(one.Name, one.Host, one.PathPrefix, one.Rank, one.Repeatable, one.Attempts,
+		lines.row(one.Name, one.Host, one.PathPrefix, one.Rank, one.Idempotent, one.Attempts,
 			fmt.Sprintf("%d ms", one.TimeoutMilliseconds), fmt.Sprintf("%d ms", one.ObjectiveMilliseconds), regionsText(one.Regions), targetText(&one))
 	}
 	lines.end()
@@ -113,11 +113,11 @@
 
 func targetText(route *inspect.Route) string {
 	if route.Shards > 0 {
-		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.LeastShare, route.TopRecords)
+		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.MinShardRatio, route.TopRecords)
 	}
-	parts := make([]string, 0, len(route.Shares))
-	for _, share := range route.Shares {
-		parts = append(parts, splitText(share, len(route.Shares)))
+	parts := make([]string, 0, len(route.WeightedGroups))
+	for _, share := range route.WeightedGroups {
+		parts = append(parts, splitText(share, len(route.WeightedGroups)))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -23,9 +23,9 @@
 		},
 		Unreachable: []comparison.Unreachable{{Member: topology.Member{ID: "n3"}, Reason: "no\x1b answer"}},
 		Routes: []inspect.Route{
-			{Name: "search", Host: "h", Shards: 10, LeastShare: 0.89, TopRecords: 20, Regions: []string{"accra", "kumasi"}},
-			{Name: "fetch", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
-			{Name: "plain", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
+			{Name: "search", Host: "h", Shards: 10, MinShardRatio: 0.89, TopRecords: 20, Regions: []string{"accra", "kumasi"}},
+			{Name: "fetch", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
+			{Name: "plain", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
 		},
 		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaMissing}},
 		Evacuated: map[string]int{"adum": 4}, Cold: 3,
