--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -2,7 +2,7 @@
 // profiles, and the operators' API that the command line tool uses.
 //
 //	GET  /healthz /readyz /metrics /debug/pprof/
-//	GET  /v1/table                 policy.Table in force on this daemon
+//	GET  /v1/table                 Active policy.Table of this daemon
 //	GET  /v1/policies/{name}       policy.Row
 //	POST /v1/edits                 policytable.Edit -> EditResult; ?dry_run=true, ?wait=5s
 //	GET  /v1/history?limit=20      History
