--- a/cmd/doorpondd/main.go
+++ b/cmd/doorpondd/main.go
@@ -103,7 +103,7 @@
 	for _, option := range settings.Options() {
 		name := settings.FlagName(option.Key)
 		if command.IsSet(name) {
-			given = append(given, settings.Override{Key: option.Key, Text: command.String(name)})
+			given = append(given, settings.Override{Key: option.Key, Value: command.String(name)})
 		}
 	}
 	return given
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -50,8 +50,8 @@
 	return &c.Snapshots[len(c.Snapshots)-1]
 }
 
-// Shards returns the number of shards of all indexes.
-func (s *Snapshot) Shards() int {
+// ShardCount returns the number of shards of all indexes.
+func (s *Snapshot) ShardCount() int {
 	total := 0
 	for i := range s.Indexes {
 		total += len(s.Indexes[i].Groups)
--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -64,9 +64,9 @@
 	return true, nil
 }
 
-// Follow reloads at an interval until ctx ends; report hears of each change
+// Watch reloads at an interval until ctx ends; report hears of each change
 // and of each failure.
-func (s *Source) Follow(ctx context.Context, interval time.Duration, report func(changed bool, err error)) error {
+func (s *Source) Watch(ctx context.Context, interval time.Duration, report func(changed bool, err error)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -119,9 +119,9 @@
 	return read, nil
 }
 
-// Server returns the configuration of a listener. Where an authority is
+// ServerConfig returns the configuration of a listener. Where an authority is
 // named, clients must show a certificate from it (mutual TLS).
-func (s *Source) Server(protocols ...string) *tls.Config {
+func (s *Source) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
@@ -145,10 +145,10 @@
 	return config
 }
 
-// Client returns the configuration of outgoing connections, to be used by
+// ClientConfig returns the configuration of outgoing connections, to be used by
 // DialTLS. The server's certificate must come from the authority as it is at
 // that moment and name the address that was dialled.
-func (s *Source) Client() *tls.Config {
+func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
--- a/internal/certificates/certificates_test.go
+++ b/internal/certificates/certificates_test.go
@@ -58,7 +58,7 @@
 		_, _ = io.WriteString(w, "ok")
 	}))
 	server.Config.ErrorLog = nil
-	server.TLS = source.Server()
+	server.TLS = source.ServerConfig()
 	server.StartTLS()
 	t.Cleanup(server.Close)
 	return server
@@ -90,9 +90,9 @@
 		config *tls.Config
 		works  bool
 	}{
-		{"certificate of the authority", newSource(t, trusted.write(t, t.TempDir())).Client(), true},
-		{"certificate of another authority", newSource(t, other.write(t, t.TempDir())).Client(), false},
-		{"no certificate", newSource(t, certificates.Files{Authority: trusted.write(t, t.TempDir()).Authority}).Client(), false},
+		{"certificate of the authority", newSource(t, trusted.write(t, t.TempDir())).ClientConfig(), true},
+		{"certificate of another authority", newSource(t, other.write(t, t.TempDir())).ClientConfig(), false},
+		{"no certificate", newSource(t, certificates.Files{Authority: trusted.write(t, t.TempDir()).Authority}).ClientConfig(), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	serverSource := newSource(t, first.write(t, serverDirectory))
 	clientSource := newSource(t, first.write(t, clientDirectory))
 	server := serve(t, serverSource)
-	open := newClient(t, clientSource.Client())
+	open := newClient(t, clientSource.ClientConfig())
 	if err := get(open, server.URL); err != nil {
 		t.Fatal(err)
 	}
@@ -121,14 +121,14 @@
 	if err := get(open, server.URL); err != nil {
 		t.Errorf("an open connection was cut by the reload: %v", err)
 	}
-	if err := get(newClient(t, clientSource.Client()), server.URL); err == nil {
+	if err := get(newClient(t, clientSource.ClientConfig()), server.URL); err == nil {
 		t.Error("a new connection with the old authority was accepted")
 	}
 	second.write(t, clientDirectory)
 	if _, err := clientSource.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := get(newClient(t, clientSource.Client()), server.URL); err != nil {
+	if err := get(newClient(t, clientSource.ClientConfig()), server.URL); err != nil {
 		t.Errorf("a new connection with the new authority failed: %v", err)
 	}
 }
@@ -143,7 +143,7 @@
 	if changed, err := source.Reload(); changed || err == nil {
 		t.Errorf("reload of a broken key: changed %v, error %v", changed, err)
 	}
-	if err := get(newClient(t, source.Client()), serve(t, source).URL); err != nil {
+	if err := get(newClient(t, source.ClientConfig()), serve(t, source).URL); err != nil {
 		t.Errorf("the material in use was lost: %v", err)
 	}
 }
@@ -161,7 +161,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			server := serve(t, newSource(t, issuer.writeFor(t, t.TempDir(), test.address)))
-			err := get(newClient(t, newSource(t, issuer.write(t, t.TempDir())).Client()), server.URL)
+			err := get(newClient(t, newSource(t, issuer.write(t, t.TempDir())).ClientConfig()), server.URL)
 			if (err == nil) != test.works {
 				t.Errorf("request error %v; wanted it to work: %v", err, test.works)
 			}
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -69,14 +69,14 @@
 	if source == nil {
 		return nil
 	}
-	return source.Server(protocolHTTP2, protocolHTTP1)
+	return source.ServerConfig(protocolHTTP2, protocolHTTP1)
 }
 
 func clientConfig(source *certificates.Source) *tls.Config {
 	if source == nil {
 		return nil
 	}
-	return source.Client()
+	return source.ClientConfig()
 }
 
 func (s *tlsSources) callersConfig() *tls.Config        { return serverConfig(s.callersSource) }
@@ -91,7 +91,7 @@
 		return nil
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	transport.DialTLSContext = certificates.DialTLS(s.storeSource.Client(), (&net.Dialer{Timeout: storeDialTimeout}).DialContext, protocolHTTP1)
+	transport.DialTLSContext = certificates.DialTLS(s.storeSource.ClientConfig(), (&net.Dialer{Timeout: storeDialTimeout}).DialContext, protocolHTTP1)
 	return &http.Client{Transport: transport}
 }
 
@@ -108,7 +108,7 @@
 		group, groupContext := errgroup.WithContext(ctx)
 		for _, source := range []*certificates.Source{s.callersSource, s.peersSource, s.administrationSource, s.storeSource, s.backendsSource} {
 			if source != nil {
-				group.Go(func() error { return source.Follow(groupContext, reloadInterval, report) })
+				group.Go(func() error { return source.Watch(groupContext, reloadInterval, report) })
 			}
 		}
 		group.Go(func() error { <-groupContext.Done(); return nil })
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			transport := &http.Transport{DialTLSContext: certificates.DialTLS(source.Client(), (&net.Dialer{}).DialContext)}
+			transport := &http.Transport{DialTLSContext: certificates.DialTLS(source.ClientConfig(), (&net.Dialer{}).DialContext)}
 			defer transport.CloseIdleConnections()
 			response, err := (&http.Client{Transport: transport}).Get("https://" + test.address + "/")
 			if err == nil {
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	defer joining.listeners.close()
-	connection, err := certificates.DialTLS(source.Client(), (&net.Dialer{}).DialContext)(t.Context(), "tcp", daemon.Addresses().Peers)
+	connection, err := certificates.DialTLS(source.ClientConfig(), (&net.Dialer{}).DialContext)(t.Context(), "tcp", daemon.Addresses().Peers)
 	if err == nil {
 		connection.Close()
 		t.Error("daemon of another authority connected to the peer")
@@ -211,7 +211,7 @@
 // queryOnce sends a query over a new connection.
 func queryOnce(t *testing.T, daemon *Daemon, source *certificates.Source) error {
 	t.Helper()
-	transport := &http.Transport{DisableKeepAlives: true, DialTLSContext: certificates.DialTLS(source.Client(), (&net.Dialer{}).DialContext)}
+	transport := &http.Transport{DisableKeepAlives: true, DialTLSContext: certificates.DialTLS(source.ClientConfig(), (&net.Dialer{}).DialContext)}
 	callers := client.New("https://"+daemon.Addresses().Callers, &http.Client{Transport: transport})
 	_, err := callers.Query(t.Context(), client.Query{Group: "editors", Corpus: "cues", Phrase: "good"})
 	return err
@@ -275,7 +275,7 @@
 // startTLSProxy starts a TLS proxy for a plain-text server and returns its address.
 func startTLSProxy(t *testing.T, source *certificates.Source, target string) string {
 	t.Helper()
-	listener, err := tls.Listen("tcp", anyPort, source.Server("http/1.1"))
+	listener, err := tls.Listen("tcp", anyPort, source.ServerConfig("http/1.1"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -22,7 +22,7 @@
 // SelectShards applies a policy's shard selection. The result is deterministic
 // for a query ID. The caller sets the hedge delays and budgets.
 func SelectShards(snapshot *catalogue.Snapshot, row *policy.Row, query *client.Query, queryID string) ShardSelection {
-	selection := ShardSelection{Asked: make([]ShardPlan, 0, snapshot.Shards())}
+	selection := ShardSelection{Asked: make([]ShardPlan, 0, snapshot.ShardCount())}
 	for i := range snapshot.Indexes {
 		index := &snapshot.Indexes[i]
 		if len(query.Indexes) > 0 && !slices.Contains(query.Indexes, index.Name) {
--- a/internal/operator/transport.go
+++ b/internal/operator/transport.go
@@ -32,6 +32,6 @@
 	if err != nil {
 		return through, secureScheme, usage("%w", err)
 	}
-	through.DialTLSContext = certificates.DialTLS(source.Client(), (&net.Dialer{Timeout: dialTimeout}).DialContext)
+	through.DialTLSContext = certificates.DialTLS(source.ClientConfig(), (&net.Dialer{Timeout: dialTimeout}).DialContext)
 	return through, secureScheme, nil
 }
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -21,8 +21,8 @@
 // Override gives one key a value, as a flag does.
 type Override struct {
 	Key string
-	// Text is the value; a list's items are separated by commas.
-	Text string
+	// Value is the value; a list's items are separated by commas.
+	Value string
 }
 
 // FlagName returns the flag that overrides a key: dots and underscores become
@@ -68,7 +68,7 @@
 	walk(reflect.ValueOf(settings).Elem(), "", func(key string, _ reflect.StructField, value reflect.Value) {
 		if key == o.Key {
 			found = true
-			err = assign(value, o.Text)
+			err = assign(value, o.Value)
 		}
 	})
 	if !found {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -191,8 +191,8 @@
 	}
 	defer func() { _ = platform.Close() }()
 	snapshot := storedCatalogue(t, platform).Corpus(HollowName).Newest()
-	if snapshot.Shards() != 12 || len(platform.Backends()) != 12 {
-		t.Errorf("%d shards, %d replicas", snapshot.Shards(), len(platform.Backends()))
+	if snapshot.ShardCount() != 12 || len(platform.Backends()) != 12 {
+		t.Errorf("%d shards, %d replicas", snapshot.ShardCount(), len(platform.Backends()))
 	}
 	if hits := searchAll(t, platform, snapshot, client.Query{Card: "any"}); len(hits) == 0 {
 		t.Error("no shard answered with a hit")
