--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,19 +1,20 @@
-// Package catalogue describes the published snapshots of each corpus as
-// immutable data. The indexing pipeline publishes the catalogue as one
-// document in the store; daemons only read it.
+// Package catalogue defines the published snapshots of each corpus. The
+// indexing pipeline publishes the catalogue as one document in the store;
+// daemons only read it and never modify it.
 package catalogue
 
-// Catalogue is every corpus at one revision.
+// Catalogue lists all corpora at one revision.
 type Catalogue struct {
-	// Revision grows with each publication.
+	// Revision increases with each publication.
 	Revision uint64   `json:"revision"`
 	Corpora  []Corpus `json:"corpora"`
 }
 
-// Corpus is a set of indexes that are searched together.
+// Corpus is a set of indexes that are searched together and versioned by
+// snapshot.
 type Corpus struct {
 	Name string `json:"name"`
-	// Snapshots are in ascending order of ID; the last is the newest.
+	// Snapshots are sorted by ascending ID; the last one is the newest.
 	Snapshots []Snapshot `json:"snapshots"`
 }
 
@@ -23,16 +24,16 @@
 	Indexes []Index `json:"indexes"`
 }
 
-// Index is one index in one snapshot. Repartitioning gives an index another
-// number of shards in a later snapshot.
+// Index is one index in one snapshot. Its number of shards may differ between
+// snapshots.
 type Index struct {
 	Name string `json:"name"`
-	// Groups has one entry a shard: the replica group that holds it, as named
-	// by the machine list's label "group".
+	// Groups holds, for each shard, the name of the replica group that serves
+	// it: the value of the label "group" in the machine list.
 	Groups []string `json:"groups"`
 }
 
-// Corpus returns a corpus by name, or nil.
+// Corpus returns the corpus with the given name, or nil if there is none.
 func (c *Catalogue) Corpus(name string) *Corpus {
 	for i := range c.Corpora {
 		if c.Corpora[i].Name == name {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// Newest returns the newest snapshot, or nil where there is none.
+// Newest returns the newest snapshot, or nil if there is none.
 func (c *Corpus) Newest() *Snapshot {
 	if len(c.Snapshots) == 0 {
 		return nil
@@ -50,7 +51,7 @@
 	return &c.Snapshots[len(c.Snapshots)-1]
 }
 
-// ShardCount returns the number of shards of all indexes.
+// ShardCount returns the total number of shards across all indexes.
 func (s *Snapshot) ShardCount() int {
 	total := 0
 	for i := range s.Indexes {
--- a/internal/catalogue/partition.go
+++ b/internal/catalogue/partition.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ShardOf returns the shard of a key (a card number or a subtitle file's
-// name) among a number of shards. Indexers and daemons must agree on it.
+// ShardOf returns the shard that a key (a card number or the name of a subtitle
+// file) is assigned to. Indexers and daemons must use the same function.
 func ShardOf(key string, shards int) int {
 	return int(xxhash.Sum64String(key) % uint64(shards))
 }
--- a/internal/certificates/certificates.go
+++ b/internal/certificates/certificates.go
@@ -1,6 +1,6 @@
-// Package certificates gives TLS configurations whose keys and authorities
-// come from files and are replaced when the files change, without cutting
-// connections that are open.
+// Package certificates provides TLS configurations whose certificates, keys and
+// certificate authorities are read from files. They are reloaded when the files
+// change; established connections are not affected.
 package certificates
 
 import (
@@ -15,32 +15,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// Files names the PEM files of one side of a connection.
+// Files holds the paths of the PEM files of one side of a connection.
 type Files struct {
-	// Certificate and Key identify this side; both or neither are set.
+	// Certificate and Key identify this side. Either both or neither are set.
 	Certificate string `yaml:"certificate" validate:"required_with=Key" help:"PEM file of the certificate chain"`
 	Key         string `yaml:"key" validate:"required_with=Certificate" help:"PEM file of the private key"`
-	// Authority verifies the other side.
+	// Authority holds the certificate authorities that the peer's certificate
+	// is verified against.
 	Authority string `yaml:"authority" help:"PEM file of the authorities that the other side's certificate must come from"`
 }
 
-// Enabled tells whether any file is named.
+// Enabled reports whether any file is configured.
 func (f Files) Enabled() bool { return f != Files{} }
 
-// material is what the files held when they were read last.
+// material is the parsed content of Files.
 type material struct {
 	certificate *tls.Certificate
 	authorities *x509.CertPool
-	raw         [][]byte
+	// contents holds the file contents, to detect changes.
+	contents [][]byte
 }
 
-// Source keeps the material of Files up to date.
+// Source provides the current TLS material of Files. It is safe for concurrent
+// use.
 type Source struct {
 	files   Files
 	current atomic.Pointer[material]
 }
 
-// NewSource reads the files once; it fails if they are not usable.
+// NewSource loads the files. It returns an error if they are invalid.
 func NewSource(files Files) (*Source, error) {
 	source := &Source{files: files}
 	_, err := source.Reload()
@@ -50,22 +53,22 @@
 	return source, nil
 }
 
-// Reload reads the files again and tells whether they had changed. If they
-// are not usable, the material in use stays.
+// Reload reads the files again and reports whether they have changed. If they
+// are invalid, it returns an error and the current material stays in use.
 func (s *Source) Reload() (changed bool, err error) {
-	read, err := readMaterial(s.files)
+	loaded, err := loadMaterial(s.files)
 	if err != nil {
 		return false, err
 	}
-	if old := s.current.Load(); old != nil && sameBytes(old.raw, read.raw) {
+	if old := s.current.Load(); old != nil && equalContents(old.contents, loaded.contents) {
 		return false, nil
 	}
-	s.current.Store(read)
+	s.current.Store(loaded)
 	return true, nil
 }
 
-// Watch reloads at an interval until ctx ends; report hears of each change
-// and of each failure.
+// Watch reloads the files at the given interval until ctx is done. It calls
+// report after each change and each failure.
 func (s *Source) Watch(ctx context.Context, interval time.Duration, report func(changed bool, err error)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -82,7 +85,7 @@
 	}
 }
 
-func sameBytes(left, right [][]byte) bool {
+func equalContents(left, right [][]byte) bool {
 	for i := range left {
 		if !bytes.Equal(left[i], right[i]) {
 			return false
@@ -91,8 +94,8 @@
 	return true
 }
 
-func readMaterial(files Files) (*material, error) {
-	read := &material{raw: make([][]byte, 3)}
+func loadMaterial(files Files) (*material, error) {
+	loaded := &material{contents: make([][]byte, 3)}
 	for i, name := range []string{files.Certificate, files.Key, files.Authority} {
 		if name == "" {
 			continue
@@ -101,53 +104,54 @@
 		if err != nil {
 			return nil, eris.Wrap(err, "read TLS file")
 		}
-		read.raw[i] = content
+		loaded.contents[i] = content
 	}
 	if files.Certificate != "" {
-		pair, err := tls.X509KeyPair(read.raw[0], read.raw[1])
+		pair, err := tls.X509KeyPair(loaded.contents[0], loaded.contents[1])
 		if err != nil {
 			return nil, eris.Wrapf(err, "load certificate %s and key %s", files.Certificate, files.Key)
 		}
-		read.certificate = &pair
+		loaded.certificate = &pair
 	}
 	if files.Authority != "" {
-		read.authorities = x509.NewCertPool()
-		if !read.authorities.AppendCertsFromPEM(read.raw[2]) {
-			return nil, eris.Errorf("%s holds no PEM certificate", files.Authority)
+		loaded.authorities = x509.NewCertPool()
+		if !loaded.authorities.AppendCertsFromPEM(loaded.contents[2]) {
+			return nil, eris.Errorf("no PEM certificate found in %s", files.Authority)
 		}
 	}
-	return read, nil
+	return loaded, nil
 }
 
-// ServerConfig returns the configuration of a listener. Where an authority is
-// named, clients must show a certificate from it (mutual TLS).
+// ServerConfig returns the configuration for a listener. If an authority is
+// configured, clients must present a certificate issued by it (mutual TLS).
 func (s *Source) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.serverNow(protocols), nil
+			return s.currentServerConfig(protocols), nil
 		},
 	}
 }
 
-// serverNow returns the listener's configuration for one new connection.
-func (s *Source) serverNow(protocols []string) *tls.Config {
-	now := s.current.Load()
+// currentServerConfig returns the server configuration for a new connection,
+// based on the current material.
+func (s *Source) currentServerConfig(protocols []string) *tls.Config {
+	current := s.current.Load()
 	config := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols}
-	if now.certificate != nil {
-		config.Certificates = []tls.Certificate{*now.certificate}
+	if current.certificate != nil {
+		config.Certificates = []tls.Certificate{*current.certificate}
 	}
-	if now.authorities != nil {
+	if current.authorities != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = now.authorities
+		config.ClientCAs = current.authorities
 	}
 	return config
 }
 
-// ClientConfig returns the configuration of outgoing connections, to be used by
-// DialTLS. The server's certificate must come from the authority as it is at
-// that moment and name the address that was dialled.
+// ClientConfig returns the configuration for outgoing connections, for use with
+// DialTLS. The server's certificate must be issued by the authority current at
+// the time of the handshake and be valid for the dialled address.
 func (s *Source) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -157,20 +161,21 @@
 			}
 			return &tls.Certificate{}, nil
 		},
-		// The library checks against a fixed pool only; verifyServer does the
-		// same check against the pool of the moment.
+		// crypto/tls verifies against a fixed pool only. verifyServerCertificate
+		// replaces that verification and uses the current pool.
 		InsecureSkipVerify: true,
-		VerifyConnection:   s.verifyServer,
+		VerifyConnection:   s.verifyServerCertificate,
 	}
 }
 
-// verifyServer is the library's own check with the present authorities.
-func (s *Source) verifyServer(state tls.ConnectionState) error {
+// verifyServerCertificate verifies the server's chain and name as crypto/tls
+// does by default, against the current authorities.
+func (s *Source) verifyServerCertificate(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return eris.New("the server showed no certificate")
+		return eris.New("server presented no certificate")
 	}
 	if state.ServerName == "" {
-		return eris.New("the address that the server must name is not known")
+		return eris.New("no server name to verify the certificate against")
 	}
 	intermediates := x509.NewCertPool()
 	for _, certificate := range state.PeerCertificates[1:] {
@@ -181,5 +186,5 @@
 		Roots:         s.current.Load().authorities,
 		Intermediates: intermediates,
 	})
-	return eris.Wrap(err, "verify the server's certificate")
+	return eris.Wrap(err, "verify server certificate")
 }
--- a/internal/certificates/certificates_test.go
+++ b/internal/certificates/certificates_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorpond/doorpond/internal/certificates/certificatestest"
 )
 
-// authority issues certificates for tests.
+// authority wraps certificatestest.Authority and fails the test on errors.
 type authority struct {
 	*certificatestest.Authority
 }
@@ -27,13 +27,14 @@
 	return &authority{issuer}
 }
 
-// write puts a new certificate, its key and the authority into a directory.
+// write writes a new certificate for 127.0.0.1, its key and the authority's
+// certificate to a directory.
 func (a *authority) write(t *testing.T, directory string) certificates.Files {
 	t.Helper()
 	return a.writeFor(t, directory, net.IPv4(127, 0, 0, 1))
 }
 
-// writeFor is write with a certificate that names another address.
+// writeFor is like write for a given address.
 func (a *authority) writeFor(t *testing.T, directory string, address net.IP) certificates.Files {
 	t.Helper()
 	files, err := a.Write(directory, address)
@@ -88,52 +89,52 @@
 	cases := []struct {
 		name   string
 		config *tls.Config
-		works  bool
+		wantOK bool
 	}{
-		{"certificate of the authority", newSource(t, trusted.write(t, t.TempDir())).ClientConfig(), true},
-		{"certificate of another authority", newSource(t, other.write(t, t.TempDir())).ClientConfig(), false},
+		{"trusted authority", newSource(t, trusted.write(t, t.TempDir())).ClientConfig(), true},
+		{"untrusted authority", newSource(t, other.write(t, t.TempDir())).ClientConfig(), false},
 		{"no certificate", newSource(t, certificates.Files{Authority: trusted.write(t, t.TempDir()).Authority}).ClientConfig(), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			err := get(newClient(t, test.config), server.URL)
-			if (err == nil) != test.works {
-				t.Errorf("request error %v; wanted it to work: %v", err, test.works)
+			if (err == nil) != test.wantOK {
+				t.Errorf("request error %v, want success: %v", err, test.wantOK)
 			}
 		})
 	}
 }
 
-func TestReloadReplacesTheAuthorityAndKeepsOpenConnections(t *testing.T) {
+func TestReloadReplacesAuthority(t *testing.T) {
 	first, second := newAuthority(t), newAuthority(t)
 	serverDirectory, clientDirectory := t.TempDir(), t.TempDir()
 	serverSource := newSource(t, first.write(t, serverDirectory))
 	clientSource := newSource(t, first.write(t, clientDirectory))
 	server := serve(t, serverSource)
-	open := newClient(t, clientSource.ClientConfig())
-	if err := get(open, server.URL); err != nil {
+	established := newClient(t, clientSource.ClientConfig())
+	if err := get(established, server.URL); err != nil {
 		t.Fatal(err)
 	}
 	second.write(t, serverDirectory)
 	if changed, err := serverSource.Reload(); !changed || err != nil {
 		t.Fatalf("reload: changed %v, error %v", changed, err)
 	}
-	if err := get(open, server.URL); err != nil {
-		t.Errorf("an open connection was cut by the reload: %v", err)
+	if err := get(established, server.URL); err != nil {
+		t.Errorf("reload closed an established connection: %v", err)
 	}
 	if err := get(newClient(t, clientSource.ClientConfig()), server.URL); err == nil {
-		t.Error("a new connection with the old authority was accepted")
+		t.Error("server accepted a new connection with the old authority")
 	}
 	second.write(t, clientDirectory)
 	if _, err := clientSource.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	if err := get(newClient(t, clientSource.ClientConfig()), server.URL); err != nil {
-		t.Errorf("a new connection with the new authority failed: %v", err)
+		t.Errorf("new connection with the new authority failed: %v", err)
 	}
 }
 
-func TestReloadKeepsWhatWorksWhenTheFilesDoNot(t *testing.T) {
+func TestReloadKeepsMaterialOnInvalidFiles(t *testing.T) {
 	issuer := newAuthority(t)
 	files := issuer.write(t, t.TempDir())
 	source := newSource(t, files)
@@ -141,29 +142,29 @@
 		t.Fatal(err)
 	}
 	if changed, err := source.Reload(); changed || err == nil {
-		t.Errorf("reload of a broken key: changed %v, error %v", changed, err)
+		t.Errorf("reload with an invalid key: changed %v, error %v", changed, err)
 	}
 	if err := get(newClient(t, source.ClientConfig()), serve(t, source).URL); err != nil {
-		t.Errorf("the material in use was lost: %v", err)
+		t.Errorf("request with the previous material failed: %v", err)
 	}
 }
 
-func TestServerMustNameTheAddressThatWasDialled(t *testing.T) {
+func TestClientVerifiesDialledAddress(t *testing.T) {
 	issuer := newAuthority(t)
 	cases := []struct {
 		name    string
 		address net.IP
-		works   bool
+		wantOK  bool
 	}{
-		{"the address dialled", net.IPv4(127, 0, 0, 1), true},
-		{"another address", net.IPv4(127, 0, 0, 9), false},
+		{"dialled address", net.IPv4(127, 0, 0, 1), true},
+		{"other address", net.IPv4(127, 0, 0, 9), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			server := serve(t, newSource(t, issuer.writeFor(t, t.TempDir(), test.address)))
 			err := get(newClient(t, newSource(t, issuer.write(t, t.TempDir())).ClientConfig()), server.URL)
-			if (err == nil) != test.works {
-				t.Errorf("request error %v; wanted it to work: %v", err, test.works)
+			if (err == nil) != test.wantOK {
+				t.Errorf("request error %v, want success: %v", err, test.wantOK)
 			}
 		})
 	}
--- a/internal/certificates/certificatestest/authority.go
+++ b/internal/certificates/certificatestest/authority.go
@@ -20,20 +20,20 @@
 	"github.com/doorpond/doorpond/internal/certificates"
 )
 
-// validity is how long certificates are good for, before and after now.
+// validity is the validity period of certificates before and after the time of
+// issue.
 const validity = time.Hour
 
-// fileMode keeps keys from other users.
 const fileMode = 0o600
 
-// Authority issues certificates.
+// Authority is a self-signed certificate authority.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	serial      int64
 }
 
-// New makes an authority of its own.
+// New returns an authority with a new key and a self-signed certificate.
 func New() (*Authority, error) {
 	authority := &Authority{}
 	template := &x509.Certificate{IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
@@ -43,14 +43,15 @@
 	}
 	authority.key = key
 	authority.certificate, err = x509.ParseCertificate(der)
-	return authority, eris.Wrap(err, "read the authority's certificate")
+	return authority, eris.Wrap(err, "parse CA certificate")
 }
 
-// sign issues a certificate; the first one signs itself.
+// sign generates a key and issues a certificate for it. The first certificate is
+// self-signed.
 func (a *Authority) sign(template *x509.Certificate) ([]byte, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "make a key")
+		return nil, nil, eris.Wrap(err, "generate key")
 	}
 	a.serial++
 	template.SerialNumber = big.NewInt(a.serial)
@@ -62,11 +63,11 @@
 		parent, signer = template, key
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
-	return der, key, eris.Wrap(err, "sign a certificate")
+	return der, key, eris.Wrap(err, "sign certificate")
 }
 
-// Write puts a new certificate that names an address, its key and the
-// authority into a directory, over those that may be there.
+// Write issues a certificate for an IP address and writes it, its key and the
+// authority's certificate to a directory, replacing existing files.
 func (a *Authority) Write(directory string, address net.IP) (certificates.Files, error) {
 	der, key, err := a.sign(&x509.Certificate{
 		IPAddresses: []net.IP{address},
@@ -77,14 +78,14 @@
 	}
 	keyBytes, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return certificates.Files{}, eris.Wrap(err, "encode a key")
+		return certificates.Files{}, eris.Wrap(err, "encode key")
 	}
 	files := certificates.Files{
 		Certificate: filepath.Join(directory, "certificate.pem"),
 		Key:         filepath.Join(directory, "key.pem"),
 		Authority:   filepath.Join(directory, "authority.pem"),
 	}
-	for _, one := range []struct {
+	for _, file := range []struct {
 		path, kind string
 		content    []byte
 	}{
@@ -92,9 +93,9 @@
 		{files.Key, "EC PRIVATE KEY", keyBytes},
 		{files.Authority, "CERTIFICATE", a.certificate.Raw},
 	} {
-		encoded := pem.EncodeToMemory(&pem.Block{Type: one.kind, Bytes: one.content})
-		if err := os.WriteFile(one.path, encoded, fileMode); err != nil {
-			return certificates.Files{}, eris.Wrap(err, "write a PEM file")
+		encoded := pem.EncodeToMemory(&pem.Block{Type: file.kind, Bytes: file.content})
+		if err := os.WriteFile(file.path, encoded, fileMode); err != nil {
+			return certificates.Files{}, eris.Wrap(err, "write PEM file")
 		}
 	}
 	return files, nil
--- a/internal/certificates/dial.go
+++ b/internal/certificates/dial.go
@@ -8,13 +8,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection. It has the signature of
+// net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// DialTLS opens TLS connections whose server must name the address that was
-// dialled; it is for http.Transport.DialTLSContext. The transport's own way
-// cannot check this for IP addresses with authorities that change: the library
-// tells VerifyConnection names, but no addresses.
+// DialTLS returns a DialFunc for http.Transport.DialTLSContext that opens TLS
+// connections and verifies the server's certificate against the dialled
+// address. The transport's default cannot do so for an IP address with
+// VerifyConnection, because crypto/tls leaves ConnectionState.ServerName empty
+// for IP addresses.
 func DialTLS(config *tls.Config, dial DialFunc, protocols ...string) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(address)
@@ -25,25 +27,25 @@
 		if err != nil {
 			return nil, err
 		}
-		secured := tls.Client(connection, naming(config, host, protocols))
-		if err := secured.HandshakeContext(ctx); err != nil {
-			_ = connection.Close() // the handshake's error is the one to report
+		tlsConnection := tls.Client(connection, configForHost(config, host, protocols))
+		if err := tlsConnection.HandshakeContext(ctx); err != nil {
+			_ = connection.Close() // the handshake error takes precedence
 			return nil, eris.Wrapf(err, "TLS handshake with %s", address)
 		}
-		return secured, nil
+		return tlsConnection, nil
 	}
 }
 
-// naming returns a configuration for connections to one host.
-func naming(config *tls.Config, host string, protocols []string) *tls.Config {
-	named := config.Clone()
-	named.ServerName = host
-	named.NextProtos = protocols
+// configForHost returns a copy of config that verifies the server against host.
+func configForHost(config *tls.Config, host string, protocols []string) *tls.Config {
+	cloned := config.Clone()
+	cloned.ServerName = host
+	cloned.NextProtos = protocols
 	if config.VerifyConnection != nil {
-		named.VerifyConnection = func(state tls.ConnectionState) error {
+		cloned.VerifyConnection = func(state tls.ConnectionState) error {
 			state.ServerName = host
 			return config.VerifyConnection(state)
 		}
 	}
-	return named
+	return cloned
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,4 +1,5 @@
-// Package program ends the project's commands alike.
+// Package program runs the project's commands and maps their errors to exit
+// codes.
 package program
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/doorpond/doorpond/internal/settings"
 )
 
-// The exit codes.
 const (
-	exitFailed          = 1
+	exitFailure         = 1
 	exitInvalidSettings = 2
 )
 
-// Main runs a command and ends the process: with 0 when it was stopped as
-// planned, 1 when it failed, 2 when its settings were refused.
+// Main runs a command with the arguments of the process. If the command fails,
+// Main prints the error and exits with status 2 for invalid settings and 1 for
+// any other error.
 func Main(command *cli.Command) {
 	err := command.Run(context.Background(), os.Args)
 	if err == nil {
@@ -30,9 +31,9 @@
 }
 
 func exitCode(err error) int {
-	var invalid *settings.Error
-	if errors.As(err, &invalid) {
+	var invalidSettings *settings.Error
+	if errors.As(err, &invalidSettings) {
 		return exitInvalidSettings
 	}
-	return exitFailed
+	return exitFailure
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestExitCode(t *testing.T) {
-	refused := &settings.Error{Source: "file", Reason: "bad"}
+	invalidSettings := &settings.Error{Source: "file", Reason: "bad"}
 	for _, test := range []struct {
 		err  error
 		want int
-	}{{errors.New("broken"), 1}, {refused, 2}, {fmt.Errorf("start: %w", refused), 2}} {
+	}{{errors.New("broken"), 1}, {invalidSettings, 2}, {fmt.Errorf("start: %w", invalidSettings), 2}} {
 		if got := exitCode(test.err); got != test.want {
-			t.Errorf("%v: %d, want %d", test.err, got, test.want)
+			t.Errorf("exitCode(%v) = %d, want %d", test.err, got, test.want)
 		}
 	}
 }
