--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,15 +13,15 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// location finds where a key's value came from.
-type location struct {
+// originLocator locates the flag or the file position that sets a key.
+type originLocator struct {
 	path      string
 	file      *ast.File
 	overrides []Override
 }
 
-// source returns the flag or the file and line that gave a key its value.
-func (l location) source(key string) (source string, line int) {
+// source returns the flag, or the file and line, that sets a key.
+func (l originLocator) source(key string) (source string, line int) {
 	for _, override := range l.overrides {
 		if override.Key == key {
 			return "--" + FlagName(key), 0
@@ -33,8 +33,9 @@
 	return l.path, l.line(key)
 }
 
-// line returns the line of a key, or of its nearest parent, or 0.
-func (l location) line(key string) int {
+// line returns the line of a key or of its nearest ancestor in the file, or 0
+// if neither is present.
+func (l originLocator) line(key string) int {
 	for key != "" {
 		path, err := yaml.PathString("$." + key)
 		if err == nil {
@@ -43,27 +44,28 @@
 				return node.GetToken().Position.Line
 			}
 		}
-		cut := strings.LastIndex(key, ".")
-		if cut < 0 {
+		dot := strings.LastIndex(key, ".")
+		if dot < 0 {
 			return 0
 		}
-		key = key[:cut]
+		key = key[:dot]
 	}
 	return 0
 }
 
 func newValidator() *validator.Validate {
-	checker := validator.New(validator.WithRequiredStructEnabled())
-	checker.RegisterTagNameFunc(func(field reflect.StructField) string {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(field reflect.StructField) string {
 		return field.Tag.Get("yaml")
 	})
-	// The name is a constant and the function is not nil, so this cannot fail.
-	_ = checker.RegisterValidation("hostname_port_ip", isAddress)
-	return checker
+	// Fails only for an empty tag or a nil function.
+	_ = v.RegisterValidation("hostname_port_ip", isIPPort)
+	return v
 }
 
-// isAddress accepts IP:port, where the port may be 0 for any free one.
-func isAddress(field validator.FieldLevel) bool {
+// isIPPort reports whether a field is IP:port. Port 0 is valid and selects any
+// free port.
+func isIPPort(field validator.FieldLevel) bool {
 	host, _, err := net.SplitHostPort(field.Field().String())
 	if err != nil {
 		return false
@@ -75,36 +77,37 @@
 	return err == nil
 }
 
-// check refuses impossible values; it reports the first.
-func check(settings any, from location) error {
+// validate checks the values against the validate tags and returns the first
+// violation as an *Error.
+func validate(settings any, locator originLocator) error {
 	err := newValidator().Struct(settings)
-	var refused validator.ValidationErrors
-	if !errors.As(err, &refused) {
+	var failures validator.ValidationErrors
+	if !errors.As(err, &failures) {
 		return err
 	}
-	first := refused[0]
+	first := failures[0]
 	key := strings.TrimPrefix(first.Namespace(), "Settings.")
-	source, line := from.source(key)
-	return &Error{Source: source, Line: line, Key: key, Reason: reason(first)}
+	source, line := locator.source(key)
+	return &Error{Source: source, Line: line, Key: key, Reason: failureReason(first)}
 }
 
-// reason words a failed validation.
-func reason(failed validator.FieldError) string {
-	value := fmt.Sprintf("%v", failed.Value())
-	switch failed.Tag() {
+// failureReason describes a failed validation.
+func failureReason(failure validator.FieldError) string {
+	value := fmt.Sprintf("%v", failure.Value())
+	switch failure.Tag() {
 	case "required":
 		return "is required"
 	case "oneof":
-		return fmt.Sprintf("%q is not one of %s", value, strings.ReplaceAll(failed.Param(), " ", ", "))
+		return fmt.Sprintf("%q is not one of %s", value, strings.ReplaceAll(failure.Param(), " ", ", "))
 	case "gte":
-		return fmt.Sprintf("%s is less than %s", value, failed.Param())
+		return fmt.Sprintf("%s is less than %s", value, failure.Param())
 	case "lte":
-		return fmt.Sprintf("%s is more than %s", value, failed.Param())
+		return fmt.Sprintf("%s is more than %s", value, failure.Param())
 	case "http_url":
 		return fmt.Sprintf("%q is not an http or https URL", value)
 	case "hostname_port_ip":
 		return fmt.Sprintf("%q is not IP:port", value)
 	default:
-		return fmt.Sprintf("%q does not satisfy %s", value, failed.Tag())
+		return fmt.Sprintf("%q does not satisfy %s", value, failure.Tag())
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,20 +13,20 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Error is the one clear reason why settings were refused.
+// Error describes the first invalid setting that was found.
 type Error struct {
-	// Source is the file's name, or the flag.
+	// Source is the path of the file or the name of the flag.
 	Source string
-	// Line is the line in the file, from 1; 0 when a flag gave the value or
-	// the key is absent.
+	// Line is the line in the file, starting at 1. It is 0 if the value was set
+	// by a flag or the key is absent.
 	Line int
-	// Key is the dotted key, such as "store.url"; empty when the file is not
-	// YAML at all.
+	// Key is the dotted key, such as "store.url". It is empty if the file is
+	// not valid YAML.
 	Key    string
 	Reason string
 }
 
-// Error gives source, line, key and reason in one line.
+// Error formats the error as "source:line: key: reason".
 func (e *Error) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Source)
@@ -40,9 +40,9 @@
 	return text.String()
 }
 
-// Load reads a file over the defaults, then the overrides (dotted key to
-// text) over the file, and checks the result. An empty path reads no file.
-// Every error about the content is an *Error.
+// Load returns the defaults, overridden by the YAML file at path and then by
+// overrides, and validates the result. If path is empty, no file is read. All
+// errors about the content are of type *Error.
 func Load(path string, overrides []Override) (Settings, error) {
 	loaded := Default()
 	file := &ast.File{}
@@ -61,58 +61,59 @@
 			return loaded, err
 		}
 	}
-	return loaded, check(&loaded, location{path: path, file: file, overrides: overrides})
+	return loaded, validate(&loaded, originLocator{path: path, file: file, overrides: overrides})
 }
 
-// LoadInto reads a file over the defaults that a structure of another program
-// holds, and checks the result by the same tags. Every error about the content
-// is an *Error.
-func LoadInto(path string, into any) error {
+// LoadInto decodes the YAML file at path into the struct that target points to,
+// which holds the defaults, and validates the result by its validate tags. All
+// errors about the content are of type *Error.
+func LoadInto(path string, target any) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return &Error{Source: path, Reason: "cannot be read: " + errors.Unwrap(err).Error()}
 	}
-	file, err := decode(path, content, into)
+	file, err := decode(path, content, target)
 	if err != nil {
 		return err
 	}
-	return check(into, location{path: path, file: file})
+	return validate(target, originLocator{path: path, file: file})
 }
 
-// decode reads YAML strictly and returns its syntax tree, for positions.
-func decode(path string, content []byte, into any) (*ast.File, error) {
+// decode decodes YAML, rejecting unknown keys, and returns its syntax tree, which
+// is used to locate errors.
+func decode(path string, content []byte, target any) (*ast.File, error) {
 	file, err := parser.ParseBytes(content, 0)
 	if err != nil {
-		return nil, positioned(path, file, err)
+		return nil, newYAMLError(path, file, err)
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
-	err = decoder.Decode(into)
+	err = decoder.Decode(target)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return nil, positioned(path, file, err)
+		return nil, newYAMLError(path, file, err)
 	}
 	return file, nil
 }
 
-// positioned turns an error of the YAML library into an *Error.
-func positioned(path string, file *ast.File, err error) error {
-	refused := &Error{Source: path, Reason: err.Error()}
-	var located yaml.Error
-	if !errors.As(err, &located) {
-		refused.Line, refused.Key = placeOfValue(file, err)
-		return refused
-	}
-	refused.Reason = located.GetMessage()
-	if token := located.GetToken(); token != nil {
-		refused.Line = token.Position.Line
-		refused.Key = keyAt(file, token.Position.Offset, token.Value)
-	}
-	return refused
+// newYAMLError converts an error of the YAML library into an *Error.
+func newYAMLError(path string, file *ast.File, err error) error {
+	settingsErr := &Error{Source: path, Reason: err.Error()}
+	var yamlErr yaml.Error
+	if !errors.As(err, &yamlErr) {
+		settingsErr.Line, settingsErr.Key = locateValue(file, err)
+		return settingsErr
+	}
+	settingsErr.Reason = yamlErr.GetMessage()
+	if token := yamlErr.GetToken(); token != nil {
+		settingsErr.Line = token.Position.Line
+		settingsErr.Key = keyAt(file, token.Position.Offset, token.Value)
+	}
+	return settingsErr
 }
 
-// placeOfValue finds where a value stands that the library refused without
-// telling where: its error ends with the value in quotes.
-func placeOfValue(file *ast.File, refused error) (line int, key string) {
-	parts := strings.Split(refused.Error(), `"`)
+// locateValue locates the value rejected by an error without position. Such
+// an error ends with the quoted value.
+func locateValue(file *ast.File, err error) (line int, key string) {
+	parts := strings.Split(err.Error(), `"`)
 	if file == nil || len(parts) < 3 {
 		return 0, ""
 	}
@@ -123,13 +124,14 @@
 	return finder.line, finder.key
 }
 
+// valueFinder finds the first mapping entry with a given value.
 type valueFinder struct {
 	value string
 	line  int
 	key   string
 }
 
-// Visit notes the first entry whose value is the one looked for.
+// Visit implements ast.Visitor.
 func (f *valueFinder) Visit(node ast.Node) ast.Visitor {
 	entry, isEntry := node.(*ast.MappingValueNode)
 	if isEntry && f.line == 0 && entry.Value != nil && entry.Value.GetToken().Value == f.value {
@@ -139,9 +141,9 @@
 	return f
 }
 
-// keyAt returns the dotted key of the entry whose key or value is the token
-// at an offset, the token's own text where there is none, and nothing when
-// the file is not YAML.
+// keyAt returns the dotted key of the mapping entry whose key or value token is
+// at offset. Without such an entry it returns text, and without a syntax tree
+// the empty string.
 func keyAt(file *ast.File, offset int, text string) string {
 	if file == nil {
 		return ""
@@ -156,12 +158,14 @@
 	return finder.key
 }
 
+// keyFinder finds the deepest mapping entry whose key or value token is at
+// offset.
 type keyFinder struct {
 	offset int
 	key    string
 }
 
-// Visit keeps the path of the deepest entry that contains the offset.
+// Visit implements ast.Visitor.
 func (f *keyFinder) Visit(node ast.Node) ast.Visitor {
 	entry, isEntry := node.(*ast.MappingValueNode)
 	if !isEntry {
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -8,67 +8,67 @@
 	"time"
 )
 
-// Option describes one key of the settings, for making flags.
+// Option describes one key of the settings, for the definition of flags.
 type Option struct {
-	// Key is dotted, such as "store.url".
-	Key string
-	// Help says what the key is for.
+	// Key is the dotted key, such as "store.url".
+	Key  string
 	Help string
-	// Default is the default value as text; empty when there is none.
+	// Default is the default value as text, or empty if there is none.
 	Default string
 }
 
-// Override gives one key a value, as a flag does.
+// Override sets one key to a value given by a flag.
 type Override struct {
 	Key string
-	// Value is the value; a list's items are separated by commas.
+	// Value is given as text, with list items separated by commas.
 	Value string
 }
 
-// FlagName returns the flag that overrides a key: dots and underscores become
-// dashes.
+// FlagName returns the name of the flag that overrides a key, with dots and
+// underscores replaced by dashes.
 func FlagName(key string) string {
 	return strings.NewReplacer(".", "-", "_", "-").Replace(key)
 }
 
-// Options lists every key of the settings in the order of their definition.
+// Options returns all keys of the settings in the order of their definition.
 func Options() []Option {
 	defaults := Default()
 	var options []Option
-	walk(reflect.ValueOf(&defaults).Elem(), "", func(key string, field reflect.StructField, value reflect.Value) {
-		options = append(options, Option{Key: key, Help: field.Tag.Get("help"), Default: render(value)})
+	walkLeaves(reflect.ValueOf(&defaults).Elem(), "", func(key string, field reflect.StructField, value reflect.Value) {
+		options = append(options, Option{Key: key, Help: field.Tag.Get("help"), Default: formatValue(value)})
 	})
 	return options
 }
 
-// walk visits every leaf of the settings with its dotted key.
-func walk(parent reflect.Value, prefix string, visit func(string, reflect.StructField, reflect.Value)) {
+// walkLeaves calls visit for every leaf field of the settings with its dotted
+// key.
+func walkLeaves(parent reflect.Value, prefix string, visit func(string, reflect.StructField, reflect.Value)) {
 	for i := range parent.NumField() {
 		field := parent.Type().Field(i)
 		key := prefix + field.Tag.Get("yaml")
 		if field.Type.Kind() == reflect.Struct {
-			walk(parent.Field(i), key+".", visit)
+			walkLeaves(parent.Field(i), key+".", visit)
 			continue
 		}
 		visit(key, field, parent.Field(i))
 	}
 }
 
-func render(value reflect.Value) string {
+func formatValue(value reflect.Value) string {
 	if items, isList := value.Interface().([]string); isList {
 		return strings.Join(items, ",")
 	}
 	return fmt.Sprint(value.Interface())
 }
 
-// apply sets the key in the settings.
+// apply sets the overridden key in settings.
 func (o Override) apply(settings *Settings) error {
 	var err error
 	found := false
-	walk(reflect.ValueOf(settings).Elem(), "", func(key string, _ reflect.StructField, value reflect.Value) {
+	walkLeaves(reflect.ValueOf(settings).Elem(), "", func(key string, _ reflect.StructField, value reflect.Value) {
 		if key == o.Key {
 			found = true
-			err = assign(value, o.Value)
+			err = setValue(value, o.Value)
 		}
 	})
 	if !found {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// assign parses text into a leaf of the settings.
-func assign(value reflect.Value, text string) error {
+// setValue parses text and sets a leaf field to it.
+func setValue(value reflect.Value, text string) error {
 	switch value.Interface().(type) {
 	case time.Duration:
 		parsed, err := time.ParseDuration(text)
@@ -100,7 +100,7 @@
 	case []string:
 		value.Set(reflect.ValueOf(splitList(text)))
 	default:
-		return fmt.Errorf("a value of type %s cannot be given by flag", value.Type())
+		return fmt.Errorf("values of type %s cannot be set by a flag", value.Type())
 	}
 	return nil
 }
