--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -288,7 +288,7 @@
 	options.Statistics = func(time.Duration) ([]byte, error) { return encodedStatistics("a"), nil }
 	members := []topology.Member{{ID: "a", PeerAddress: "a"}, {ID: "b", PeerAddress: "b"}, {ID: "broken", PeerAddress: "broken"}, {ID: "gone", PeerAddress: "gone"}}
 	options.Board.Members.Publish(&topology.Members{Self: members[0], Members: members})
-	var compared comparison.Live
+	var compared comparison.ClusterReport
 	answered := ask(New(options), http.MethodGet, "/v1/compare?a=fast&b=old&group=gate", "", "")
 	if err := json.Unmarshal(answered.Body.Bytes(), &compared); err != nil {
 		t.Fatal(err)
--- a/internal/admin/compare.go
+++ b/internal/admin/compare.go
@@ -20,7 +20,7 @@
 const maxSeries = 1024
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
-	query, err := comparison.ReadQuery(r.URL.Query())
+	query, err := comparison.ParseQuery(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -30,7 +30,7 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	writeJSON(w, comparison.NewLive(query, measured, unreachable))
+	writeJSON(w, comparison.NewClusterReport(query, measured, unreachable))
 }
 
 // checkKnown refuses a policy that is neither in the table nor measured; one
--- a/internal/comparison/comparison.go
+++ b/internal/comparison/comparison.go
@@ -22,10 +22,10 @@
 	// under or over the second's.
 	VerdictLower  Verdict = "lower"
 	VerdictHigher Verdict = "higher"
-	// VerdictUnclear: the intervals overlap, so the difference may be chance.
-	VerdictUnclear Verdict = "no clear difference"
-	// VerdictTooFew: at least one policy has too few samples.
-	VerdictTooFew Verdict = "too few samples"
+	// VerdictInconclusive: the intervals overlap, so the difference may be chance.
+	VerdictInconclusive Verdict = "no clear difference"
+	// VerdictTooFewSamples: at least one policy has too few samples.
+	VerdictTooFewSamples Verdict = "too few samples"
 )
 
 // Estimate is one figure with its 95% interval.
@@ -33,13 +33,13 @@
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
-	// Enough is false where the samples are too few for an interval; Low and
+	// HasInterval is false where the samples are too few for an interval; Low and
 	// High are 0 then.
-	Enough bool `json:"enough"`
+	HasInterval bool `json:"enough"`
 }
 
-// LatencyRow is one latency quantile of both policies, in milliseconds.
-type LatencyRow struct {
+// LatencyComparison is one latency quantile of both policies, in milliseconds.
+type LatencyComparison struct {
 	Quantile float64  `json:"quantile"`
 	A        Estimate `json:"a_ms"`
 	B        Estimate `json:"b_ms"`
@@ -47,15 +47,15 @@
 	Verdict Verdict `json:"verdict"`
 }
 
-// ShareRow is a share of queries of both policies, from 0 to 1.
-type ShareRow struct {
+// ProportionComparison is a share of queries of both policies, from 0 to 1.
+type ProportionComparison struct {
 	A       Estimate `json:"a"`
 	B       Estimate `json:"b"`
 	Verdict Verdict  `json:"verdict"`
 }
 
-// Side is what was counted of one policy.
-type Side struct {
+// PolicySummary is what was counted of one policy.
+type PolicySummary struct {
 	Policy  string `json:"policy"`
 	Queries int64  `json:"queries"`
 	Failed  int64  `json:"failed"`
@@ -70,13 +70,13 @@
 
 // Report sets two policies side by side.
 type Report struct {
-	A       Side         `json:"a"`
-	B       Side         `json:"b"`
-	Latency []LatencyRow `json:"latency"`
-	// Whole is the share of queries that all asked shards answered.
-	Whole ShareRow `json:"whole"`
+	A       PolicySummary       `json:"a"`
+	B       PolicySummary       `json:"b"`
+	Latency []LatencyComparison `json:"latency"`
+	// Complete is the share of queries that all asked shards answered.
+	Complete ProportionComparison `json:"whole"`
 	// Failed is the share of queries that ended in an error.
-	Failed ShareRow `json:"failed"`
+	Failed ProportionComparison `json:"failed"`
 	// Warnings are for reading; there are none where all is clear.
 	Warnings []string `json:"warnings"`
 }
@@ -87,12 +87,12 @@
 	report := Report{
 		A:        sideOf(&first),
 		B:        sideOf(&second),
-		Whole:    compareShares(first.Whole, first.Queries, second.Whole, second.Queries),
+		Complete: compareShares(first.Complete, first.Queries, second.Complete, second.Queries),
 		Failed:   compareShares(first.Failed, first.Queries, second.Failed, second.Queries),
 		Warnings: []string{},
 	}
 	for _, quantile := range Quantiles {
-		row := LatencyRow{Quantile: quantile, A: latency(&first, quantile), B: latency(&second, quantile)}
+		row := LatencyComparison{Quantile: quantile, A: latency(&first, quantile), B: latency(&second, quantile)}
 		row.Verdict = judge(row.A, row.B)
 		report.Latency = append(report.Latency, row)
 	}
@@ -114,8 +114,8 @@
 	return total
 }
 
-func sideOf(total *statistics.PolicyStatistics) Side {
-	return Side{
+func sideOf(total *statistics.PolicyStatistics) PolicySummary {
+	return PolicySummary{
 		Policy:      total.Policy,
 		Queries:     total.Queries,
 		Failed:      total.Failed,
@@ -136,7 +136,7 @@
 	}
 	estimate.Low = milliseconds(total.Quantile(float64(low) / float64(samples)))
 	estimate.High = milliseconds(total.Quantile(float64(high) / float64(samples)))
-	estimate.Enough = true
+	estimate.HasInterval = true
 	return estimate
 }
 
@@ -147,8 +147,8 @@
 // fewQueries is the number under which a share says nothing.
 const fewQueries = 20
 
-func compareShares(someA, allA, someB, allB int64) ShareRow {
-	row := ShareRow{A: share(someA, allA), B: share(someB, allB)}
+func compareShares(someA, allA, someB, allB int64) ProportionComparison {
+	row := ProportionComparison{A: share(someA, allA), B: share(someB, allB)}
 	row.Verdict = judge(row.A, row.B)
 	return row
 }
@@ -158,19 +158,19 @@
 		return Estimate{Value: float64(some) / float64(max(1, all))}
 	}
 	low, high := wilson(some, all)
-	return Estimate{Value: float64(some) / float64(all), Low: low, High: high, Enough: true}
+	return Estimate{Value: float64(some) / float64(all), Low: low, High: high, HasInterval: true}
 }
 
 func judge(a, b Estimate) Verdict {
 	switch {
-	case !a.Enough || !b.Enough:
-		return VerdictTooFew
+	case !a.HasInterval || !b.HasInterval:
+		return VerdictTooFewSamples
 	case a.High < b.Low:
 		return VerdictLower
 	case a.Low > b.High:
 		return VerdictHigher
 	default:
-		return VerdictUnclear
+		return VerdictInconclusive
 	}
 }
 
@@ -184,14 +184,14 @@
 	for _, quantile := range Quantiles {
 		if _, _, enough := ranks(samples, quantile); !enough {
 			r.Warnings = append(r.Warnings, fmt.Sprintf("too few samples of policy %q for p%g and above: %d",
-				total.Policy, Percent(quantile), samples))
+				total.Policy, Percentile(quantile), samples))
 			return
 		}
 	}
 }
 
-// Percent writes a quantile as a percentile, such as 99.9.
-func Percent(quantile float64) float64 {
+// Percentile writes a quantile as a percentile, such as 99.9.
+func Percentile(quantile float64) float64 {
 	const percent, digits = 100, 10
 	return float64(int64(quantile*percent*digits+0.5)) / digits
 }
--- a/internal/comparison/comparison_test.go
+++ b/internal/comparison/comparison_test.go
@@ -85,14 +85,14 @@
 		whole    Verdict
 		warnings int
 	}{
-		{"a clear difference", many, "fast", "slow", "", []Verdict{VerdictLower, VerdictLower, VerdictLower, VerdictLower}, VerdictUnclear, 0},
-		{"the other way round", many, "slow", "fast", "", []Verdict{VerdictHigher, VerdictHigher, VerdictHigher, VerdictHigher}, VerdictUnclear, 0},
-		{"a policy with itself", many, "fast", "fast", "", []Verdict{VerdictUnclear, VerdictUnclear, VerdictUnclear, VerdictUnclear}, VerdictUnclear, 0},
-		{"another group", many, "fast", "slow", "clerks", []Verdict{VerdictTooFew, VerdictTooFew, VerdictTooFew, VerdictTooFew}, VerdictTooFew, 2},
+		{"a clear difference", many, "fast", "slow", "", []Verdict{VerdictLower, VerdictLower, VerdictLower, VerdictLower}, VerdictInconclusive, 0},
+		{"the other way round", many, "slow", "fast", "", []Verdict{VerdictHigher, VerdictHigher, VerdictHigher, VerdictHigher}, VerdictInconclusive, 0},
+		{"a policy with itself", many, "fast", "fast", "", []Verdict{VerdictInconclusive, VerdictInconclusive, VerdictInconclusive, VerdictInconclusive}, VerdictInconclusive, 0},
+		{"another group", many, "fast", "slow", "clerks", []Verdict{VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictTooFewSamples, 2},
 		{"few", append(record("fast", "gate", 100, time.Millisecond, false), record("slow", "gate", 100, time.Second, false)...),
-			"fast", "slow", "gate", []Verdict{VerdictLower, VerdictLower, VerdictTooFew, VerdictTooFew}, VerdictUnclear, 2},
+			"fast", "slow", "gate", []Verdict{VerdictLower, VerdictLower, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictInconclusive, 2},
 		{"all failed", append(record("fast", "gate", 100, time.Millisecond, true), record("slow", "gate", 100, time.Second, false)...),
-			"fast", "slow", "", []Verdict{VerdictTooFew, VerdictTooFew, VerdictTooFew, VerdictTooFew}, VerdictLower, 2},
+			"fast", "slow", "", []Verdict{VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictLower, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -104,8 +104,8 @@
 			if diff := cmp.Diff(test.verdicts, verdicts); diff != "" {
 				t.Error(diff)
 			}
-			if report.Whole.Verdict != test.whole || len(report.Warnings) != test.warnings {
-				t.Errorf("whole %q, warnings %q", report.Whole.Verdict, report.Warnings)
+			if report.Complete.Verdict != test.whole || len(report.Warnings) != test.warnings {
+				t.Errorf("whole %q, warnings %q", report.Complete.Verdict, report.Warnings)
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 
 func TestCompareCountsOverGroups(t *testing.T) {
 	measured := append(record("fast", "gate", 30, time.Millisecond, false), record("fast", "clerks", 20, time.Millisecond, false)...)
-	want := Side{Policy: "fast", Queries: 50, Coverage: 1, ExtraLoad: 0.25, Subrequests: 250, Hedges: 50}
+	want := PolicySummary{Policy: "fast", Queries: 50, Coverage: 1, ExtraLoad: 0.25, Subrequests: 250, Hedges: 50}
 	if diff := cmp.Diff(want, Compare(measured, "fast", "none", "").A); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/comparison/live.go
+++ b/internal/comparison/live.go
@@ -16,8 +16,8 @@
 	Reason string          `json:"reason"`
 }
 
-// Live sets two policies side by side, over all processes that answer.
-type Live struct {
+// ClusterReport sets two policies side by side, over all processes that answer.
+type ClusterReport struct {
 	Report
 	// Group is empty for all groups.
 	Group string `json:"group"`
@@ -32,7 +32,7 @@
 // The times that a comparison may look back.
 const (
 	defaultLast = 10 * time.Minute
-	longestLast = statistics.Minutes * time.Minute
+	longestLast = statistics.RetentionMinutes * time.Minute
 )
 
 // Query asks for a comparison.
@@ -41,19 +41,19 @@
 	Last        time.Duration
 }
 
-// ReadQuery reads a query string. Errors are of kind InvalidRequest.
-func ReadQuery(values url.Values) (Query, error) {
+// ParseQuery reads a query string. Errors are of kind InvalidRequest.
+func ParseQuery(values url.Values) (Query, error) {
 	query := Query{A: values.Get("a"), B: values.Get("b"), Group: values.Get("group")}
 	if query.A == "" || query.B == "" {
 		return query, failure.New(failure.InvalidRequest, "a and b must each name a policy")
 	}
 	var err error
-	query.Last, err = ReadLast(values)
+	query.Last, err = ParseLast(values)
 	return query, err
 }
 
-// ReadLast reads how far back to look. Errors are of kind InvalidRequest.
-func ReadLast(values url.Values) (time.Duration, error) {
+// ParseLast reads how far back to look. Errors are of kind InvalidRequest.
+func ParseLast(values url.Values) (time.Duration, error) {
 	text := values.Get("last")
 	if text == "" {
 		return defaultLast, nil
@@ -66,9 +66,9 @@
 	return last, nil
 }
 
-// NewLive compares what each process that answered has measured.
-func NewLive(query Query, measured [][]statistics.PolicyStatistics, unreachable []Unreachable) Live {
-	return Live{
+// NewClusterReport compares what each process that answered has measured.
+func NewClusterReport(query Query, measured [][]statistics.PolicyStatistics, unreachable []Unreachable) ClusterReport {
+	return ClusterReport{
 		Report: Compare(statistics.Merge(measured...), query.A, query.B, query.Group), Group: query.Group,
 		LastSeconds: int64(query.Last / time.Second), Daemons: len(measured), Unreachable: unreachable,
 	}
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -236,7 +236,7 @@
 }
 
 func (h *handler) statistics(w http.ResponseWriter, r *http.Request) {
-	last, err := comparison.ReadLast(r.URL.Query())
+	last, err := comparison.ParseLast(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -245,7 +245,7 @@
 }
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
-	query, err := comparison.ReadQuery(r.URL.Query())
+	query, err := comparison.ParseQuery(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -258,7 +258,7 @@
 			return
 		}
 	}
-	write(w, comparison.NewLive(query, measured, unreachable))
+	write(w, comparison.NewClusterReport(query, measured, unreachable))
 }
 
 // known tells whether a route is there or was measured.
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -133,7 +133,7 @@
 			one.recorder.Record("old", statistics.Sample{Group: "h", Latency: time.Second, Asked: 1, Failed: true, Attempts: 1})
 		}
 	}
-	var got comparison.Live
+	var got comparison.ClusterReport
 	if status := first.get(t, pathCompare+"?a=fetch&b=old", &got); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -45,7 +45,7 @@
 	// Daemons are the addresses, in the order of the places.
 	Daemons []daemon.Addresses
 	// Operator is the administration of the first daemon.
-	Operator *operator.API
+	Operator *operator.AdminClient
 
 	options Options
 	group   errgroup.Group
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	c.Operator = operator.NewAPI(c.Daemons[0].Administration, "")
+	c.Operator = operator.NewAdminClient(c.Daemons[0].Administration, "")
 	return c.await(ctx)
 }
 
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -22,8 +22,8 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// API is a client of a daemon's administration port.
-type API struct {
+// AdminClient is a client of a daemon's administration port.
+type AdminClient struct {
 	base  string
 	token string
 	http  *http.Client
@@ -37,10 +37,10 @@
 	maxReplyBytes  = 64 << 20
 )
 
-// NewAPI makes a client of an administration port without TLS, given as
+// NewAdminClient makes a client of an administration port without TLS, given as
 // host:port or URL.
-func NewAPI(address, token string) *API {
-	return &API{base: baseURL(address, plainScheme), token: token, http: &http.Client{}}
+func NewAdminClient(address, token string) *AdminClient {
+	return &AdminClient{base: baseURL(address, plainScheme), token: token, http: &http.Client{}}
 }
 
 const (
@@ -56,38 +56,38 @@
 }
 
 // Table returns the table in force on the daemon.
-func (a *API) Table(ctx context.Context) (*policy.Table, error) {
+func (a *AdminClient) Table(ctx context.Context) (*policy.Table, error) {
 	table := &policy.Table{}
 	return table, a.get(ctx, "/v1/table", table)
 }
 
 // Policy returns one row.
-func (a *API) Policy(ctx context.Context, name string) (*policy.Row, error) {
+func (a *AdminClient) Policy(ctx context.Context, name string) (*policy.Row, error) {
 	row := &policy.Row{}
 	return row, a.get(ctx, "/v1/policies/"+url.PathEscape(name), row)
 }
 
 // History returns the last changes, newest first.
-func (a *API) History(ctx context.Context, limit int) (*admin.History, error) {
+func (a *AdminClient) History(ctx context.Context, limit int) (*admin.History, error) {
 	history := &admin.History{}
 	return history, a.get(ctx, "/v1/history?limit="+strconv.Itoa(limit), history)
 }
 
 // Status returns the state of all daemons.
-func (a *API) Status(ctx context.Context) (*admin.Status, error) {
+func (a *AdminClient) Status(ctx context.Context) (*admin.Status, error) {
 	status := &admin.Status{}
 	return status, a.get(ctx, "/v1/status", status)
 }
 
 // System returns all nodes on the users' platform, and what the one that is
 // asked knows.
-func (a *API) System(ctx context.Context) (*inspect.System, error) {
+func (a *AdminClient) System(ctx context.Context) (*inspect.System, error) {
 	system := &inspect.System{}
 	return system, a.get(ctx, "/v1/system", system)
 }
 
 // Release lets a quarantined request be served again.
-func (a *API) Release(ctx context.Context, identity string) (*inspect.Released, error) {
+func (a *AdminClient) Release(ctx context.Context, identity string) (*inspect.Released, error) {
 	released := &inspect.Released{}
 	query := url.Values{"identity": {identity}}
 	return released, a.do(ctx, http.MethodPost, "/v1/release?"+query.Encode(), requestTimeout, nil, released)
@@ -95,35 +95,35 @@
 
 // Compare sets two policies side by side over the last while; an empty group
 // means all groups.
-func (a *API) Compare(ctx context.Context, first, second, group string, last time.Duration) (*comparison.Live, error) {
-	compared := &comparison.Live{}
+func (a *AdminClient) Compare(ctx context.Context, first, second, group string, last time.Duration) (*comparison.ClusterReport, error) {
+	compared := &comparison.ClusterReport{}
 	query := url.Values{"a": {first}, "b": {second}, "group": {group}, "last": {last.String()}}
 	return compared, a.get(ctx, "/v1/compare?"+query.Encode(), compared)
 }
 
 // Edit applies an edit and waits up to a time for it to be in force.
-func (a *API) Edit(ctx context.Context, edit policytable.Edit, wait time.Duration) (*admin.EditResult, error) {
+func (a *AdminClient) Edit(ctx context.Context, edit policytable.Edit, wait time.Duration) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/edits?wait="+wait.String(), wait, edit, result)
 }
 
 // Diff returns what an edit would change.
-func (a *API) Diff(ctx context.Context, edit policytable.Edit) (*admin.EditResult, error) {
+func (a *AdminClient) Diff(ctx context.Context, edit policytable.Edit) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/edits?dry_run=true", 0, edit, result)
 }
 
 // Restore writes the table in force back to the store.
-func (a *API) Restore(ctx context.Context, author string, wait time.Duration) (*admin.EditResult, error) {
+func (a *AdminClient) Restore(ctx context.Context, author string, wait time.Duration) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/restore?wait="+wait.String(), wait, admin.RestoreRequest{Author: author}, result)
 }
 
-func (a *API) get(ctx context.Context, path string, into any) error {
+func (a *AdminClient) get(ctx context.Context, path string, into any) error {
 	return a.do(ctx, http.MethodGet, path, requestTimeout, nil, into)
 }
 
-func (a *API) post(ctx context.Context, path string, wait time.Duration, body, into any) error {
+func (a *AdminClient) post(ctx context.Context, path string, wait time.Duration, body, into any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return eris.Wrap(err, "encode request")
@@ -131,7 +131,7 @@
 	return a.do(ctx, http.MethodPost, path, requestTimeout+wait, encoded, into)
 }
 
-func (a *API) do(ctx context.Context, method, path string, timeout time.Duration, body []byte, into any) error {
+func (a *AdminClient) do(ctx context.Context, method, path string, timeout time.Duration, body []byte, into any) error {
 	if a.unusable != nil {
 		return a.unusable
 	}
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -109,9 +109,9 @@
 
 // api makes the client that the flags ask for. A certificate that cannot be
 // used is reported by the first request.
-func api(command *cli.Command) *API {
+func api(command *cli.Command) *AdminClient {
 	through, scheme, err := transportOf(command)
-	return &API{
+	return &AdminClient{
 		base:     baseURL(command.String(flagAdmin), scheme),
 		token:    command.String(flagToken),
 		http:     &http.Client{Transport: through},
--- a/internal/operator/compare.go
+++ b/internal/operator/compare.go
@@ -87,7 +87,7 @@
 	})
 }
 
-func printComparison(to io.Writer, compared *comparison.Live) {
+func printComparison(to io.Writer, compared *comparison.ClusterReport) {
 	group := compared.Group
 	if group == "" {
 		group = "all groups"
@@ -96,9 +96,9 @@
 		oneLine(group), time.Duration(compared.LastSeconds)*time.Second, compared.Daemons)
 	lines := newGrid(to, "", compared.A.Policy, compared.B.Policy, compared.A.Policy+" IS")
 	for _, row := range compared.Latency {
-		lines.row(fmt.Sprintf("p%g latency", comparison.Percent(row.Quantile)), latencyText(row.A), latencyText(row.B), row.Verdict)
+		lines.row(fmt.Sprintf("p%g latency", comparison.Percentile(row.Quantile)), latencyText(row.A), latencyText(row.B), row.Verdict)
 	}
-	lines.row("whole answers", shareText(compared.Whole.A), shareText(compared.Whole.B), compared.Whole.Verdict)
+	lines.row("whole answers", shareText(compared.Complete.A), shareText(compared.Complete.B), compared.Complete.Verdict)
 	lines.row("failed", shareText(compared.Failed.A), shareText(compared.Failed.B), compared.Failed.Verdict)
 	printCounts(lines, compared.A, compared.B)
 	lines.end()
@@ -113,7 +113,7 @@
 	}
 }
 
-func printCounts(lines *grid, a, b comparison.Side) {
+func printCounts(lines *grid, a, b comparison.PolicySummary) {
 	lines.row("coverage", percentText(a.Coverage), percentText(b.Coverage), "")
 	lines.row("extra load", percentText(a.ExtraLoad), percentText(b.ExtraLoad), "")
 	lines.row("queries", a.Queries, b.Queries, "")
@@ -123,14 +123,14 @@
 }
 
 func latencyText(estimate comparison.Estimate) string {
-	if !estimate.Enough {
+	if !estimate.HasInterval {
 		return fmt.Sprintf("%.2f ms (too few samples)", estimate.Value)
 	}
 	return fmt.Sprintf("%.2f ms (%.2f to %.2f)", estimate.Value, estimate.Low, estimate.High)
 }
 
 func shareText(estimate comparison.Estimate) string {
-	if !estimate.Enough {
+	if !estimate.HasInterval {
 		return percentText(estimate.Value) + " (too few samples)"
 	}
 	return fmt.Sprintf("%s (%s to %s)", percentText(estimate.Value), percentText(estimate.Low), percentText(estimate.High))
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -36,11 +36,11 @@
 // unsure adds how to find out what became of an edit.
 func unsure(err error, id string) error {
 	known, is := err.(*codedError)
-	if !is || known.code != ExitUnsure {
+	if !is || known.code != ExitUncertain {
 		return err
 	}
 	wrapped := fmt.Errorf("%w (repeat it safely with --change-id %s)", known.err, id)
-	return &codedError{code: ExitUnsure, err: wrapped}
+	return &codedError{code: ExitUncertain, err: wrapped}
 }
 
 func preview(ctx context.Context, command *cli.Command, edit policytable.Edit) error {
@@ -69,7 +69,7 @@
 	}
 	if result.Propagation != nil && !result.Propagation.Complete {
 		behind := len(result.Propagation.Lagging) + len(result.Propagation.Unreachable)
-		return &codedError{code: ExitUnsure,
+		return &codedError{code: ExitUncertain,
 			err: fmt.Errorf("accepted, but not seen in force on %d of %d daemons", behind, result.Propagation.Daemons)}
 	}
 	return nil
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -24,9 +24,9 @@
 	// ExitUnavailable: not done, because something needed is not available;
 	// trying again later may help.
 	ExitUnavailable = 4
-	// ExitUnsure: accepted but not in force everywhere in time, or it is not
+	// ExitUncertain: accepted but not in force everywhere in time, or it is not
 	// known whether it was done.
-	ExitUnsure = 5
+	ExitUncertain = 5
 )
 
 // codedError is an error with its exit code.
@@ -56,7 +56,7 @@
 	var operation *net.OpError
 	unsent := errors.As(err, &operation) && operation.Op == "dial"
 	if changes && !unsent {
-		return &codedError{code: ExitUnsure, err: fmt.Errorf("no answer, so it may or may not have been done: %w", err)}
+		return &codedError{code: ExitUncertain, err: fmt.Errorf("no answer, so it may or may not have been done: %w", err)}
 	}
 	return &codedError{code: ExitUnavailable, err: err}
 }
@@ -68,13 +68,13 @@
 	case failure.Conflict, failure.CallInProgress, failure.StoreRegressed:
 		return ExitConflict
 	case failure.OutcomeUnknown:
-		return ExitUnsure
+		return ExitUncertain
 	case failure.NotFound, failure.Unauthorized:
 		return ExitFailure
 	}
 	switch {
 	case changes && !problem.NotRun:
-		return ExitUnsure
+		return ExitUncertain
 	case problem.NotRun, problem.RetryAfterMilliseconds > 0:
 		return ExitUnavailable
 	default:
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -44,14 +44,14 @@
 		Assignments: []policy.Assignment{{Group: "gate", Shares: []policy.Share{{Policy: "fast", Weight: 1}}}}}
 }
 
-func testComparison(query url.Values) comparison.Live {
+func testComparison(query url.Values) comparison.ClusterReport {
 	last, _ := time.ParseDuration(query.Get("last")) // zero shows in the test
-	known := comparison.Estimate{Value: 10, Low: 9, High: 11, Enough: true}
-	return comparison.Live{
+	known := comparison.Estimate{Value: 10, Low: 9, High: 11, HasInterval: true}
+	return comparison.ClusterReport{
 		Group: query.Get("group"), LastSeconds: int64(last / time.Second), Daemons: 2,
 		Report: comparison.Report{
-			A: comparison.Side{Policy: query.Get("a")}, B: comparison.Side{Policy: query.Get("b")}, Warnings: []string{"few"},
-			Latency: []comparison.LatencyRow{{Quantile: 0.999, A: known, B: comparison.Estimate{Value: 3}, Verdict: comparison.VerdictTooFew}},
+			A: comparison.PolicySummary{Policy: query.Get("a")}, B: comparison.PolicySummary{Policy: query.Get("b")}, Warnings: []string{"few"},
+			Latency: []comparison.LatencyComparison{{Quantile: 0.999, A: known, B: comparison.Estimate{Value: 3}, Verdict: comparison.VerdictTooFewSamples}},
 		},
 		Unreachable: []admin.Unreachable{{Member: topology.Member{ID: "node-b"}, Reason: "gone"}},
 	}
@@ -174,8 +174,8 @@
 		{name: "set without token", line: "policy set fast priority=high", problem: failure.New(failure.Unauthorized, "token"), code: ExitFailure},
 		{name: "set refused", line: "policy set fast priority=highest", problem: failure.New(failure.InvalidRequest, "priority"), code: ExitUsage},
 		{name: "set with store out", line: "policy set fast priority=high", problem: failure.New(failure.StoreUnavailable, "out"), code: ExitUnavailable},
-		{name: "set unclear", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUnsure, contains: "--change-id one"},
-		{name: "set and lag", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUnsure, contains: "node-c"},
+		{name: "set unclear", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain, contains: "--change-id one"},
+		{name: "set and lag", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUncertain, contains: "node-c"},
 		{name: "wait too long", line: "policy set fast priority=high --wait 1h", code: ExitUsage, contains: "wait"},
 		{name: "assign weight", line: "assign gate fast=0", code: ExitUsage, contains: "weight"},
 		{name: "assign nothing", line: "assign gate", code: ExitUsage, contains: "--delete"},
@@ -189,8 +189,8 @@
 		{name: "query for nothing", line: "query --corpus cues", code: ExitUsage, contains: "phrase"},
 		{name: "query shed", line: "query --corpus cues selam", problem: failure.New(failure.Overloaded, "full"), code: ExitUnavailable, contains: "Try again in 100ms"},
 		{name: "call", line: "call --key k --service s --operation o", contains: `"done":true`},
-		{name: "call unclear", line: "call --key k --service s --operation o", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUnsure},
-		{name: "call late", line: "call --key k --service s --operation o", problem: failure.New(failure.DeadlineExceeded, "late"), code: ExitUnsure},
+		{name: "call unclear", line: "call --key k --service s --operation o", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain},
+		{name: "call late", line: "call --key k --service s --operation o", problem: failure.New(failure.DeadlineExceeded, "late"), code: ExitUncertain},
 		{name: "call not run", line: "call --key k --service s --operation o", problem: failure.New(failure.NoReplica, "none"), code: ExitUnavailable, contains: "Nothing was run"},
 		{name: "call with bad payload", line: "call --key k --service s --operation o --payload {", code: ExitUsage, contains: "JSON"},
 		{name: "help", line: "policy set --help", contains: "Examples:"},
@@ -248,8 +248,8 @@
 	}))
 	defer server.Close()
 	got := runAt(t, server.URL, "", "call", "--key", "k", "--service", "s", "--operation", "o")
-	if got.code != ExitUnsure {
-		t.Errorf("code %d, want %d: %s", got.code, ExitUnsure, got.err)
+	if got.code != ExitUncertain {
+		t.Errorf("code %d, want %d: %s", got.code, ExitUncertain, got.err)
 	}
 }
 
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -25,7 +25,7 @@
 
 // showing is the action of a command without arguments that shows what one call
 // returns.
-func showing[T any](call func(*API, context.Context) (*T, error), text func(to io.Writer, value *T)) cli.ActionFunc {
+func showing[T any](call func(*AdminClient, context.Context) (*T, error), text func(to io.Writer, value *T)) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if _, err := arguments(command, 0, 0); err != nil {
 			return err
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -25,7 +25,7 @@
 
    doorpond status
    doorpond --output json status | jq '.lagging'`,
-		Action: showing((*API).Status, printStatus),
+		Action: showing((*AdminClient).Status, printStatus),
 	}
 }
 
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -26,7 +26,7 @@
    doorpond --admin 10.1.0.39:7740 system
    doorpond --admin 10.1.0.39:7740 compare search search-next --last 10m
    doorpond --admin 10.1.0.39:7740 --output json system | jq '.lagging'`,
-		Action: showing((*API).System, printSystem),
+		Action: showing((*AdminClient).System, printSystem),
 	}
 }
 
--- a/internal/proofs/cluster.go
+++ b/internal/proofs/cluster.go
@@ -154,12 +154,12 @@
 
 // API returns a client of the administration port of the daemon at a position
 // among those alive.
-func (c *Cluster) API(position int) *operator.API {
+func (c *Cluster) API(position int) *operator.AdminClient {
 	return apiOf(c.Alive()[position])
 }
 
-func apiOf(process *Process) *operator.API {
-	return operator.NewAPI(process.Addresses.Administration, "")
+func apiOf(process *Process) *operator.AdminClient {
+	return operator.NewAdminClient(process.Addresses.Administration, "")
 }
 
 // randomURL is the callers' port of any daemon.
--- a/internal/proofs/table.go
+++ b/internal/proofs/table.go
@@ -222,7 +222,7 @@
 
 // send makes one attempt of an edit, which counts as in flight at the daemon if it
 // is the first.
-func (r *tableRun) send(ctx context.Context, api *operator.API, process *Process, edit policytable.Edit, first bool) (*admin.EditResult, error) {
+func (r *tableRun) send(ctx context.Context, api *operator.AdminClient, process *Process, edit policytable.Edit, first bool) (*admin.EditResult, error) {
 	if first {
 		r.countEditing(process, 1)
 		defer r.countEditing(process, -1)
--- a/internal/query/service_test.go
+++ b/internal/query/service_test.go
@@ -45,7 +45,7 @@
 		if diff := cmp.Diff(want, answer); diff != "" {
 			t.Errorf("answer (-want +got):\n%s", diff)
 		}
-		if recorded := f.statistics.Snapshot(time.Minute); len(recorded) != 1 || recorded[0].Whole != 1 || recorded[0].Attempts != 2 {
+		if recorded := f.statistics.Snapshot(time.Minute); len(recorded) != 1 || recorded[0].Complete != 1 || recorded[0].Attempts != 2 {
 			t.Errorf("statistics %+v", recorded)
 		}
 	})
--- a/internal/statistics/statistics.go
+++ b/internal/statistics/statistics.go
@@ -13,8 +13,8 @@
 
 // The bounds of what is kept.
 const (
-	// Minutes is how far back Snapshot can look.
-	Minutes = 60
+	// RetentionMinutes is how far back Snapshot can look.
+	RetentionMinutes = 60
 	// maxSeries bounds the pairs of policy and group; further groups are
 	// counted under OtherGroups.
 	maxSeries = 512
@@ -60,8 +60,8 @@
 	Attempts  int64  `json:"attempts" msgpack:"t"`
 	Hedges    int64  `json:"hedges" msgpack:"h"`
 	Cancelled int64  `json:"cancelled" msgpack:"c"`
-	// Whole counts the queries that every asked shard answered.
-	Whole int64 `json:"whole" msgpack:"o"`
+	// Complete counts the queries that every asked shard answered.
+	Complete int64 `json:"whole" msgpack:"o"`
 	// Latency is the histogram of the answered queries' microseconds.
 	Latency []Bucket `json:"latency" msgpack:"l"`
 }
@@ -130,7 +130,7 @@
 
 type series struct {
 	mutex   sync.Mutex
-	minutes [Minutes]minute
+	minutes [RetentionMinutes]minute
 }
 
 // Recorder keeps the statistics of one daemon. It is safe for concurrent use.
@@ -176,7 +176,7 @@
 func (s *series) record(number int64, sample Sample) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	current := &s.minutes[number%Minutes]
+	current := &s.minutes[number%RetentionMinutes]
 	if current.number != number {
 		*current = minute{number: number, histogram: current.histogram}
 		if current.histogram != nil {
@@ -199,7 +199,7 @@
 		s.Failed++
 	}
 	if sample.Answered == sample.Asked && !sample.Failed {
-		s.Whole++
+		s.Complete++
 	}
 	s.Asked += int64(sample.Asked)
 	s.Answered += int64(sample.Answered)
@@ -212,7 +212,7 @@
 // under way included, sorted by policy and group.
 func (r *Recorder) Snapshot(since time.Duration) []PolicyStatistics {
 	last := r.minuteNow()
-	first := last - min(int64(since/time.Minute), Minutes-1)
+	first := last - min(int64(since/time.Minute), RetentionMinutes-1)
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	var all []PolicyStatistics
@@ -253,7 +253,7 @@
 	s.Attempts += other.Attempts
 	s.Hedges += other.Hedges
 	s.Cancelled += other.Cancelled
-	s.Whole += other.Whole
+	s.Complete += other.Complete
 }
 
 func compareStatistics(a, b PolicyStatistics) int {
