--- a/internal/comparison/comparison.go
+++ b/internal/comparison/comparison.go
@@ -1,6 +1,6 @@
-// Package comparison sets the statistics of two policies side by side, each
-// figure with an interval or a plain warning where the samples are too few to
-// say anything, so that an operator sees whether a difference means anything.
+// Package comparison compares the statistics of two policies. Each figure has a
+// confidence interval, or is marked as having too few samples for one, so that
+// an operator can tell whether a difference is statistically significant.
 package comparison
 
 import (
@@ -10,111 +10,112 @@
 	"github.com/doorpond/doorpond/internal/statistics"
 )
 
-// Quantiles are the latency quantiles that are compared.
+// Quantiles lists the latency quantiles that are compared.
 var Quantiles = []float64{0.5, 0.95, 0.99, 0.999}
 
-// Verdict says whether a difference means anything.
+// Verdict is the outcome of comparing two estimates.
 type Verdict string
 
-// The verdicts.
 const (
-	// VerdictLower and VerdictHigher: the first policy's interval lies wholly
-	// under or over the second's.
+	// VerdictLower and VerdictHigher mean that the first policy's interval lies
+	// entirely below or above the second's.
 	VerdictLower  Verdict = "lower"
 	VerdictHigher Verdict = "higher"
-	// VerdictInconclusive: the intervals overlap, so the difference may be chance.
+	// VerdictInconclusive means that the intervals overlap, so the difference
+	// may be due to chance.
 	VerdictInconclusive Verdict = "no clear difference"
-	// VerdictTooFewSamples: at least one policy has too few samples.
+	// VerdictTooFewSamples means that at least one policy has too few samples.
 	VerdictTooFewSamples Verdict = "too few samples"
 )
 
-// Estimate is one figure with its 95% interval.
+// Estimate is a figure with its 95% confidence interval.
 type Estimate struct {
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
-	// HasInterval is false where the samples are too few for an interval; Low and
-	// High are 0 then.
+	// HasInterval is false if there are too few samples for an interval; Low and
+	// High are then 0.
 	HasInterval bool `json:"enough"`
 }
 
-// LatencyComparison is one latency quantile of both policies, in milliseconds.
+// LatencyComparison compares one latency quantile, in milliseconds.
 type LatencyComparison struct {
 	Quantile float64  `json:"quantile"`
 	A        Estimate `json:"a_ms"`
 	B        Estimate `json:"b_ms"`
-	// Verdict is about A as against B.
+	// Verdict describes A relative to B.
 	Verdict Verdict `json:"verdict"`
 }
 
-// ProportionComparison is a share of queries of both policies, from 0 to 1.
+// ProportionComparison compares a proportion of queries, from 0 to 1.
 type ProportionComparison struct {
 	A       Estimate `json:"a"`
 	B       Estimate `json:"b"`
 	Verdict Verdict  `json:"verdict"`
 }
 
-// PolicySummary is what was counted of one policy.
+// PolicySummary holds the counters of one policy.
 type PolicySummary struct {
 	Policy  string `json:"policy"`
 	Queries int64  `json:"queries"`
 	Failed  int64  `json:"failed"`
-	// Coverage is the share of the asked shards that answered.
+	// Coverage is the fraction of queried shards that answered.
 	Coverage float64 `json:"coverage"`
-	// ExtraLoad is the sub-requests over one a shard asked, as a share.
+	// ExtraLoad is the number of sub-requests beyond one per queried shard,
+	// divided by the number of queried shards.
 	ExtraLoad   float64 `json:"extra_load"`
 	Subrequests int64   `json:"subrequests"`
 	Hedges      int64   `json:"hedges"`
 	Cancelled   int64   `json:"cancelled"`
 }
 
-// Report sets two policies side by side.
+// Report is the comparison of two policies.
 type Report struct {
 	A       PolicySummary       `json:"a"`
 	B       PolicySummary       `json:"b"`
 	Latency []LatencyComparison `json:"latency"`
-	// Complete is the share of queries that all asked shards answered.
+	// Complete is the proportion of queries that all queried shards answered.
 	Complete ProportionComparison `json:"whole"`
-	// Failed is the share of queries that ended in an error.
+	// Failed is the proportion of queries that ended in an error.
 	Failed ProportionComparison `json:"failed"`
-	// Warnings are for reading; there are none where all is clear.
+	// Warnings lists the figures that have too few samples, for display.
 	Warnings []string `json:"warnings"`
 }
 
-// Compare sets policies a and b side by side. An empty group means all groups.
+// Compare compares policies a and b. An empty group means all groups.
 func Compare(measured []statistics.PolicyStatistics, a, b, group string) Report {
 	first, second := sum(measured, a, group), sum(measured, b, group)
 	report := Report{
-		A:        sideOf(&first),
-		B:        sideOf(&second),
-		Complete: compareShares(first.Complete, first.Queries, second.Complete, second.Queries),
-		Failed:   compareShares(first.Failed, first.Queries, second.Failed, second.Queries),
+		A:        summarize(&first),
+		B:        summarize(&second),
+		Complete: compareProportions(first.Complete, first.Queries, second.Complete, second.Queries),
+		Failed:   compareProportions(first.Failed, first.Queries, second.Failed, second.Queries),
 		Warnings: []string{},
 	}
 	for _, quantile := range Quantiles {
 		row := LatencyComparison{Quantile: quantile, A: latency(&first, quantile), B: latency(&second, quantile)}
-		row.Verdict = judge(row.A, row.B)
+		row.Verdict = compareEstimates(row.A, row.B)
 		report.Latency = append(report.Latency, row)
 	}
-	report.warn(&first)
-	report.warn(&second)
+	report.addWarnings(&first)
+	report.addWarnings(&second)
 	return report
 }
 
-// sum adds up the groups of a policy.
+// sum merges the statistics of a policy over its groups.
 func sum(measured []statistics.PolicyStatistics, policy, group string) statistics.PolicyStatistics {
 	total := statistics.PolicyStatistics{Policy: policy}
-	for _, one := range measured {
-		if one.Policy != policy || (group != "" && one.Group != group) {
+	for _, entry := range measured {
+		if entry.Policy != policy || (group != "" && entry.Group != group) {
 			continue
 		}
-		one.Group = ""
-		total = statistics.Merge([]statistics.PolicyStatistics{total}, []statistics.PolicyStatistics{one})[0]
+		entry.Group = ""
+		total = statistics.Merge([]statistics.PolicyStatistics{total}, []statistics.PolicyStatistics{entry})[0]
 	}
 	return total
 }
 
-func sideOf(total *statistics.PolicyStatistics) PolicySummary {
+func summarize(total *statistics.PolicyStatistics) PolicySummary {
 	return PolicySummary{
 		Policy:      total.Policy,
 		Queries:     total.Queries,
@@ -130,8 +131,8 @@
 func latency(total *statistics.PolicyStatistics, quantile float64) Estimate {
 	samples := total.Samples()
 	estimate := Estimate{Value: milliseconds(total.Quantile(quantile))}
-	low, high, enough := ranks(samples, quantile)
-	if !enough {
+	low, high, sufficient := quantileRanks(samples, quantile)
+	if !sufficient {
 		return estimate
 	}
 	estimate.Low = milliseconds(total.Quantile(float64(low) / float64(samples)))
@@ -144,24 +145,24 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// fewQueries is the number under which a share says nothing.
-const fewQueries = 20
+// minQueries is the number of queries below which a proportion has no interval.
+const minQueries = 20
 
-func compareShares(someA, allA, someB, allB int64) ProportionComparison {
-	row := ProportionComparison{A: share(someA, allA), B: share(someB, allB)}
-	row.Verdict = judge(row.A, row.B)
+func compareProportions(successesA, totalA, successesB, totalB int64) ProportionComparison {
+	row := ProportionComparison{A: proportion(successesA, totalA), B: proportion(successesB, totalB)}
+	row.Verdict = compareEstimates(row.A, row.B)
 	return row
 }
 
-func share(some, all int64) Estimate {
-	if all < fewQueries {
-		return Estimate{Value: float64(some) / float64(max(1, all))}
+func proportion(successes, total int64) Estimate {
+	if total < minQueries {
+		return Estimate{Value: float64(successes) / float64(max(1, total))}
 	}
-	low, high := wilson(some, all)
-	return Estimate{Value: float64(some) / float64(all), Low: low, High: high, HasInterval: true}
+	low, high := wilsonInterval(successes, total)
+	return Estimate{Value: float64(successes) / float64(total), Low: low, High: high, HasInterval: true}
 }
 
-func judge(a, b Estimate) Verdict {
+func compareEstimates(a, b Estimate) Verdict {
 	switch {
 	case !a.HasInterval || !b.HasInterval:
 		return VerdictTooFewSamples
@@ -174,15 +175,15 @@
 	}
 }
 
-// warn says in words what the samples of a policy do not allow.
-func (r *Report) warn(total *statistics.PolicyStatistics) {
+// addWarnings describes the quantiles for which the policy has too few samples.
+func (r *Report) addWarnings(total *statistics.PolicyStatistics) {
 	samples := total.Samples()
 	if samples == 0 {
 		r.Warnings = append(r.Warnings, fmt.Sprintf("no query of policy %q was answered in this time", total.Policy))
 		return
 	}
 	for _, quantile := range Quantiles {
-		if _, _, enough := ranks(samples, quantile); !enough {
+		if _, _, sufficient := quantileRanks(samples, quantile); !sufficient {
 			r.Warnings = append(r.Warnings, fmt.Sprintf("too few samples of policy %q for p%g and above: %d",
 				total.Policy, Percentile(quantile), samples))
 			return
@@ -190,7 +191,7 @@
 	}
 }
 
-// Percentile writes a quantile as a percentile, such as 99.9.
+// Percentile converts a quantile to a percentile with one decimal, such as 99.9.
 func Percentile(quantile float64) float64 {
 	const percent, digits = 100, 10
 	return float64(int64(quantile*percent*digits+0.5)) / digits
--- a/internal/comparison/comparison_test.go
+++ b/internal/comparison/comparison_test.go
@@ -10,42 +10,42 @@
 	"github.com/doorpond/doorpond/internal/statistics"
 )
 
-func TestRanksEncloseTheQuantile(t *testing.T) {
+func TestQuantileRanks(t *testing.T) {
 	cases := []struct {
-		name      string
-		samples   int64
-		quantile  float64
-		low, high int64
-		enough    bool
+		name       string
+		samples    int64
+		quantile   float64
+		low, high  int64
+		sufficient bool
 	}{
-		// from tables of the binomial distribution
+		// Expected ranks are from tables of the binomial distribution.
 		{"median of 10", 10, 0.5, 2, 9, true},
 		{"median of 100", 100, 0.5, 40, 61, true},
-		{"median of 5, too few", 5, 0.5, 0, 6, false},
-		{"p99 of 367, too few", 367, 0.99, 360, 368, false},
-		{"none", 0, 0.5, 0, 1, false},
+		{"median of 5", 5, 0.5, 0, 6, false},
+		{"p99 of 367", 367, 0.99, 360, 368, false},
+		{"no samples", 0, 0.5, 0, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			low, high, enough := ranks(test.samples, test.quantile)
-			if enough != test.enough || (test.enough && (low != test.low || high != test.high)) {
-				t.Errorf("got %d to %d, %t; want %d to %d, %t", low, high, enough, test.low, test.high, test.enough)
+			low, high, sufficient := quantileRanks(test.samples, test.quantile)
+			if sufficient != test.sufficient || (test.sufficient && (low != test.low || high != test.high)) {
+				t.Errorf("got %d to %d, %t; want %d to %d, %t", low, high, sufficient, test.low, test.high, test.sufficient)
 			}
 		})
 	}
 }
 
-// TestIntervalsHoldTheTrueQuantile draws many samples of a known distribution
-// and counts how often the interval has the true quantile in it.
-func TestIntervalsHoldTheTrueQuantile(t *testing.T) {
+// Draws samples of a uniform distribution and checks how often the interval
+// contains the true quantile.
+func TestQuantileRanksCoverage(t *testing.T) {
 	const trials, samples = 400, 500
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, quantile := range []float64{0.5, 0.95, 0.99} {
-		low, high, enough := ranks(samples, quantile)
-		if !enough {
-			t.Fatalf("%d samples are too few for %g", samples, quantile)
+		low, high, sufficient := quantileRanks(samples, quantile)
+		if !sufficient {
+			t.Fatalf("%d samples are too few for quantile %g", samples, quantile)
 		}
-		held := 0
+		covered := 0
 		for range trials {
 			below := int64(0)
 			for range samples {
@@ -54,11 +54,11 @@
 				}
 			}
 			if below >= low && below < high {
-				held++
+				covered++
 			}
 		}
-		if share := float64(held) / trials; share < 0.92 {
-			t.Errorf("the interval of quantile %g held in %.3f of the trials; want about 0.95", quantile, share)
+		if coverage := float64(covered) / trials; coverage < 0.92 {
+			t.Errorf("the interval contains quantile %g in %.3f of the trials; want about 0.95", quantile, coverage)
 		}
 	}
 }
@@ -85,11 +85,11 @@
 		whole    Verdict
 		warnings int
 	}{
-		{"a clear difference", many, "fast", "slow", "", []Verdict{VerdictLower, VerdictLower, VerdictLower, VerdictLower}, VerdictInconclusive, 0},
-		{"the other way round", many, "slow", "fast", "", []Verdict{VerdictHigher, VerdictHigher, VerdictHigher, VerdictHigher}, VerdictInconclusive, 0},
-		{"a policy with itself", many, "fast", "fast", "", []Verdict{VerdictInconclusive, VerdictInconclusive, VerdictInconclusive, VerdictInconclusive}, VerdictInconclusive, 0},
-		{"another group", many, "fast", "slow", "clerks", []Verdict{VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictTooFewSamples, 2},
-		{"few", append(record("fast", "gate", 100, time.Millisecond, false), record("slow", "gate", 100, time.Second, false)...),
+		{"lower", many, "fast", "slow", "", []Verdict{VerdictLower, VerdictLower, VerdictLower, VerdictLower}, VerdictInconclusive, 0},
+		{"higher", many, "slow", "fast", "", []Verdict{VerdictHigher, VerdictHigher, VerdictHigher, VerdictHigher}, VerdictInconclusive, 0},
+		{"same policy", many, "fast", "fast", "", []Verdict{VerdictInconclusive, VerdictInconclusive, VerdictInconclusive, VerdictInconclusive}, VerdictInconclusive, 0},
+		{"group without samples", many, "fast", "slow", "clerks", []Verdict{VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictTooFewSamples, 2},
+		{"few samples", append(record("fast", "gate", 100, time.Millisecond, false), record("slow", "gate", 100, time.Second, false)...),
 			"fast", "slow", "gate", []Verdict{VerdictLower, VerdictLower, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictInconclusive, 2},
 		{"all failed", append(record("fast", "gate", 100, time.Millisecond, true), record("slow", "gate", 100, time.Second, false)...),
 			"fast", "slow", "", []Verdict{VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples, VerdictTooFewSamples}, VerdictLower, 2},
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestCompareCountsOverGroups(t *testing.T) {
+func TestCompareSumsGroups(t *testing.T) {
 	measured := append(record("fast", "gate", 30, time.Millisecond, false), record("fast", "clerks", 20, time.Millisecond, false)...)
 	want := PolicySummary{Policy: "fast", Queries: 50, Coverage: 1, ExtraLoad: 0.25, Subrequests: 250, Hedges: 50}
 	if diff := cmp.Diff(want, Compare(measured, "fast", "none", "").A); diff != "" {
--- a/internal/statistics/statistics.go
+++ b/internal/statistics/statistics.go
@@ -1,5 +1,5 @@
-// Package statistics keeps what is measured of each policy, by minute, in a
-// form that merges over daemons.
+// Package statistics records per-policy query statistics in one-minute
+// intervals, in a form that can be merged across daemons.
 package statistics
 
 import (
@@ -11,45 +11,45 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The bounds of what is kept.
 const (
-	// RetentionMinutes is how far back Snapshot can look.
+	// RetentionMinutes is the number of one-minute intervals a Recorder keeps.
 	RetentionMinutes = 60
-	// maxSeries bounds the pairs of policy and group; further groups are
-	// counted under OtherGroups.
+	// maxSeries limits the number of (policy, group) series; samples of
+	// further groups are recorded under OtherGroups.
 	maxSeries = 512
-	// Latencies are in microseconds, from 1 to a minute, to 2 digits.
-	lowestLatency  = 1
-	highestLatency = 60_000_000
-	latencyDigits  = 2
+	// Range of the latency histograms in microseconds, and their precision.
+	minLatency        = 1
+	maxLatency        = 60_000_000
+	significantDigits = 2
 )
 
-// OtherGroups is the group of the samples over the bound.
+// OtherGroups is the group of samples that exceed the limit on series.
 const OtherGroups = "(other)"
 
-// Sample is one query that ended.
+// Sample describes one completed query.
 type Sample struct {
 	Group   string
 	Latency time.Duration
-	// Failed is true when the caller got an error.
+	// Failed reports whether the caller received an error.
 	Failed bool
-	// Asked and Answered are numbers of shards.
+	// Asked and Answered are the numbers of shards queried and of shards that
+	// responded.
 	Asked    int
 	Answered int
-	// Attempts counts sub-requests, Hedges those sent beside another, and
-	// Cancelled those given up in flight.
+	// Attempts counts all sub-requests, Hedges the hedged ones, and Cancelled
+	// those cancelled in flight.
 	Attempts  int
 	Hedges    int
 	Cancelled int
 }
 
-// Bucket is one bucket of a latency histogram that is not empty.
+// Bucket is a non-empty bucket of a latency histogram.
 type Bucket struct {
 	Index int32 `json:"index" msgpack:"i"`
 	Count int64 `json:"count" msgpack:"c"`
 }
 
-// PolicyStatistics is what was measured of one policy in one group.
+// PolicyStatistics holds the statistics of one policy in one caller group.
 type PolicyStatistics struct {
 	Policy    string `json:"policy" msgpack:"p"`
 	Group     string `json:"group" msgpack:"g"`
@@ -60,34 +60,35 @@
 	Attempts  int64  `json:"attempts" msgpack:"t"`
 	Hedges    int64  `json:"hedges" msgpack:"h"`
 	Cancelled int64  `json:"cancelled" msgpack:"c"`
-	// Complete counts the queries that every asked shard answered.
+	// Complete counts the queries that every queried shard answered.
 	Complete int64 `json:"whole" msgpack:"o"`
-	// Latency is the histogram of the answered queries' microseconds.
+	// Latency is the latency histogram, in microseconds, of successful queries.
 	Latency []Bucket `json:"latency" msgpack:"l"`
 }
 
-// Coverage returns the share of asked shards that answered, 1 for none asked.
-func (s *PolicyStatistics) Coverage() float64 { return share(s.Answered, s.Asked, 1) }
+// Coverage returns the fraction of queried shards that answered, or 1 if no
+// shard was queried.
+func (s *PolicyStatistics) Coverage() float64 { return ratio(s.Answered, s.Asked, 1) }
 
-// ExtraLoad returns the sub-requests sent over the least needed, as a share
-// of the least needed.
-func (s *PolicyStatistics) ExtraLoad() float64 { return share(s.Attempts-s.Asked, s.Asked, 0) }
+// ExtraLoad returns the number of sub-requests sent beyond one per queried
+// shard, divided by the number of queried shards.
+func (s *PolicyStatistics) ExtraLoad() float64 { return ratio(s.Attempts-s.Asked, s.Asked, 0) }
 
-func share(part, whole int64, empty float64) float64 {
-	if whole == 0 {
-		return empty
+func ratio(part, total int64, ifZero float64) float64 {
+	if total == 0 {
+		return ifZero
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
-// Quantile returns a latency quantile (0.99 for the 99th percentile), 0
-// without samples.
+// Quantile returns a latency quantile (0.99 for the 99th percentile), or 0 if
+// there are no samples.
 func (s *PolicyStatistics) Quantile(quantile float64) time.Duration {
 	const percent = 100
 	return time.Duration(s.histogram().ValueAtQuantile(quantile*percent)) * time.Microsecond
 }
 
-// Samples returns the number of latencies.
+// Samples returns the number of recorded latencies.
 func (s *PolicyStatistics) Samples() int64 {
 	total := int64(0)
 	for _, bucket := range s.Latency {
@@ -97,20 +98,20 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
+	return hdrhistogram.New(minLatency, maxLatency, significantDigits)
 }
 
 func (s *PolicyStatistics) histogram() *hdrhistogram.Histogram {
-	exported := newHistogram().Export()
+	snapshot := newHistogram().Export()
 	for _, bucket := range s.Latency {
-		if bucket.Index >= 0 && int(bucket.Index) < len(exported.Counts) {
-			exported.Counts[bucket.Index] += max(0, bucket.Count)
+		if bucket.Index >= 0 && int(bucket.Index) < len(snapshot.Counts) {
+			snapshot.Counts[bucket.Index] += max(0, bucket.Count)
 		}
 	}
-	return hdrhistogram.Import(exported)
+	return hdrhistogram.Import(snapshot)
 }
 
-func sparse(histogram *hdrhistogram.Histogram) []Bucket {
+func nonEmptyBuckets(histogram *hdrhistogram.Histogram) []Bucket {
 	var buckets []Bucket
 	for i, count := range histogram.Export().Counts {
 		if count > 0 {
@@ -133,14 +134,15 @@
 	minutes [RetentionMinutes]minute
 }
 
-// Recorder keeps the statistics of one daemon. It is safe for concurrent use.
+// Recorder records the statistics of one daemon. It is safe for concurrent use.
 type Recorder struct {
 	now    func() time.Time
 	mutex  sync.RWMutex
 	series map[seriesKey]*series
 }
 
-// New makes a Recorder; now may be nil.
+// New returns a Recorder that reads the time from now, or from time.Now if now
+// is nil.
 func New(now func() time.Time) *Recorder {
 	if now == nil {
 		now = time.Now
@@ -148,19 +150,19 @@
 	return &Recorder{now: now, series: make(map[seriesKey]*series)}
 }
 
-// Record adds one query of a policy.
+// Record adds the sample of one query served by the policy.
 func (r *Recorder) Record(policy string, sample Sample) {
-	r.find(seriesKey{policy, sample.Group}).record(r.minuteNow(), sample)
+	r.seriesFor(seriesKey{policy, sample.Group}).record(r.currentMinute(), sample)
 }
 
-func (r *Recorder) minuteNow() int64 { return r.now().Unix() / int64(time.Minute/time.Second) }
+func (r *Recorder) currentMinute() int64 { return r.now().Unix() / int64(time.Minute/time.Second) }
 
-func (r *Recorder) find(key seriesKey) *series {
+func (r *Recorder) seriesFor(key seriesKey) *series {
 	r.mutex.RLock()
-	found := r.series[key]
+	existing := r.series[key]
 	r.mutex.RUnlock()
-	if found != nil {
-		return found
+	if existing != nil {
+		return existing
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -186,14 +188,14 @@
 	if current.histogram == nil {
 		current.histogram = newHistogram()
 	}
-	current.counts.count(sample)
+	current.counts.add(sample)
 	if !sample.Failed {
-		latency := min(max(sample.Latency.Microseconds(), lowestLatency), highestLatency)
-		_ = current.histogram.RecordValue(latency) // in range by the line above
+		latency := min(max(sample.Latency.Microseconds(), minLatency), maxLatency)
+		_ = current.histogram.RecordValue(latency) // cannot fail: the value is clamped to the range
 	}
 }
 
-func (s *PolicyStatistics) count(sample Sample) {
+func (s *PolicyStatistics) add(sample Sample) {
 	s.Queries++
 	if sample.Failed {
 		s.Failed++
@@ -208,16 +210,16 @@
 	s.Cancelled += int64(sample.Cancelled)
 }
 
-// Snapshot returns the statistics of the minutes since a time ago, the one
-// under way included, sorted by policy and group.
+// Snapshot returns the statistics of the given period up to now, including the
+// current minute, sorted by policy and group.
 func (r *Recorder) Snapshot(since time.Duration) []PolicyStatistics {
-	last := r.minuteNow()
+	last := r.currentMinute()
 	first := last - min(int64(since/time.Minute), RetentionMinutes-1)
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
 	var all []PolicyStatistics
-	for key, found := range r.series {
-		total := found.sum(first, last)
+	for key, recorded := range r.series {
+		total := recorded.sum(first, last)
 		if total.Queries == 0 {
 			continue
 		}
@@ -234,14 +236,14 @@
 	total := PolicyStatistics{}
 	histogram := newHistogram()
 	for i := range s.minutes {
-		one := &s.minutes[i]
-		if one.histogram == nil || one.number < first || one.number > last {
+		interval := &s.minutes[i]
+		if interval.histogram == nil || interval.number < first || interval.number > last {
 			continue
 		}
-		total.addCounts(&one.counts)
-		histogram.Merge(one.histogram)
+		total.addCounts(&interval.counts)
+		histogram.Merge(interval.histogram)
 	}
-	total.Latency = sparse(histogram)
+	total.Latency = nonEmptyBuckets(histogram)
 	return total
 }
 
@@ -260,12 +262,12 @@
 	return cmp.Or(cmp.Compare(a.Policy, b.Policy), cmp.Compare(a.Group, b.Group))
 }
 
-// Merge adds up the statistics of several daemons, by policy and group.
+// Merge combines the statistics of several daemons by policy and group.
 func Merge(parts ...[]PolicyStatistics) []PolicyStatistics {
 	merged := make(map[seriesKey]*PolicyStatistics)
 	for _, part := range parts {
 		for i := range part {
-			mergeOne(merged, &part[i])
+			mergeInto(merged, &part[i])
 		}
 	}
 	all := make([]PolicyStatistics, 0, len(merged))
@@ -276,7 +278,7 @@
 	return all
 }
 
-func mergeOne(merged map[seriesKey]*PolicyStatistics, part *PolicyStatistics) {
+func mergeInto(merged map[seriesKey]*PolicyStatistics, part *PolicyStatistics) {
 	key := seriesKey{part.Policy, part.Group}
 	total := merged[key]
 	if total == nil {
@@ -286,5 +288,5 @@
 	total.addCounts(part)
 	histogram := total.histogram()
 	histogram.Merge(part.histogram())
-	total.Latency = sparse(histogram)
+	total.Latency = nonEmptyBuckets(histogram)
 }
--- a/internal/statistics/statistics_test.go
+++ b/internal/statistics/statistics_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func TestMergeOverDaemons(t *testing.T) {
+func TestMergeAcrossDaemons(t *testing.T) {
 	now := time.Unix(6000, 0)
 	clock := func() time.Time { return now }
 	first, second, both := New(clock), New(clock), New(clock)
@@ -23,9 +23,9 @@
 			second.Record("a", sample)
 		}
 	}
-	merged := Merge(first.Snapshot(time.Minute), throughCodecs(t, second.Snapshot(time.Minute)))
+	merged := Merge(first.Snapshot(time.Minute), roundTrip(t, second.Snapshot(time.Minute)))
 	if diff := cmp.Diff(both.Snapshot(time.Minute), merged); diff != "" {
-		t.Errorf("merged differs from one recorder (-want +got):\n%s", diff)
+		t.Errorf("merged statistics differ from those of a single recorder (-want +got):\n%s", diff)
 	}
 	if p99 := merged[0].Quantile(0.99); p99 < 980*time.Millisecond || p99 > 1000*time.Millisecond {
 		t.Errorf("p99 %v, want near 990ms", p99)
@@ -35,26 +35,26 @@
 	}
 }
 
-func throughCodecs(t *testing.T, sent []PolicyStatistics) []PolicyStatistics {
+func roundTrip(t *testing.T, sent []PolicyStatistics) []PolicyStatistics {
 	t.Helper()
 	encoded, err := msgpack.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var received, again []PolicyStatistics
+	var received, decoded []PolicyStatistics
 	if err := msgpack.Unmarshal(encoded, &received); err != nil {
 		t.Fatal(err)
 	}
 	if encoded, err = json.Marshal(received); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(encoded, &again); err != nil {
+	if err := json.Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	return again
+	return decoded
 }
 
-func TestSnapshotForgets(t *testing.T) {
+func TestSnapshotDropsExpiredMinutes(t *testing.T) {
 	now := time.Unix(6000, 0)
 	recorder := New(func() time.Time { return now })
 	recorder.Record("a", Sample{Group: "gate", Latency: time.Second})
@@ -70,17 +70,17 @@
 		}
 	}
 	now = now.Add(2 * time.Hour)
-	if left := recorder.Snapshot(24 * time.Hour); len(left) != 0 {
-		t.Errorf("old minutes are kept: %+v", left)
+	if remaining := recorder.Snapshot(24 * time.Hour); len(remaining) != 0 {
+		t.Errorf("expired minutes are still reported: %+v", remaining)
 	}
 }
 
-func TestSeriesAreBounded(t *testing.T) {
+func TestRecorderLimitsSeries(t *testing.T) {
 	recorder := New(nil)
 	for i := range 2 * maxSeries {
 		recorder.Record("a", Sample{Group: fmt.Sprint(i)})
 	}
 	if kept := len(recorder.Snapshot(time.Minute)); kept != maxSeries+1 {
-		t.Errorf("%d series kept, want %d and the rest", kept, maxSeries)
+		t.Errorf("%d series kept, want %d and one for other groups", kept, maxSeries)
 	}
 }
