--- a/internal/operator/api.go
+++ b/internal/operator/adminclient.go
@@ -22,30 +22,31 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// AdminClient is a client of a daemon's administration port.
+// AdminClient is an HTTP client for a daemon's administration port.
 type AdminClient struct {
 	base  string
 	token string
 	http  *http.Client
-	// unusable is why no request can be made, such as a bad certificate.
-	unusable error
+	// configErr is returned by every request if the client could not be
+	// configured, for example because of an invalid certificate.
+	configErr error
 }
 
 const (
-	// requestTimeout bounds a request, over and above what it waits for.
-	requestTimeout = 30 * time.Second
-	maxReplyBytes  = 64 << 20
+	// requestTimeout limits a request, in addition to any wait it asks for.
+	requestTimeout   = 30 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// NewAdminClient makes a client of an administration port without TLS, given as
-// host:port or URL.
+// NewAdminClient returns a client without TLS for the administration port at
+// address, which is host:port or a URL.
 func NewAdminClient(address, token string) *AdminClient {
-	return &AdminClient{base: baseURL(address, plainScheme), token: token, http: &http.Client{}}
+	return &AdminClient{base: baseURL(address, httpScheme), token: token, http: &http.Client{}}
 }
 
 const (
-	plainScheme  = "http://"
-	secureScheme = "https://"
+	httpScheme  = "http://"
+	httpsScheme = "https://"
 )
 
 func baseURL(address, scheme string) string {
@@ -55,19 +56,19 @@
 	return scheme + address
 }
 
-// Table returns the table in force on the daemon.
+// Table returns the policy table in force on the daemon.
 func (a *AdminClient) Table(ctx context.Context) (*policy.Table, error) {
 	table := &policy.Table{}
 	return table, a.get(ctx, "/v1/table", table)
 }
 
-// Policy returns one row.
+// Policy returns the policy with the given name.
 func (a *AdminClient) Policy(ctx context.Context, name string) (*policy.Row, error) {
 	row := &policy.Row{}
 	return row, a.get(ctx, "/v1/policies/"+url.PathEscape(name), row)
 }
 
-// History returns the last changes, newest first.
+// History returns the latest changes, newest first.
 func (a *AdminClient) History(ctx context.Context, limit int) (*admin.History, error) {
 	history := &admin.History{}
 	return history, a.get(ctx, "/v1/history?limit="+strconv.Itoa(limit), history)
@@ -79,21 +80,21 @@
 	return status, a.get(ctx, "/v1/status", status)
 }
 
-// System returns all nodes on the users' platform, and what the one that is
-// asked knows.
+// System returns the state of all nodes of the platform as known to the node
+// that the client queries.
 func (a *AdminClient) System(ctx context.Context) (*inspect.System, error) {
 	system := &inspect.System{}
 	return system, a.get(ctx, "/v1/system", system)
 }
 
-// Release lets a quarantined request be served again.
+// Release removes a request from quarantine.
 func (a *AdminClient) Release(ctx context.Context, identity string) (*inspect.Released, error) {
 	released := &inspect.Released{}
 	query := url.Values{"identity": {identity}}
 	return released, a.do(ctx, http.MethodPost, "/v1/release?"+query.Encode(), requestTimeout, nil, released)
 }
 
-// Compare sets two policies side by side over the last while; an empty group
+// Compare compares two policies over the given period up to now. An empty group
 // means all groups.
 func (a *AdminClient) Compare(ctx context.Context, first, second, group string, last time.Duration) (*comparison.ClusterReport, error) {
 	compared := &comparison.ClusterReport{}
@@ -101,45 +102,47 @@
 	return compared, a.get(ctx, "/v1/compare?"+query.Encode(), compared)
 }
 
-// Edit applies an edit and waits up to a time for it to be in force.
+// Edit applies an edit and waits for up to wait until it is in force on all
+// daemons.
 func (a *AdminClient) Edit(ctx context.Context, edit policytable.Edit, wait time.Duration) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/edits?wait="+wait.String(), wait, edit, result)
 }
 
-// Diff returns what an edit would change.
+// Diff returns the changes that an edit would make, without applying it.
 func (a *AdminClient) Diff(ctx context.Context, edit policytable.Edit) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/edits?dry_run=true", 0, edit, result)
 }
 
-// Restore writes the table in force back to the store.
+// Restore writes the table in force back to a store that was restored from an
+// older backup.
 func (a *AdminClient) Restore(ctx context.Context, author string, wait time.Duration) (*admin.EditResult, error) {
 	result := &admin.EditResult{}
 	return result, a.post(ctx, "/v1/restore?wait="+wait.String(), wait, admin.RestoreRequest{Author: author}, result)
 }
 
-func (a *AdminClient) get(ctx context.Context, path string, into any) error {
-	return a.do(ctx, http.MethodGet, path, requestTimeout, nil, into)
+func (a *AdminClient) get(ctx context.Context, path string, target any) error {
+	return a.do(ctx, http.MethodGet, path, requestTimeout, nil, target)
 }
 
-func (a *AdminClient) post(ctx context.Context, path string, wait time.Duration, body, into any) error {
+func (a *AdminClient) post(ctx context.Context, path string, wait time.Duration, body, target any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
-	return a.do(ctx, http.MethodPost, path, requestTimeout+wait, encoded, into)
+	return a.do(ctx, http.MethodPost, path, requestTimeout+wait, encoded, target)
 }
 
-func (a *AdminClient) do(ctx context.Context, method, path string, timeout time.Duration, body []byte, into any) error {
-	if a.unusable != nil {
-		return a.unusable
+func (a *AdminClient) do(ctx context.Context, method, path string, timeout time.Duration, body []byte, target any) error {
+	if a.configErr != nil {
+		return a.configErr
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, method, a.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(timeoutCtx, method, a.base+path, bytes.NewReader(body))
 	if err != nil {
-		return usage("the administration address is not valid: %w", err)
+		return usageError("invalid administration address: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if a.token != "" {
@@ -147,23 +150,23 @@
 	}
 	response, err := a.http.Do(request)
 	if err != nil {
-		return fmt.Errorf("ask the daemon's administration port: %w", err)
+		return fmt.Errorf("request to the administration port: %w", err)
 	}
 	defer response.Body.Close()
-	return decodeAnswer(response, into)
+	return decodeResponse(response, target)
 }
 
-func decodeAnswer(response *http.Response, into any) error {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+func decodeResponse(response *http.Response, target any) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return eris.Wrap(err, "read the daemon's answer")
+		return eris.Wrap(err, "read the daemon's response")
 	}
 	if response.StatusCode == http.StatusOK {
-		return eris.Wrap(json.Unmarshal(body, into), "decode the daemon's answer")
+		return eris.Wrap(json.Unmarshal(body, target), "decode the daemon's response")
 	}
 	problem := &client.Problem{}
 	if err := json.Unmarshal(body, problem); err != nil || problem.Kind == "" {
-		return &codedError{code: ExitFailure, err: eris.Errorf("the administration port answered %s", response.Status)}
+		return &exitError{code: ExitFailure, err: eris.Errorf("administration port returned status %s", response.Status)}
 	}
 	return problem
 }
--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -14,30 +14,30 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// TableFile is the YAML of "apply" and "diff".
+// TableFile is the YAML file that "apply" and "diff" read.
 type TableFile struct {
-	Policies    []fileRow           `yaml:"policies"`
+	Policies    []policyEntry       `yaml:"policies"`
 	Assignments []policy.Assignment `yaml:"assignments"`
 }
 
-// fileRow is a policy whose missing fields have the defaults.
-type fileRow policy.Row
+// policyEntry is a policy in which omitted fields take their defaults.
+type policyEntry policy.Row
 
-// UnmarshalYAML reads over the defaults.
-func (r *fileRow) UnmarshalYAML(unmarshal func(any) error) error {
+// UnmarshalYAML decodes the policy on top of the defaults.
+func (r *policyEntry) UnmarshalYAML(unmarshal func(any) error) error {
 	row := policy.DefaultRow("")
 	if err := unmarshal(&row); err != nil {
 		return err
 	}
-	*r = fileRow(row)
+	*r = policyEntry(row)
 	return nil
 }
 
 const (
 	flagFile  = "file"
 	flagPrune = "prune"
-	// maximumFileBytes bounds a table file.
-	maximumFileBytes = 4 << 20
+	// maxFileBytes limits the size of a table file.
+	maxFileBytes = 4 << 20
 )
 
 func fileFlags() []cli.Flag {
@@ -114,38 +114,39 @@
 
 func readTableFile(command *cli.Command) (*TableFile, error) {
 	name := command.String(flagFile)
-	var from io.Reader = command.Root().Reader
+	var reader io.Reader = command.Root().Reader
 	if name != "-" {
 		opened, err := os.Open(name)
 		if err != nil {
-			return nil, usage("open the table file: %w", err)
+			return nil, usageError("open the table file: %w", err)
 		}
 		defer opened.Close()
-		from = opened
+		reader = opened
 	}
-	return parseTableFile(name, from)
+	return parseTableFile(name, reader)
 }
 
-func parseTableFile(name string, from io.Reader) (*TableFile, error) {
-	body, err := io.ReadAll(io.LimitReader(from, maximumFileBytes+1))
+func parseTableFile(name string, reader io.Reader) (*TableFile, error) {
+	body, err := io.ReadAll(io.LimitReader(reader, maxFileBytes+1))
 	if err != nil {
-		return nil, usage("read %s: %w", name, err)
+		return nil, usageError("read %s: %w", name, err)
 	}
-	if len(body) > maximumFileBytes {
-		return nil, usage("%s is over %d bytes", name, maximumFileBytes)
+	if len(body) > maxFileBytes {
+		return nil, usageError("%s exceeds %d bytes", name, maxFileBytes)
 	}
 	file := &TableFile{}
 	if err := yaml.UnmarshalWithOptions(body, file, yaml.Strict()); err != nil {
-		return nil, usage("%s: %s", name, yaml.FormatError(eris.Cause(err), false, true))
+		return nil, usageError("%s: %s", name, yaml.FormatError(eris.Cause(err), false, true))
 	}
 	if len(file.Policies)+len(file.Assignments) == 0 {
-		return nil, usage("%s has neither policies nor assignments", name)
+		return nil, usageError("%s has neither policies nor assignments", name)
 	}
-	return file, checkRepeats(name, file)
+	return file, checkDuplicates(name, file)
 }
 
-// checkRepeats refuses a name given twice, of which one would be lost.
-func checkRepeats(name string, file *TableFile) error {
+// checkDuplicates rejects files that list a policy or group twice, because one
+// of the entries would be ignored.
+func checkDuplicates(name string, file *TableFile) error {
 	policies := make([]string, 0, len(file.Policies))
 	for _, row := range file.Policies {
 		policies = append(policies, row.Name)
@@ -154,16 +155,16 @@
 	for _, assignment := range file.Assignments {
 		groups = append(groups, assignment.Group)
 	}
-	if repeated := firstRepeated(policies); repeated != "" {
-		return usage("%s: policy %q is there twice", name, repeated)
+	if duplicate := firstDuplicate(policies); duplicate != "" {
+		return usageError("%s: policy %q is listed twice", name, duplicate)
 	}
-	if repeated := firstRepeated(groups); repeated != "" {
-		return usage("%s: group %q is there twice", name, repeated)
+	if duplicate := firstDuplicate(groups); duplicate != "" {
+		return usageError("%s: group %q is listed twice", name, duplicate)
 	}
 	return nil
 }
 
-func firstRepeated(names []string) string {
+func firstDuplicate(names []string) string {
 	slices.Sort(names)
 	for i := 1; i < len(names); i++ {
 		if names[i] == names[i-1] {
@@ -173,7 +174,8 @@
 	return ""
 }
 
-// prune deletes what the edit does not set.
+// prune adds deletions of all policies and assignments that the edit does not
+// set.
 func prune(edit *policytable.Edit, table *policy.Table) {
 	for _, row := range table.Policies {
 		kept := slices.ContainsFunc(edit.SetPolicies, func(set policy.Row) bool { return set.Name == row.Name })
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -1,5 +1,6 @@
-// Package operator is the operators' command line, doorpond: it edits the
-// policy table, shows the state of the daemons, and sends queries and calls.
+// Package operator implements doorpond, the command-line tool for operators. It
+// edits the policy table, shows the state of the daemons, and sends queries and
+// calls.
 package operator
 
 import (
@@ -12,13 +13,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Streams are where the command line reads and writes.
+// Streams holds the standard streams of the command line.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// The names of the global flags.
+// Global flags.
 const (
 	flagAdmin  = "admin"
 	flagDaemon = "daemon"
@@ -26,12 +27,12 @@
 	flagOutput = "output"
 	flagAuthor = "author"
 
-	flagAuthority   = "ca"
+	flagCA          = "ca"
 	flagCertificate = "certificate"
 	flagKey         = "certificate-key"
 )
 
-// The values of --output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -52,7 +53,7 @@
 3 another change came first; 4 not available and nothing was done; 5 accepted
 but not in force everywhere in time, or it is not known whether it was done.`
 
-// New makes the command line. Its Run returns errors for ExitCode.
+// New returns the root command. Pass the error of its Run method to ExitCode.
 func New(streams Streams) *cli.Command {
 	return &cli.Command{
 		Name:                  "doorpond",
@@ -63,12 +64,12 @@
 		Reader:                streams.In,
 		Writer:                streams.Out,
 		ErrWriter:             streams.Err,
-		// the errors are printed once, by ExitCode
+		// Errors are printed by ExitCode.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
-		OnUsageError:   func(_ context.Context, _ *cli.Command, err error, _ bool) error { return usage("%w", err) },
+		OnUsageError:   func(_ context.Context, _ *cli.Command, err error, _ bool) error { return usageError("%w", err) },
 		Flags:          globalFlags(),
 		Before:         checkOutput,
-		Action:         needCommand,
+		Action:         requireSubcommand,
 		Commands: []*cli.Command{
 			policyCommand(), assignCommand(), applyCommand(), diffCommand(), restoreCommand(),
 			statusCommand(), systemCommand(), releaseCommand(), compareCommand(), queryCommand(), callCommand(),
@@ -83,7 +84,7 @@
 		&cli.StringFlag{Name: flagDaemon, Value: "127.0.0.1:7070", Sources: cli.EnvVars("DOORPOND_DAEMON"),
 			Usage: "`ADDRESS` of a daemon's callers' port, for query and call"},
 		&cli.StringFlag{Name: flagToken, Sources: cli.EnvVars("DOORPOND_TOKEN"), Usage: "operator's `TOKEN`, for changes"},
-		&cli.StringFlag{Name: flagAuthority, Sources: cli.EnvVars("DOORPOND_CA"), Usage: "PEM `FILE` of the authorities that a daemon's certificate must come from; with it or --certificate, TLS is used"},
+		&cli.StringFlag{Name: flagCA, Sources: cli.EnvVars("DOORPOND_CA"), Usage: "PEM `FILE` of the authorities that a daemon's certificate must come from; with it or --certificate, TLS is used"},
 		&cli.StringFlag{Name: flagCertificate, Sources: cli.EnvVars("DOORPOND_CERTIFICATE"), Usage: "PEM `FILE` of the operator's certificate, for daemons that ask for one"},
 		&cli.StringFlag{Name: flagKey, Sources: cli.EnvVars("DOORPOND_KEY"), Usage: "PEM `FILE` of the certificate's private key"},
 		&cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: outputTable, Usage: "`FORMAT` table or json"},
@@ -95,40 +96,41 @@
 	case outputTable, outputJSON:
 		return ctx, nil
 	default:
-		return ctx, usage("--output is %q; it must be table or json", output)
+		return ctx, usageError("invalid --output %q: must be table or json", output)
 	}
 }
 
-// needCommand is the action of commands that only have subcommands.
-func needCommand(_ context.Context, command *cli.Command) error {
+// requireSubcommand is the action of commands that only group subcommands.
+func requireSubcommand(_ context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return usage("there is no command %q; see %s --help", command.Args().First(), command.FullName())
+		return usageError("unknown command %q; see %s --help", command.Args().First(), command.FullName())
 	}
 	return cli.ShowSubcommandHelp(command)
 }
 
-// api makes the client that the flags ask for. A certificate that cannot be
-// used is reported by the first request.
-func api(command *cli.Command) *AdminClient {
-	through, scheme, err := transportOf(command)
+// adminClient returns the client configured by the flags. Errors in the TLS
+// configuration are reported by the first request.
+func adminClient(command *cli.Command) *AdminClient {
+	transport, scheme, err := newTransport(command)
 	return &AdminClient{
-		base:     baseURL(command.String(flagAdmin), scheme),
-		token:    command.String(flagToken),
-		http:     &http.Client{Transport: through},
-		unusable: err,
+		base:      baseURL(command.String(flagAdmin), scheme),
+		token:     command.String(flagToken),
+		http:      &http.Client{Transport: transport},
+		configErr: err,
 	}
 }
 
-// arguments checks the number of arguments; most of -1 means any number.
-func arguments(command *cli.Command, least, most int) ([]string, error) {
-	given := command.Args().Slice()
-	if len(given) < least || (most >= 0 && len(given) > most) {
-		return nil, usage("wrong number of arguments (%d); usage: %s %s", len(given), command.FullName(), command.ArgsUsage)
+// arguments returns the positional arguments after checking their number. A
+// negative maxCount means no limit.
+func arguments(command *cli.Command, minCount, maxCount int) ([]string, error) {
+	args := command.Args().Slice()
+	if len(args) < minCount || (maxCount >= 0 && len(args) > maxCount) {
+		return nil, usageError("wrong number of arguments (%d); usage: %s %s", len(args), command.FullName(), command.ArgsUsage)
 	}
-	return given, nil
+	return args, nil
 }
 
-// The flags of commands that change the table.
+// Flags of commands that change the table.
 const (
 	flagWait     = "wait"
 	flagDryRun   = "dry-run"
@@ -150,23 +152,23 @@
 		Usage: "`NAME` recorded with the change; by default the system's user"}
 }
 
-// authorOf returns who makes a change.
-func authorOf(command *cli.Command) (string, error) {
-	if given := command.String(flagAuthor); given != "" {
-		return given, nil
+// changeAuthor returns the author to record with a change.
+func changeAuthor(command *cli.Command) (string, error) {
+	if author := command.String(flagAuthor); author != "" {
+		return author, nil
 	}
-	known, err := user.Current()
+	current, err := user.Current()
 	if err != nil {
-		return "", usage("--author is needed, as the system does not know the user: %w", err)
+		return "", usageError("--author is required because the current user is unknown: %w", err)
 	}
-	return known.Username, nil
+	return current.Username, nil
 }
 
-const longestWait = time.Minute
+const maxWait = time.Minute
 
 func checkWait(wait time.Duration) error {
-	if wait < 0 || wait > longestWait {
-		return usage("--wait must be from 0s to %s", longestWait)
+	if wait < 0 || wait > maxWait {
+		return usageError("--wait must be from 0s to %s", maxWait)
 	}
 	return nil
 }
--- a/internal/operator/compare.go
+++ b/internal/operator/compare.go
@@ -21,10 +21,11 @@
 const (
 	defaultLast     = 10 * time.Minute
 	defaultInterval = 5 * time.Second
-	shortestRefresh = time.Second
+	minInterval     = time.Second
 )
 
-// clearScreen moves to the top left of a terminal and clears it.
+// clearScreen is the ANSI sequence that moves the cursor home and clears the
+// terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
 func compareCommand() *cli.Command {
@@ -56,8 +57,8 @@
 	if err != nil {
 		return err
 	}
-	if command.Duration(flagInterval) < shortestRefresh {
-		return usage("--interval must be at least %s", shortestRefresh)
+	if command.Duration(flagInterval) < minInterval {
+		return usageError("--interval must be at least %s", minInterval)
 	}
 	if !command.Bool(flagWatch) {
 		return compareOnce(ctx, command, names, "")
@@ -76,64 +77,64 @@
 	}
 }
 
-func compareOnce(ctx context.Context, command *cli.Command, names []string, before string) error {
-	compared, err := api(command).Compare(ctx, names[0], names[1], command.String(flagGroup), command.Duration(flagLast))
+func compareOnce(ctx context.Context, command *cli.Command, names []string, prefix string) error {
+	compared, err := adminClient(command).Compare(ctx, names[0], names[1], command.String(flagGroup), command.Duration(flagLast))
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, compared, func(to io.Writer) {
-		fmt.Fprint(to, before)
-		printComparison(to, compared)
+	return writeResult(command, compared, func(w io.Writer) {
+		fmt.Fprint(w, prefix)
+		printComparisonReport(w, compared)
 	})
 }
 
-func printComparison(to io.Writer, compared *comparison.ClusterReport) {
+func printComparisonReport(w io.Writer, compared *comparison.ClusterReport) {
 	group := compared.Group
 	if group == "" {
 		group = "all groups"
 	}
-	fmt.Fprintf(to, "%s against %s, %s, last %s, %d daemons\n\n", oneLine(compared.A.Policy), oneLine(compared.B.Policy),
-		oneLine(group), time.Duration(compared.LastSeconds)*time.Second, compared.Daemons)
-	lines := newGrid(to, "", compared.A.Policy, compared.B.Policy, compared.A.Policy+" IS")
+	fmt.Fprintf(w, "%s against %s, %s, last %s, %d daemons\n\n", sanitizeLine(compared.A.Policy), sanitizeLine(compared.B.Policy),
+		sanitizeLine(group), time.Duration(compared.LastSeconds)*time.Second, compared.Daemons)
+	table := newColumnWriter(w, "", compared.A.Policy, compared.B.Policy, compared.A.Policy+" IS")
 	for _, row := range compared.Latency {
-		lines.row(fmt.Sprintf("p%g latency", comparison.Percentile(row.Quantile)), latencyText(row.A), latencyText(row.B), row.Verdict)
+		table.row(fmt.Sprintf("p%g latency", comparison.Percentile(row.Quantile)), formatLatency(row.A), formatLatency(row.B), row.Verdict)
 	}
-	lines.row("whole answers", shareText(compared.Complete.A), shareText(compared.Complete.B), compared.Complete.Verdict)
-	lines.row("failed", shareText(compared.Failed.A), shareText(compared.Failed.B), compared.Failed.Verdict)
-	printCounts(lines, compared.A, compared.B)
-	lines.end()
+	table.row("whole answers", formatProportion(compared.Complete.A), formatProportion(compared.Complete.B), compared.Complete.Verdict)
+	table.row("failed", formatProportion(compared.Failed.A), formatProportion(compared.Failed.B), compared.Failed.Verdict)
+	printCounts(table, compared.A, compared.B)
+	table.flush()
 	if len(compared.Warnings)+len(compared.Unreachable) > 0 {
-		fmt.Fprintln(to)
+		fmt.Fprintln(w)
 	}
 	for _, warning := range compared.Warnings {
-		fmt.Fprintln(to, "warning:", oneLine(warning))
+		fmt.Fprintln(w, "warning:", sanitizeLine(warning))
 	}
-	for _, one := range compared.Unreachable {
-		fmt.Fprintf(to, "not counted: %s at %s: %s\n", one.Member.ID, one.Member.PeerAddress, oneLine(one.Reason))
+	for _, unreachable := range compared.Unreachable {
+		fmt.Fprintf(w, "not counted: %s at %s: %s\n", unreachable.Member.ID, unreachable.Member.PeerAddress, sanitizeLine(unreachable.Reason))
 	}
 }
 
-func printCounts(lines *grid, a, b comparison.PolicySummary) {
-	lines.row("coverage", percentText(a.Coverage), percentText(b.Coverage), "")
-	lines.row("extra load", percentText(a.ExtraLoad), percentText(b.ExtraLoad), "")
-	lines.row("queries", a.Queries, b.Queries, "")
-	lines.row("sub-requests", a.Subrequests, b.Subrequests, "")
-	lines.row("hedges", a.Hedges, b.Hedges, "")
-	lines.row("cancelled", a.Cancelled, b.Cancelled, "")
+func printCounts(table *columnWriter, a, b comparison.PolicySummary) {
+	table.row("coverage", formatPercent(a.Coverage), formatPercent(b.Coverage), "")
+	table.row("extra load", formatPercent(a.ExtraLoad), formatPercent(b.ExtraLoad), "")
+	table.row("queries", a.Queries, b.Queries, "")
+	table.row("sub-requests", a.Subrequests, b.Subrequests, "")
+	table.row("hedges", a.Hedges, b.Hedges, "")
+	table.row("cancelled", a.Cancelled, b.Cancelled, "")
 }
 
-func latencyText(estimate comparison.Estimate) string {
+func formatLatency(estimate comparison.Estimate) string {
 	if !estimate.HasInterval {
 		return fmt.Sprintf("%.2f ms (too few samples)", estimate.Value)
 	}
 	return fmt.Sprintf("%.2f ms (%.2f to %.2f)", estimate.Value, estimate.Low, estimate.High)
 }
 
-func shareText(estimate comparison.Estimate) string {
+func formatProportion(estimate comparison.Estimate) string {
 	if !estimate.HasInterval {
-		return percentText(estimate.Value) + " (too few samples)"
+		return formatPercent(estimate.Value) + " (too few samples)"
 	}
-	return fmt.Sprintf("%s (%s to %s)", percentText(estimate.Value), percentText(estimate.Low), percentText(estimate.High))
+	return fmt.Sprintf("%s (%s to %s)", formatPercent(estimate.Value), formatPercent(estimate.Low), formatPercent(estimate.High))
 }
 
-func percentText(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
+func formatPercent(proportion float64) string { return fmt.Sprintf("%.2f%%", 100*proportion) }
--- a/internal/operator/complete.go
+++ b/internal/operator/complete.go
@@ -11,12 +11,12 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// completionTimeout bounds how long a shell waits for names.
+// completionTimeout limits how long shell completion waits for a daemon.
 const completionTimeout = time.Second
 
-// completePolicies offers the policies in force, besides the flags.
+// completePolicies completes flags and the names of policies in force.
 func completePolicies(ctx context.Context, command *cli.Command) {
-	completeFrom(ctx, command, func(table *policy.Table) []string {
+	completeNames(ctx, command, func(table *policy.Table) []string {
 		names := make([]string, len(table.Policies))
 		for i, row := range table.Policies {
 			names[i] = row.Name
@@ -25,14 +25,14 @@
 	})
 }
 
-// completeAssignment offers the groups for the first argument and the policies
-// for those after it.
+// completeAssignment completes a group as the first argument and policies as
+// the following ones.
 func completeAssignment(ctx context.Context, command *cli.Command) {
 	if command.Args().Present() {
 		completePolicies(ctx, command)
 		return
 	}
-	completeFrom(ctx, command, func(table *policy.Table) []string {
+	completeNames(ctx, command, func(table *policy.Table) []string {
 		names := make([]string, len(table.Assignments))
 		for i, assignment := range table.Assignments {
 			names[i] = assignment.Group
@@ -41,16 +41,17 @@
 	})
 }
 
-// completeFrom writes names of the table; without a daemon there are none.
-func completeFrom(ctx context.Context, command *cli.Command, names func(*policy.Table) []string) {
+// completeNames writes flags and the names taken from the table. It writes only
+// the flags if the daemon does not respond.
+func completeNames(ctx context.Context, command *cli.Command, names func(*policy.Table) []string) {
 	cli.DefaultCompleteWithFlags(ctx, command)
-	bounded, cancel := context.WithTimeout(ctx, completionTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, completionTimeout)
 	defer cancel()
-	table, err := api(command).Table(bounded)
+	table, err := adminClient(command).Table(timeoutCtx)
 	if err != nil {
 		return
 	}
 	for _, name := range names(table) {
-		fmt.Fprintln(command.Root().Writer, strings.ReplaceAll(oneLine(name), ":", `\:`))
+		fmt.Fprintln(command.Root().Writer, strings.ReplaceAll(sanitizeLine(name), ":", `\:`))
 	}
 }
--- a/internal/operator/details.go
+++ b/internal/operator/details.go
@@ -9,10 +9,10 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// printFields writes a row one field a line, by the names that
-// "doorpond policy set" takes.
-func printFields(to io.Writer, row *policy.Row) {
-	fields := newGrid(to, "FIELD", "VALUE")
+// printFields writes one line per field of a policy, with the field names that
+// "doorpond policy set" accepts.
+func printFields(w io.Writer, row *policy.Row) {
+	fields := newColumnWriter(w, "FIELD", "VALUE")
 	fields.row("name", row.Name)
 	fields.row("priority", row.Priority)
 	fields.row("shards.selection", row.Shards.Selection)
@@ -34,6 +34,6 @@
 	fields.row("completeness.least", row.Completeness.Min)
 	fields.row("limits.concurrency", row.Limits.Concurrency)
 	fields.row("limits.hits", row.Limits.Hits)
-	fields.end()
-	fmt.Fprintln(to, "last changed at revision", row.Revision)
+	fields.flush()
+	fmt.Fprintln(w, "last changed at revision", row.Revision)
 }
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -12,10 +12,10 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// submit sends an edit, or shows what it would change on a dry run.
+// submit sends an edit, or previews it if --dry-run is set.
 func submit(ctx context.Context, command *cli.Command, edit policytable.Edit) error {
 	var err error
-	edit.Author, err = authorOf(command)
+	edit.Author, err = changeAuthor(command)
 	if err != nil {
 		return err
 	}
@@ -26,83 +26,84 @@
 	if edit.ID == "" {
 		edit.ID = ulid.Make().String()
 	}
-	result, err := api(command).Edit(ctx, edit, command.Duration(flagWait))
+	result, err := adminClient(command).Edit(ctx, edit, command.Duration(flagWait))
 	if err != nil {
-		return unsure(coded(err, true), edit.ID)
+		return withRetryHint(withExitCode(err, true), edit.ID)
 	}
 	return showResult(command, result)
 }
 
-// unsure adds how to find out what became of an edit.
-func unsure(err error, id string) error {
-	known, is := err.(*codedError)
-	if !is || known.code != ExitUncertain {
+// withRetryHint adds the change ID with which an edit of unknown outcome can be
+// repeated.
+func withRetryHint(err error, id string) error {
+	exitErr, ok := err.(*exitError)
+	if !ok || exitErr.code != ExitUncertain {
 		return err
 	}
-	wrapped := fmt.Errorf("%w (repeat it safely with --change-id %s)", known.err, id)
-	return &codedError{code: ExitUncertain, err: wrapped}
+	wrapped := fmt.Errorf("%w (safe to repeat with --change-id %s)", exitErr.err, id)
+	return &exitError{code: ExitUncertain, err: wrapped}
 }
 
 func preview(ctx context.Context, command *cli.Command, edit policytable.Edit) error {
-	result, err := api(command).Diff(ctx, edit)
+	result, err := adminClient(command).Diff(ctx, edit)
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, result, func(to io.Writer) {
+	return writeResult(command, result, func(w io.Writer) {
 		if len(result.Diff) == 0 {
-			fmt.Fprintln(to, "nothing would change")
+			fmt.Fprintln(w, "nothing would change")
 		}
-		printLines(to, result.Diff)
+		printLines(w, result.Diff)
 	})
 }
 
-func printLines(to io.Writer, lines []string) {
+func printLines(w io.Writer, lines []string) {
 	for _, line := range lines {
-		fmt.Fprintln(to, oneLine(line))
+		fmt.Fprintln(w, sanitizeLine(line))
 	}
 }
 
 func showResult(command *cli.Command, result *admin.EditResult) error {
-	err := show(command, result, func(to io.Writer) { printResult(to, result) })
+	err := writeResult(command, result, func(w io.Writer) { printResult(w, result) })
 	if err != nil {
 		return err
 	}
 	if result.Propagation != nil && !result.Propagation.Complete {
-		behind := len(result.Propagation.Lagging) + len(result.Propagation.Unreachable)
-		return &codedError{code: ExitUncertain,
-			err: fmt.Errorf("accepted, but not seen in force on %d of %d daemons", behind, result.Propagation.Daemons)}
+		pending := len(result.Propagation.Lagging) + len(result.Propagation.Unreachable)
+		return &exitError{code: ExitUncertain,
+			err: fmt.Errorf("change accepted but not confirmed in force on %d of %d daemons", pending, result.Propagation.Daemons)}
 	}
 	return nil
 }
 
-func printResult(to io.Writer, result *admin.EditResult) {
+func printResult(w io.Writer, result *admin.EditResult) {
 	if result.Change == nil {
 		return
 	}
 	if len(result.Change.Summary) == 0 {
-		fmt.Fprintln(to, "nothing to change at revision", result.Change.Revision)
+		fmt.Fprintln(w, "nothing to change at revision", result.Change.Revision)
 	} else {
-		fmt.Fprintln(to, "accepted as revision", result.Change.Revision)
+		fmt.Fprintln(w, "accepted as revision", result.Change.Revision)
 	}
-	printLines(to, result.Change.Summary)
+	printLines(w, result.Change.Summary)
 	if result.Propagation != nil {
-		printPropagation(to, result.Propagation)
+		printPropagation(w, result.Propagation)
 	}
 }
 
-func printPropagation(to io.Writer, propagation *admin.Propagation) {
+func printPropagation(w io.Writer, propagation *admin.Propagation) {
 	if propagation.Complete {
-		fmt.Fprintf(to, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.TookMilliseconds)
+		fmt.Fprintf(w, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.TookMilliseconds)
 	}
-	printBehind(to, propagation.Lagging, propagation.Unreachable)
+	printLagging(w, propagation.Lagging, propagation.Unreachable)
 }
 
-func printBehind(to io.Writer, lagging []admin.Lagging, unreachable []admin.Unreachable) {
-	for _, one := range lagging {
-		fmt.Fprintf(to, "lags: %s in %s/%s at revision %d\n", one.ID, one.Place.Region, one.Place.Zone, one.Revision)
+func printLagging(w io.Writer, lagging []admin.Lagging, unreachable []admin.Unreachable) {
+	for _, node := range lagging {
+		fmt.Fprintf(w, "lags: %s in %s/%s at revision %d\n", node.ID, node.Place.Region, node.Place.Zone, node.Revision)
 	}
-	for _, one := range unreachable {
-		fmt.Fprintf(to, "unreachable: %s at %s: %s\n", one.Member.ID, one.Member.PeerAddress, oneLine(one.Reason))
+	for _, node := range unreachable {
+		fmt.Fprintf(w, "unreachable: %s at %s: %s\n", node.Member.ID, node.Member.PeerAddress, sanitizeLine(node.Reason))
 	}
 }
 
@@ -119,13 +120,13 @@
 			if _, err := arguments(command, 0, 0); err != nil {
 				return err
 			}
-			author, err := authorOf(command)
+			author, err := changeAuthor(command)
 			if err != nil {
 				return err
 			}
-			result, err := api(command).Restore(ctx, author, command.Duration(flagWait))
+			result, err := adminClient(command).Restore(ctx, author, command.Duration(flagWait))
 			if err != nil {
-				return coded(err, true)
+				return withExitCode(err, true)
 			}
 			return showResult(command, result)
 		},
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -11,57 +11,57 @@
 	"github.com/doorpond/doorpond/internal/failure"
 )
 
-// The exit codes of the command line.
+// Exit codes of the command line.
 const (
-	// ExitOK: done.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailure: refused or failed for a reason that has no code of its own.
+	// ExitFailure means a failure without a more specific code.
 	ExitFailure = 1
-	// ExitUsage: the command line, a file or a value is not valid.
+	// ExitUsage means that the command line, a file or a value is invalid.
 	ExitUsage = 2
-	// ExitConflict: another change or call came first.
+	// ExitConflict means that the request conflicts with another change or call.
 	ExitConflict = 3
-	// ExitUnavailable: not done, because something needed is not available;
-	// trying again later may help.
+	// ExitUnavailable means that the request was not executed because a
+	// dependency is unavailable. It may succeed later.
 	ExitUnavailable = 4
-	// ExitUncertain: accepted but not in force everywhere in time, or it is not
-	// known whether it was done.
+	// ExitUncertain means that a change was accepted but not in force on all
+	// daemons in time, or that the outcome of the request is unknown.
 	ExitUncertain = 5
 )
 
-// codedError is an error with its exit code.
-type codedError struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e *codedError) Error() string { return e.err.Error() }
-func (e *codedError) Unwrap() error { return e.err }
+func (e *exitError) Error() string { return e.err.Error() }
+func (e *exitError) Unwrap() error { return e.err }
 
-func usage(format string, values ...any) error {
-	return &codedError{code: ExitUsage, err: fmt.Errorf(format, values...)}
+func usageError(format string, values ...any) error {
+	return &exitError{code: ExitUsage, err: fmt.Errorf(format, values...)}
 }
 
-// coded gives an error its exit code. A request that changes something and
-// got no answer may have taken effect.
-func coded(err error, changes bool) error {
-	var already *codedError
-	if err == nil || errors.As(err, &already) {
+// withExitCode attaches an exit code to an error, unless it has one. A mutating
+// request that was sent and got no response may have taken effect.
+func withExitCode(err error, mutating bool) error {
+	var existing *exitError
+	if err == nil || errors.As(err, &existing) {
 		return err
 	}
 	var problem *client.Problem
 	if errors.As(err, &problem) {
-		return &codedError{code: codeOf(problem, changes), err: err}
+		return &exitError{code: problemExitCode(problem, mutating), err: err}
 	}
 	var operation *net.OpError
-	unsent := errors.As(err, &operation) && operation.Op == "dial"
-	if changes && !unsent {
-		return &codedError{code: ExitUncertain, err: fmt.Errorf("no answer, so it may or may not have been done: %w", err)}
+	dialFailed := errors.As(err, &operation) && operation.Op == "dial"
+	if mutating && !dialFailed {
+		return &exitError{code: ExitUncertain, err: fmt.Errorf("no response; the request may or may not have taken effect: %w", err)}
 	}
-	return &codedError{code: ExitUnavailable, err: err}
+	return &exitError{code: ExitUnavailable, err: err}
 }
 
-func codeOf(problem *client.Problem, changes bool) int {
+func problemExitCode(problem *client.Problem, mutating bool) int {
 	switch failure.Kind(problem.Kind) {
 	case failure.InvalidRequest, failure.TooLarge:
 		return ExitUsage
@@ -73,7 +73,7 @@
 		return ExitFailure
 	}
 	switch {
-	case changes && !problem.NotRun:
+	case mutating && !problem.NotRun:
 		return ExitUncertain
 	case problem.NotRun, problem.RetryAfterMilliseconds > 0:
 		return ExitUnavailable
@@ -82,29 +82,30 @@
 	}
 }
 
-// ExitCode prints an error that Run returned and gives its exit code. Errors
-// of the command line's own parsing count as usage.
-func ExitCode(err error, to io.Writer) int {
+// ExitCode prints an error returned by Run to w and returns its exit code.
+// Errors without a code come from parsing the command line, so the code is
+// ExitUsage.
+func ExitCode(err error, w io.Writer) int {
 	if err == nil {
 		return ExitOK
 	}
-	fmt.Fprintln(to, "doorpond:", err)
+	fmt.Fprintln(w, "doorpond:", err)
 	var problem *client.Problem
 	if errors.As(err, &problem) {
-		explain(problem, to)
+		printAdvice(problem, w)
 	}
-	var known *codedError
-	if errors.As(err, &known) {
-		return known.code
+	var withCode *exitError
+	if errors.As(err, &withCode) {
+		return withCode.code
 	}
 	return ExitUsage
 }
 
-func explain(problem *client.Problem, to io.Writer) {
+func printAdvice(problem *client.Problem, w io.Writer) {
 	if problem.NotRun {
-		fmt.Fprintln(to, "Nothing was run or changed.")
+		fmt.Fprintln(w, "Nothing was run or changed.")
 	}
 	if problem.RetryAfterMilliseconds > 0 {
-		fmt.Fprintln(to, "Try again in", time.Duration(problem.RetryAfterMilliseconds)*time.Millisecond)
+		fmt.Fprintln(w, "Try again in", time.Duration(problem.RetryAfterMilliseconds)*time.Millisecond)
 	}
 }
--- a/internal/operator/fields.go
+++ b/internal/operator/fields.go
@@ -10,43 +10,44 @@
 
 const indexWeightsField = "shards.index_weights."
 
-// setField sets one field of a row by its dotted JSON name, as in
-// "wait.timeout=60ms". An index's weight with no value is removed.
-func setField(row *policy.Row, assignment string) error {
-	path, value, found := strings.Cut(assignment, "=")
+// setField sets one field of a policy by its dotted JSON path, as in
+// "wait.timeout=60ms". An empty value removes an index weight.
+func setField(row *policy.Row, fieldAssignment string) error {
+	path, value, found := strings.Cut(fieldAssignment, "=")
 	if !found || path == "" {
-		return usage("%q is not FIELD=VALUE", assignment)
+		return usageError("invalid argument %q: must be FIELD=VALUE", fieldAssignment)
 	}
 	if path == "name" || path == "revision" {
-		return usage("%s cannot be set", path)
+		return usageError("%s cannot be set", path)
 	}
 	if index, isWeight := strings.CutPrefix(path, indexWeightsField); isWeight && value == "" {
 		delete(row.Shards.IndexWeights, index)
 		return nil
 	}
-	overlay, err := overlayOf(path, value)
+	overlay, err := nestValue(path, value)
 	if err != nil {
-		return usage("%s: %w", path, err)
+		return usageError("%s: %w", path, err)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(overlay))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(row); err != nil {
-		return usage("set %s to %q: %w", path, value, err)
+		return usageError("set %s to %q: %w", path, value, err)
 	}
 	return nil
 }
 
-// maximumPathParts is the depth of the deepest field; the last part may hold
-// dots, as the names of indexes do.
-const maximumPathParts = 3
+// maxPathParts is the depth of the deepest field. The last part is not split
+// further because index names may contain dots.
+const maxPathParts = 3
 
-// overlayOf nests a value under the parts of a path: {"wait":{"timeout":"60ms"}}.
-func overlayOf(path, value string) (json.RawMessage, error) {
+// nestValue returns the JSON object with a value at a dotted path, such as
+// {"wait":{"timeout":"60ms"}}.
+func nestValue(path, value string) (json.RawMessage, error) {
 	overlay, err := jsonValue(value)
 	if err != nil {
 		return nil, err
 	}
-	parts := strings.SplitN(path, ".", maximumPathParts)
+	parts := strings.SplitN(path, ".", maxPathParts)
 	for i := len(parts) - 1; i >= 0; i-- {
 		overlay, err = json.Marshal(map[string]json.RawMessage{parts[i]: overlay})
 		if err != nil {
@@ -56,7 +57,7 @@
 	return overlay, nil
 }
 
-// jsonValue takes numbers as they are and all else as text.
+// jsonValue encodes numbers as JSON numbers and all other values as strings.
 func jsonValue(value string) (json.RawMessage, error) {
 	var number json.Number
 	if json.Unmarshal([]byte(value), &number) == nil && !strings.HasPrefix(value, `"`) && value != "null" {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -27,7 +27,8 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// daemon is a stand-in for both ports.
+// daemon is a fake daemon that serves the administration port and the query port
+// and records requests.
 type daemon struct {
 	edits   []policytable.Edit
 	tokens  []string
@@ -45,7 +46,7 @@
 }
 
 func testComparison(query url.Values) comparison.ClusterReport {
-	last, _ := time.ParseDuration(query.Get("last")) // zero shows in the test
+	last, _ := time.ParseDuration(query.Get("last")) // an invalid value fails the check of the output
 	known := comparison.Estimate{Value: 10, Low: 9, High: 11, HasInterval: true}
 	return comparison.ClusterReport{
 		Group: query.Get("group"), LastSeconds: int64(last / time.Second), Daemons: 2,
@@ -127,7 +128,7 @@
 	out, err string
 }
 
-// run runs the command line against a daemon.
+// run runs the command line against a fake daemon.
 func run(t *testing.T, d *daemon, input string, arguments ...string) outcome {
 	t.Helper()
 	server := httptest.NewServer(d.handler())
@@ -163,36 +164,36 @@
 		{name: "restore", line: "restore", contains: "revision 9"},
 		{name: "release", line: "release 5f1c", contains: "released: 5f1c"},
 		{name: "release unknown", line: "release 5f1d", code: ExitFailure, contains: "no node suspects"},
-		{name: "release nothing", line: "release", code: ExitUsage, contains: "IDENTITY"},
+		{name: "release without identity", line: "release", code: ExitUsage, contains: "IDENTITY"},
 		{name: "set", line: "policy set fast wait.timeout=50ms", contains: "revision 8"},
 		{name: "dry run", line: "policy set fast wait.timeout=50ms --dry-run", contains: "a line"},
 		{name: "set without a field", line: "policy set fast", code: ExitUsage, contains: "FIELD=VALUE"},
 		{name: "set unknown field", line: "policy set fast wait.timeot=50ms", code: ExitUsage, contains: "timeot"},
-		{name: "set bad duration", line: "policy set fast wait.timeout=50", code: ExitUsage, contains: "wait.timeout"},
+		{name: "set invalid duration", line: "policy set fast wait.timeout=50", code: ExitUsage, contains: "wait.timeout"},
 		{name: "set name", line: "policy set fast name=x", code: ExitUsage, contains: "name"},
 		{name: "set conflict", line: "policy set fast priority=high", problem: conflict, code: ExitConflict, contains: "kofi"},
 		{name: "set without token", line: "policy set fast priority=high", problem: failure.New(failure.Unauthorized, "token"), code: ExitFailure},
 		{name: "set refused", line: "policy set fast priority=highest", problem: failure.New(failure.InvalidRequest, "priority"), code: ExitUsage},
-		{name: "set with store out", line: "policy set fast priority=high", problem: failure.New(failure.StoreUnavailable, "out"), code: ExitUnavailable},
-		{name: "set unclear", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain, contains: "--change-id one"},
-		{name: "set and lag", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUncertain, contains: "node-c"},
+		{name: "set with store unavailable", line: "policy set fast priority=high", problem: failure.New(failure.StoreUnavailable, "out"), code: ExitUnavailable},
+		{name: "set with unknown outcome", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain, contains: "--change-id one"},
+		{name: "set with lagging daemon", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUncertain, contains: "node-c"},
 		{name: "wait too long", line: "policy set fast priority=high --wait 1h", code: ExitUsage, contains: "wait"},
-		{name: "assign weight", line: "assign gate fast=0", code: ExitUsage, contains: "weight"},
-		{name: "assign nothing", line: "assign gate", code: ExitUsage, contains: "--delete"},
+		{name: "assign invalid weight", line: "assign gate fast=0", code: ExitUsage, contains: "weight"},
+		{name: "assign without policy", line: "assign gate", code: ExitUsage, contains: "--delete"},
 		{name: "unknown command", line: "polcy list", code: ExitUsage, contains: "polcy"},
 		{name: "unknown subcommand", line: "policy lst", code: ExitUsage, contains: "lst"},
 		{name: "unknown flag", line: "status --verbose", code: ExitUsage, contains: "verbose"},
-		{name: "bad output", line: "--output xml status", code: ExitUsage, contains: "xml"},
+		{name: "invalid output", line: "--output xml status", code: ExitUsage, contains: "xml"},
 		{name: "apply without file", line: "apply", code: ExitUsage, contains: "file"},
 		{name: "apply missing file", line: "apply -f no-such-file.yaml", code: ExitUsage, contains: "no-such-file"},
 		{name: "query", line: "query --corpus cues selam", contains: "ሰላም"},
-		{name: "query for nothing", line: "query --corpus cues", code: ExitUsage, contains: "phrase"},
-		{name: "query shed", line: "query --corpus cues selam", problem: failure.New(failure.Overloaded, "full"), code: ExitUnavailable, contains: "Try again in 100ms"},
+		{name: "query without phrase", line: "query --corpus cues", code: ExitUsage, contains: "phrase"},
+		{name: "query rejected by overload", line: "query --corpus cues selam", problem: failure.New(failure.Overloaded, "full"), code: ExitUnavailable, contains: "Try again in 100ms"},
 		{name: "call", line: "call --key k --service s --operation o", contains: `"done":true`},
-		{name: "call unclear", line: "call --key k --service s --operation o", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain},
-		{name: "call late", line: "call --key k --service s --operation o", problem: failure.New(failure.DeadlineExceeded, "late"), code: ExitUncertain},
+		{name: "call with unknown outcome", line: "call --key k --service s --operation o", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain},
+		{name: "call past deadline", line: "call --key k --service s --operation o", problem: failure.New(failure.DeadlineExceeded, "late"), code: ExitUncertain},
 		{name: "call not run", line: "call --key k --service s --operation o", problem: failure.New(failure.NoReplica, "none"), code: ExitUnavailable, contains: "Nothing was run"},
-		{name: "call with bad payload", line: "call --key k --service s --operation o --payload {", code: ExitUsage, contains: "JSON"},
+		{name: "call with invalid payload", line: "call --key k --service s --operation o --payload {", code: ExitUsage, contains: "JSON"},
 		{name: "help", line: "policy set --help", contains: "Examples:"},
 	}
 	for _, test := range cases {
@@ -206,7 +207,7 @@
 	}
 }
 
-func TestSetSendsTheWholeRow(t *testing.T) {
+func TestPolicySetSendsFullRow(t *testing.T) {
 	d := &daemon{}
 	got := run(t, d, "", "policy", "set", "fast", "wait.timeout=50ms", "retry.attempts=2", "priority=high",
 		"shards.index_weights.c.d=1.5", "shards.index_weights.a.b=", "--author", "kofi")
@@ -227,7 +228,7 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestExitCodeWhenDaemonIsDown(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -241,7 +242,7 @@
 	}
 }
 
-func TestCallCutAfterSendingIsUnsure(t *testing.T) {
+func TestExitCodeWhenCallIsInterrupted(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		panic(http.ErrAbortHandler)
@@ -284,14 +285,14 @@
 func TestTableFileErrors(t *testing.T) {
 	cases := []struct{ name, file, contains string }{
 		{"unknown key", "policies:\n  - name: fast\n    wiat: {timeout: 1s}\n", "[3:5]"},
-		{"unknown inner key", "policies:\n  - name: fast\n    wait: {timeot: 1s}\n", "timeot"},
-		{"unknown key at the top", "policys: []\n", "policys"},
+		{"unknown nested key", "policies:\n  - name: fast\n    wait: {timeot: 1s}\n", "timeot"},
+		{"unknown top-level key", "policys: []\n", "policys"},
 		{"wrong type", "policies:\n  - name: fast\n    retry: {attempts: many}\n", "[3:"},
-		{"bad duration", "policies:\n  - name: fast\n    wait: {timeout: soon}\n", "soon"},
+		{"invalid duration", "policies:\n  - name: fast\n    wait: {timeout: soon}\n", "soon"},
 		{"not YAML", "policies: [", "-:"},
 		{"empty", "", "neither"},
-		{"policy twice", "policies: [{name: a}, {name: a}]", "twice"},
-		{"group twice", "assignments: [{group: a}, {group: a}]", "twice"},
+		{"duplicate policy", "policies: [{name: a}, {name: a}]", "twice"},
+		{"duplicate group", "assignments: [{group: a}, {group: a}]", "twice"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -304,7 +305,7 @@
 	}
 }
 
-func TestCompletionKnowsPoliciesAndGroups(t *testing.T) {
+func TestCompletePoliciesAndGroups(t *testing.T) {
 	cases := []struct{ name, line, want string }{
 		{"policies to compare", "compare", "fast"},
 		{"groups to assign", "assign", "gate"},
@@ -318,17 +319,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := run(t, &daemon{}, "", append(strings.Fields(test.line), "--generate-shell-completion")...)
 			if !strings.Contains(got.out, test.want) {
-				t.Errorf("%q is not offered:\n%s%s", test.want, got.out, got.err)
+				t.Errorf("completion does not offer %q:\n%s%s", test.want, got.out, got.err)
 			}
 		})
 	}
 }
 
-func TestCompareShowsBothSides(t *testing.T) {
+func TestCompareOutput(t *testing.T) {
 	got := run(t, &daemon{}, "", "compare", "fast", "old", "--group", "gate", "--last", "5m")
 	for _, want := range []string{"fast against old, gate, last 5m0s, 2 daemons", "p99.9 latency", "10.00 ms (9.00 to 11.00)", "(too few samples)", "warning: few", "not counted: node-b"} {
 		if !strings.Contains(got.out, want) {
-			t.Errorf("no %q in:\n%s%s", want, got.out, got.err)
+			t.Errorf("output does not contain %q:\n%s%s", want, got.out, got.err)
 		}
 	}
 	for _, line := range []string{"compare fast", "compare fast old --interval 1ms --watch"} {
@@ -338,15 +339,15 @@
 	}
 }
 
-func TestTheAuthorIsTheSystemsUserByDefault(t *testing.T) {
+func TestAuthorDefaultsToCurrentUser(t *testing.T) {
 	t.Setenv("USER", "")
 	t.Setenv("DOORPOND_AUTHOR", "")
-	known, err := user.Current()
+	current, err := user.Current()
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &daemon{}
-	if got := run(t, d, "", "policy", "set", "fast", "priority=high"); got.code != ExitOK || d.edits[0].Author != known.Username {
-		t.Errorf("code %d, edits %+v; want the author %s", got.code, d.edits, known.Username)
+	if got := run(t, d, "", "policy", "set", "fast", "priority=high"); got.code != ExitOK || d.edits[0].Author != current.Username {
+		t.Errorf("code %d, edits %+v; want the author %s", got.code, d.edits, current.Username)
 	}
 }
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -11,8 +11,9 @@
 	"github.com/urfave/cli/v3"
 )
 
-// show writes a value as JSON, or calls a function that writes it as text.
-func show(command *cli.Command, value any, text func(to io.Writer)) error {
+// writeResult writes a value as JSON or, by calling text, as plain text,
+// depending on --output.
+func writeResult(command *cli.Command, value any, text func(w io.Writer)) error {
 	out := command.Root().Writer
 	if command.String(flagOutput) == outputJSON {
 		encoder := json.NewEncoder(out)
@@ -23,33 +24,33 @@
 	return nil
 }
 
-// showing is the action of a command without arguments that shows what one call
-// returns.
-func showing[T any](call func(*AdminClient, context.Context) (*T, error), text func(to io.Writer, value *T)) cli.ActionFunc {
+// showAction returns the action of a command that takes no arguments and prints
+// the result of one request.
+func showAction[T any](call func(*AdminClient, context.Context) (*T, error), text func(w io.Writer, value *T)) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if _, err := arguments(command, 0, 0); err != nil {
 			return err
 		}
-		value, err := call(api(command), ctx)
+		value, err := call(adminClient(command), ctx)
 		if err != nil {
-			return coded(err, false)
+			return withExitCode(err, false)
 		}
-		return show(command, value, func(to io.Writer) { text(to, value) })
+		return writeResult(command, value, func(w io.Writer) { text(w, value) })
 	}
 }
 
-// grid writes rows in aligned columns under a heading.
-type grid struct {
+// columnWriter writes a header and rows in aligned columns.
+type columnWriter struct {
 	writer *tabwriter.Writer
 }
 
-func newGrid(to io.Writer, heading ...string) *grid {
-	g := &grid{writer: tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)}
-	g.row(toAny(heading)...)
-	return g
+func newColumnWriter(w io.Writer, header ...string) *columnWriter {
+	c := &columnWriter{writer: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
+	c.row(toAnySlice(header)...)
+	return c
 }
 
-func toAny(texts []string) []any {
+func toAnySlice(texts []string) []any {
 	values := make([]any, len(texts))
 	for i, text := range texts {
 		values[i] = text
@@ -57,18 +58,19 @@
 	return values
 }
 
-func (g *grid) row(cells ...any) {
+func (c *columnWriter) row(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
-		texts[i] = oneLine(fmt.Sprint(cell))
+		texts[i] = sanitizeLine(fmt.Sprint(cell))
 	}
-	fmt.Fprintln(g.writer, strings.Join(texts, "\t"))
+	fmt.Fprintln(c.writer, strings.Join(texts, "\t"))
 }
 
-func (g *grid) end() { _ = g.writer.Flush() } // the terminal is gone if this fails
+func (c *columnWriter) flush() { _ = c.writer.Flush() } // fails only if the output is closed
 
-// oneLine keeps a cell from breaking the table or steering the terminal.
-func oneLine(text string) string {
+// sanitizeLine replaces control characters, which could break the layout or
+// control the terminal, with spaces.
+func sanitizeLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
--- a/internal/operator/policies.go
+++ b/internal/operator/policies.go
@@ -22,7 +22,7 @@
 	return &cli.Command{
 		Name:   "policy",
 		Usage:  "show and change policies",
-		Action: needCommand,
+		Action: requireSubcommand,
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "list the policies and assignments in force", Action: listPolicies},
 			{Name: "get", Usage: "show one policy", ArgsUsage: "NAME", ShellComplete: completePolicies, Action: getPolicy},
@@ -48,31 +48,31 @@
 	if _, err := arguments(command, 0, 0); err != nil {
 		return err
 	}
-	table, err := api(command).Table(ctx)
+	table, err := adminClient(command).Table(ctx)
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, table, func(to io.Writer) { printTable(to, table) })
+	return writeResult(command, table, func(w io.Writer) { printTable(w, table) })
 }
 
-func printTable(to io.Writer, table *policy.Table) {
-	fmt.Fprintf(to, "table revision %d, changed by %s at %s\n\n", table.Revision,
-		oneLine(table.LastChange.Author), table.LastChange.Time.Format(time.RFC3339))
-	policies := newGrid(to, "POLICY", "PRIORITY", "TIMEOUT", "HEDGE", "ATTEMPTS", "TARGET", "GRACE", "LEAST", "CONCURRENCY", "REVISION")
+func printTable(w io.Writer, table *policy.Table) {
+	fmt.Fprintf(w, "table revision %d, changed by %s at %s\n\n", table.Revision,
+		sanitizeLine(table.LastChange.Author), table.LastChange.Time.Format(time.RFC3339))
+	policies := newColumnWriter(w, "POLICY", "PRIORITY", "TIMEOUT", "HEDGE", "ATTEMPTS", "TARGET", "GRACE", "LEAST", "CONCURRENCY", "REVISION")
 	for _, row := range table.Policies {
 		policies.row(row.Name, row.Priority, row.Wait.Timeout, row.Wait.HedgeQuantile, row.Retry.Attempts,
 			row.Completeness.Target, row.Completeness.Grace, row.Completeness.Min, row.Limits.Concurrency, row.Revision)
 	}
-	policies.end()
-	fmt.Fprintln(to)
-	assignments := newGrid(to, "GROUP", "POLICIES", "REVISION")
+	policies.flush()
+	fmt.Fprintln(w)
+	assignments := newColumnWriter(w, "GROUP", "POLICIES", "REVISION")
 	for _, assignment := range table.Assignments {
-		assignments.row(assignment.Group, sharesText(assignment.Shares), assignment.Revision)
+		assignments.row(assignment.Group, formatShares(assignment.Shares), assignment.Revision)
 	}
-	assignments.end()
+	assignments.flush()
 }
 
-func sharesText(shares []policy.Share) string {
+func formatShares(shares []policy.Share) string {
 	texts := make([]string, len(shares))
 	for i, share := range shares {
 		texts[i] = share.Policy + "=" + strconv.Itoa(share.Weight)
@@ -85,15 +85,15 @@
 	if err != nil {
 		return err
 	}
-	row, err := api(command).Policy(ctx, names[0])
+	row, err := adminClient(command).Policy(ctx, names[0])
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, row, func(to io.Writer) { printFields(to, row) })
+	return writeResult(command, row, func(w io.Writer) { printFields(w, row) })
 }
 
 func setPolicy(ctx context.Context, command *cli.Command) error {
-	given, err := arguments(command, 2, -1)
+	args, err := arguments(command, 2, -1)
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	if err != nil {
 		return err
 	}
-	row := rowOf(table, given[0])
-	for _, assignment := range given[1:] {
+	row := findOrNewRow(table, args[0])
+	for _, assignment := range args[1:] {
 		if err := setField(&row, assignment); err != nil {
 			return err
 		}
@@ -110,23 +110,22 @@
 	return submit(ctx, command, policytable.Edit{ExpectedRevision: table.Revision, SetPolicies: []policy.Row{row}})
 }
 
-// currentTable returns the table in force, an empty one where there is none
-// yet.
+// currentTable returns the table in force, or an empty one if there is none yet.
 func currentTable(ctx context.Context, command *cli.Command) (*policy.Table, error) {
-	table, err := api(command).Table(ctx)
+	table, err := adminClient(command).Table(ctx)
 	var problem *client.Problem
 	if errors.As(err, &problem) && problem.Kind == string(failure.NoTable) {
 		return &policy.Table{}, nil
 	}
-	return table, coded(err, false)
+	return table, withExitCode(err, false)
 }
 
-func rowOf(table *policy.Table, name string) policy.Row {
-	at := slices.IndexFunc(table.Policies, func(row policy.Row) bool { return row.Name == name })
-	if at < 0 {
+func findOrNewRow(table *policy.Table, name string) policy.Row {
+	index := slices.IndexFunc(table.Policies, func(row policy.Row) bool { return row.Name == name })
+	if index < 0 {
 		return policy.DefaultRow(name)
 	}
-	return table.Policies[at]
+	return table.Policies[index]
 }
 
 func deletePolicies(ctx context.Context, command *cli.Command) error {
@@ -145,16 +144,16 @@
 	if _, err := arguments(command, 0, 0); err != nil {
 		return err
 	}
-	history, err := api(command).History(ctx, int(command.Int("limit")))
+	history, err := adminClient(command).History(ctx, int(command.Int("limit")))
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, history, func(to io.Writer) {
-		changes := newGrid(to, "REVISION", "TIME", "AUTHOR", "CHANGE")
+	return writeResult(command, history, func(w io.Writer) {
+		changes := newColumnWriter(w, "REVISION", "TIME", "AUTHOR", "CHANGE")
 		for _, change := range history.Changes {
 			changes.row(change.Revision, change.Time.Format(time.RFC3339), change.Author, strings.Join(change.Summary, "; "))
 		}
-		changes.end()
+		changes.flush()
 	})
 }
 
@@ -177,11 +176,11 @@
 }
 
 func assign(ctx context.Context, command *cli.Command) error {
-	given, err := arguments(command, 1, -1)
+	args, err := arguments(command, 1, -1)
 	if err != nil {
 		return err
 	}
-	edit, err := assignmentEdit(given[0], given[1:], command.Bool("delete"))
+	edit, err := assignmentEdit(args[0], args[1:], command.Bool("delete"))
 	if err != nil {
 		return err
 	}
@@ -193,11 +192,11 @@
 	return submit(ctx, command, edit)
 }
 
-func assignmentEdit(group string, shares []string, remove bool) (policytable.Edit, error) {
-	if remove == (len(shares) > 0) {
-		return policytable.Edit{}, usage("give either policies or --delete")
+func assignmentEdit(group string, shares []string, deleteGroup bool) (policytable.Edit, error) {
+	if deleteGroup == (len(shares) > 0) {
+		return policytable.Edit{}, usageError("specify either policies or --delete")
 	}
-	if remove {
+	if deleteGroup {
 		return policytable.Edit{DeleteAssignments: []string{group}}, nil
 	}
 	assignment := policy.Assignment{Group: group}
@@ -218,7 +217,7 @@
 	}
 	number, err := strconv.Atoi(weight)
 	if err != nil || number < 1 {
-		return policy.Share{}, usage("%q: the weight must be a whole number from 1", text)
+		return policy.Share{}, usageError("%q: the weight must be a positive integer", text)
 	}
 	return policy.Share{Policy: name, Weight: number}, nil
 }
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -23,26 +23,26 @@
    doorpond --admin 10.1.0.39:7740 release 5f1c...`,
 		Action: func(ctx context.Context, command *cli.Command) error {
 			if command.Args().Len() != 1 {
-				return usage("release takes one IDENTITY")
+				return usageError("release requires exactly one IDENTITY")
 			}
-			released, err := api(command).Release(ctx, command.Args().First())
+			released, err := adminClient(command).Release(ctx, command.Args().First())
 			if err != nil {
-				return coded(err, true)
+				return withExitCode(err, true)
 			}
-			return show(command, released, func(to io.Writer) { fmt.Fprintln(to, "released:", oneLine(released.Identity)) })
+			return writeResult(command, released, func(w io.Writer) { fmt.Fprintln(w, "released:", sanitizeLine(released.Identity)) })
 		},
 	}
 }
 
-// printQuarantined lists the requests under which replicas have ended.
-func printQuarantined(to io.Writer, requests []inspect.Request) {
-	lines := newGrid(to, "QUARANTINED", "ROUTE", "CALLER", "TARGET", "REPLICAS ENDED", "REFUSED FOR", "REFUSED BY", "KNOWN BY")
-	for _, one := range requests {
-		left := "suspected only"
-		if one.RefuseMilliseconds > 0 {
-			left = one.RefuseFor().Round(time.Second).String()
+// printQuarantined lists the requests suspected of crashing replicas.
+func printQuarantined(w io.Writer, requests []inspect.Request) {
+	table := newColumnWriter(w, "QUARANTINED", "ROUTE", "CALLER", "TARGET", "REPLICAS ENDED", "REFUSED FOR", "REFUSED BY", "KNOWN BY")
+	for _, request := range requests {
+		remaining := "suspected only"
+		if request.RefuseMilliseconds > 0 {
+			remaining = request.RefuseFor().Round(time.Second).String()
 		}
-		lines.row(one.Identity, one.Route, one.Caller, oneLine(one.Target), one.CrashedReplicas, left, one.Refusing, one.Nodes)
+		table.row(request.Identity, request.Route, request.Caller, sanitizeLine(request.Target), request.CrashedReplicas, remaining, request.Refusing, request.Nodes)
 	}
-	lines.end()
+	table.flush()
 }
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -15,12 +15,12 @@
 
 const defaultGroup = "default"
 
-func callersClient(command *cli.Command) (*client.Client, error) {
-	through, scheme, err := transportOf(command)
+func newQueryClient(command *cli.Command) (*client.Client, error) {
+	transport, scheme, err := newTransport(command)
 	if err != nil {
 		return nil, err
 	}
-	return client.New(baseURL(command.String(flagDaemon), scheme), &http.Client{Timeout: requestTimeout, Transport: through}), nil
+	return client.New(baseURL(command.String(flagDaemon), scheme), &http.Client{Timeout: requestTimeout, Transport: transport}), nil
 }
 
 func callerFlags() []cli.Flag {
@@ -66,61 +66,60 @@
 		query.Phrase = phrases[0]
 	}
 	if (query.Phrase == "") == (query.Card == "") {
-		return usage("give either a phrase or --card")
+		return usageError("specify either a phrase or --card")
 	}
-	callers, err := callersClient(command)
+	queryClient, err := newQueryClient(command)
 	if err != nil {
 		return err
 	}
-	answer, err := callers.Query(ctx, query)
+	answer, err := queryClient.Query(ctx, query)
 	if err != nil {
-		return coded(err, false)
+		return withExitCode(err, false)
 	}
-	return show(command, answer, func(to io.Writer) { printAnswer(to, answer) })
+	return writeResult(command, answer, func(w io.Writer) { printAnswer(w, answer) })
 }
 
-// latestCue is past the end of any subtitle file; a time beyond it is a Unix
-// time.
-const latestCue = 1000 * time.Hour
+// maxCueTime separates cue offsets from Unix times: no subtitle file is longer.
+const maxCueTime = 1000 * time.Hour
 
-// hitTime shows a cue's start in its file, or a record's date.
+// hitTime formats the offset of a cue in its file or the date of a record.
 func hitTime(hit client.Hit) string {
 	start := time.Duration(hit.TimeMilliseconds) * time.Millisecond
-	if start <= latestCue {
+	if start <= maxCueTime {
 		return start.String()
 	}
 	return time.UnixMilli(hit.TimeMilliseconds).UTC().Format(time.RFC3339)
 }
 
-func printAnswer(to io.Writer, answer client.Answer) {
-	hits := newGrid(to, "INDEX", "DOCUMENT", "TIME", "RANK", "TEXT")
+func printAnswer(w io.Writer, answer client.Answer) {
+	hits := newColumnWriter(w, "INDEX", "DOCUMENT", "TIME", "RANK", "TEXT")
 	for _, hit := range answer.Hits {
 		hits.row(hit.Index, hit.Document, hitTime(hit), fmt.Sprintf("%.3f", hit.Rank), hit.Text)
 	}
-	hits.end()
+	hits.flush()
 	coverage := answer.Coverage
-	fmt.Fprintf(to, "\n%d hits", len(answer.Hits))
+	fmt.Fprintf(w, "\n%d hits", len(answer.Hits))
 	if answer.Truncated {
-		fmt.Fprint(to, " (more matched)")
+		fmt.Fprint(w, " (more matched)")
 	}
-	fmt.Fprintf(to, "; %d of %d shards answered (%.1f%%); snapshot %d; policy %s at table revision %d; %d sub-requests; %s\n",
+	fmt.Fprintf(w, "; %d of %d shards answered (%.1f%%); snapshot %d; policy %s at table revision %d; %d sub-requests; %s\n",
 		coverage.Answered, coverage.Asked, 100*coverage.Share, answer.Snapshot, answer.Policy, answer.TableRevision,
 		answer.Attempts, time.Duration(answer.TookMicroseconds)*time.Microsecond)
 	for _, index := range coverage.Indexes {
-		printShards(to, "missing", index.Missing)
-		printShards(to, "not asked", index.NotAsked)
+		printShards(w, "missing", index.Missing)
+		printShards(w, "not asked", index.NotAsked)
 	}
 }
 
-// shardLines bounds the shards named; JSON output has them all.
-const shardLines = 10
+// maxShardLines limits the number of shards listed in text output.
+const maxShardLines = 10
 
-func printShards(to io.Writer, what string, shards []client.ShardReport) {
-	for _, shard := range shards[:min(len(shards), shardLines)] {
-		fmt.Fprintf(to, "%s: %s shard %d: %s\n", what, shard.Index, shard.Shard, shard.Reason)
+func printShards(w io.Writer, label string, shards []client.ShardReport) {
+	for _, shard := range shards[:min(len(shards), maxShardLines)] {
+		fmt.Fprintf(w, "%s: %s shard %d: %s\n", label, shard.Index, shard.Shard, shard.Reason)
 	}
-	if more := len(shards) - shardLines; more > 0 {
-		fmt.Fprintf(to, "%s: %d more of %s\n", what, more, shards[0].Index)
+	if omitted := len(shards) - maxShardLines; omitted > 0 {
+		fmt.Fprintf(w, "%s: %d more of %s\n", label, omitted, shards[0].Index)
 	}
 }
 
@@ -149,25 +148,25 @@
 	}
 	payload := command.String("payload")
 	if payload != "" && !json.Valid([]byte(payload)) {
-		return usage("--payload is not valid JSON")
+		return usageError("--payload is not valid JSON")
 	}
 	call := client.Call{
 		Group: command.String("group"), Caller: command.String("caller"), Key: command.String("key"),
 		Service: command.String("service"), Operation: command.String("operation"), Payload: json.RawMessage(payload),
 		DeadlineMilliseconds: command.Duration("deadline").Milliseconds(),
 	}
-	callers, err := callersClient(command)
+	queryClient, err := newQueryClient(command)
 	if err != nil {
 		return err
 	}
-	result, err := callers.Call(ctx, call)
+	result, err := queryClient.Call(ctx, call)
 	if err != nil {
-		return coded(err, true)
+		return withExitCode(err, true)
 	}
-	return show(command, result, func(to io.Writer) {
-		fmt.Fprintf(to, "%s\n", result.Result)
+	return writeResult(command, result, func(w io.Writer) {
+		fmt.Fprintf(w, "%s\n", result.Result)
 		if result.Repeated {
-			fmt.Fprintln(to, "remembered from an earlier call with the same key")
+			fmt.Fprintln(w, "remembered from an earlier call with the same key")
 		}
 	})
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -25,48 +25,49 @@
 
    doorpond status
    doorpond --output json status | jq '.lagging'`,
-		Action: showing((*AdminClient).Status, printStatus),
+		Action: showAction((*AdminClient).Status, printStatus),
 	}
 }
 
-func printStatus(to io.Writer, status *admin.Status) {
-	fmt.Fprintf(to, "table revision %d; %d daemons answer, %d lag, %d do not answer\n",
+func printStatus(w io.Writer, status *admin.Status) {
+	fmt.Fprintf(w, "table revision %d; %d daemons answer, %d lag, %d do not answer\n",
 		status.Revision, len(status.Nodes), len(status.Lagging), len(status.Unreachable))
 	if status.StoreOutSince != nil {
-		fmt.Fprintln(to, "the store has been out of reach since", status.StoreOutSince.Format(time.RFC3339))
+		fmt.Fprintln(w, "the store has been out of reach since", status.StoreOutSince.Format(time.RFC3339))
 	}
-	fmt.Fprintln(to)
+	fmt.Fprintln(w)
 	nodes := slices.Clone(status.Nodes)
-	slices.SortStableFunc(nodes, byPlace)
-	lines := newGrid(to, "REGION", "ZONE", "DAEMON", "ADDRESS", "MEMBER", "PHASE", "TABLE", "CATALOGUE", "STORE", "LEAVING", "COLD", "EJECTED")
+	slices.SortStableFunc(nodes, compareByPlace)
+	table := newColumnWriter(w, "REGION", "ZONE", "DAEMON", "ADDRESS", "MEMBER", "PHASE", "TABLE", "CATALOGUE", "STORE", "LEAVING", "COLD", "EJECTED")
 	for _, node := range nodes {
-		lines.row(node.Member.Place.Region, node.Member.Place.Zone, node.Member.ID, node.Member.PeerAddress,
+		table.row(node.Member.Place.Region, node.Member.Place.Zone, node.Member.ID, node.Member.PeerAddress,
 			membership.StateName(node.Member.State), phaseName(node.Phase), node.TableRevision, node.CatalogueRevision,
-			storeText(node.Store), node.ReplicasLeaving, node.ReplicasCold, node.ReplicasEjected)
+			formatStore(node.Store), node.ReplicasLeaving, node.ReplicasCold, node.ReplicasEjected)
 	}
-	lines.end()
-	printReplicas(to, status)
+	table.flush()
+	printReplicas(w, status)
 	if len(status.Lagging)+len(status.Unreachable) > 0 {
-		fmt.Fprintln(to)
+		fmt.Fprintln(w)
 	}
-	printBehind(to, status.Lagging, status.Unreachable)
+	printLagging(w, status.Lagging, status.Unreachable)
 }
 
-// printReplicas names the replicas that do not take their whole share.
-func printReplicas(to io.Writer, status *admin.Status) {
+// printReplicas lists the replicas that do not receive their full share of
+// requests.
+func printReplicas(w io.Writer, status *admin.Status) {
 	if len(status.Replicas) == 0 {
 		return
 	}
-	fmt.Fprintln(to)
-	lines := newGrid(to, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
-	for _, one := range status.Replicas {
-		lines.row(one.Address, one.Group, one.Place.Region, one.Place.Zone, one.Trouble,
-			fmt.Sprintf("%d of %d", one.SeenBy, len(status.Nodes)))
+	fmt.Fprintln(w)
+	table := newColumnWriter(w, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
+	for _, replica := range status.Replicas {
+		table.row(replica.Address, replica.Group, replica.Place.Region, replica.Place.Zone, replica.Trouble,
+			fmt.Sprintf("%d of %d", replica.SeenBy, len(status.Nodes)))
 	}
-	lines.end()
+	table.flush()
 }
 
-func byPlace(a, b peer.NodeState) int {
+func compareByPlace(a, b peer.NodeState) int {
 	return cmp.Or(
 		strings.Compare(a.Member.Place.Region, b.Member.Place.Region),
 		strings.Compare(a.Member.Place.Zone, b.Member.Place.Zone),
@@ -91,7 +92,7 @@
 	}
 }
 
-func storeText(store blackboard.StoreStatus) string {
+func formatStore(store blackboard.StoreStatus) string {
 	switch {
 	case store.Regressed:
 		return "regressed"
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -56,12 +56,12 @@
 		"does not answer: n3 no answer",
 	} {
 		if !hasLine(lines, want) {
-			t.Errorf("no line %q in\n%s", want, out.String())
+			t.Errorf("output has no line %q:\n%s", want, out.String())
 		}
 	}
 }
 
-// hasLine compares words, as columns are padded.
+// hasLine reports whether a line equals want, ignoring column padding.
 func hasLine(lines []string, want string) bool {
 	for _, line := range lines {
 		if strings.Join(strings.Fields(line), " ") == want {
--- a/internal/operator/transport.go
+++ b/internal/operator/transport.go
@@ -10,28 +10,27 @@
 	"github.com/doorpond/doorpond/internal/certificates"
 )
 
-// dialTimeout bounds the opening of a connection to a daemon.
 const dialTimeout = 5 * time.Second
 
-// transportOf makes the transport that the TLS flags ask for, and says which
-// scheme an address without one has.
-func transportOf(command *cli.Command) (through *http.Transport, scheme string, err error) {
-	through = http.DefaultTransport.(*http.Transport).Clone()
+// newTransport returns the transport configured by the TLS flags and the URL
+// scheme to use for addresses that have none.
+func newTransport(command *cli.Command) (transport *http.Transport, scheme string, err error) {
+	transport = http.DefaultTransport.(*http.Transport).Clone()
 	files := certificates.Files{
 		Certificate: command.String(flagCertificate),
 		Key:         command.String(flagKey),
-		Authority:   command.String(flagAuthority),
+		Authority:   command.String(flagCA),
 	}
 	if !files.Enabled() {
-		return through, plainScheme, nil
+		return transport, httpScheme, nil
 	}
 	if (files.Certificate == "") != (files.Key == "") {
-		return through, secureScheme, usage("--%s and --%s are needed together", flagCertificate, flagKey)
+		return transport, httpsScheme, usageError("--%s and --%s must be used together", flagCertificate, flagKey)
 	}
 	source, err := certificates.NewSource(files)
 	if err != nil {
-		return through, secureScheme, usage("%w", err)
+		return transport, httpsScheme, usageError("%w", err)
 	}
-	through.DialTLSContext = certificates.DialTLS(source.Client(), (&net.Dialer{Timeout: dialTimeout}).DialContext)
-	return through, secureScheme, nil
+	transport.DialTLSContext = certificates.DialTLS(source.Client(), (&net.Dialer{Timeout: dialTimeout}).DialContext)
+	return transport, httpsScheme, nil
 }
