--- a/internal/operator/adminclient.go
+++ b/internal/operator/adminclient.go
@@ -88,8 +88,8 @@
 }
 
 // Release removes a request from quarantine.
-func (a *AdminClient) Release(ctx context.Context, identity string) (*inspect.Released, error) {
-	released := &inspect.Released{}
+func (a *AdminClient) Release(ctx context.Context, identity string) (*inspect.ReleaseResult, error) {
+	released := &inspect.ReleaseResult{}
 	query := url.Values{"identity": {identity}}
 	return released, a.do(ctx, http.MethodPost, "/v1/release?"+query.Encode(), requestTimeout, nil, released)
 }
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -93,12 +93,12 @@
 
 func printPropagation(w io.Writer, propagation *admin.Propagation) {
 	if propagation.Complete {
-		fmt.Fprintf(w, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.TookMilliseconds)
+		fmt.Fprintf(w, "in force on all %d daemons after %d ms\n", propagation.Daemons, propagation.ElapsedMilliseconds)
 	}
 	printLagging(w, propagation.Lagging, propagation.Unreachable)
 }
 
-func printLagging(w io.Writer, lagging []admin.Lagging, unreachable []admin.Unreachable) {
+func printLagging(w io.Writer, lagging []admin.LaggingDaemon, unreachable []admin.Unreachable) {
 	for _, node := range lagging {
 		fmt.Fprintf(w, "lags: %s in %s/%s at revision %d\n", node.ID, node.Place.Region, node.Place.Zone, node.Revision)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -35,7 +35,7 @@
 	calls   []client.Call
 	queries []client.Query
 	problem *failure.Error
-	lagging []admin.Lagging
+	lagging []admin.LaggingDaemon
 }
 
 func testTable() *policy.Table {
@@ -76,7 +76,7 @@
 			failure.WriteProblem(w, failure.New(failure.NotFound, "no node suspects this request"))
 			return
 		}
-		answer(w, inspect.Released{Identity: "5f1c"})
+		answer(w, inspect.ReleaseResult{Identity: "5f1c"})
 	})
 	routes.HandleFunc("POST /v1/edits", d.edit)
 	routes.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, _ *http.Request) {
@@ -151,7 +151,7 @@
 		name     string
 		line     string
 		problem  *failure.Error
-		lagging  []admin.Lagging
+		lagging  []admin.LaggingDaemon
 		code     int
 		contains string
 	}{
@@ -176,7 +176,7 @@
 		{name: "set refused", line: "policy set fast priority=highest", problem: failure.New(failure.InvalidRequest, "priority"), code: ExitUsage},
 		{name: "set with store unavailable", line: "policy set fast priority=high", problem: failure.New(failure.StoreUnavailable, "out"), code: ExitUnavailable},
 		{name: "set with unknown outcome", line: "policy set fast priority=high --change-id one", problem: failure.New(failure.OutcomeUnknown, "lost"), code: ExitUncertain, contains: "--change-id one"},
-		{name: "set with lagging daemon", line: "policy set fast priority=high --wait 1s", lagging: []admin.Lagging{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUncertain, contains: "node-c"},
+		{name: "set with lagging daemon", line: "policy set fast priority=high --wait 1s", lagging: []admin.LaggingDaemon{{ID: "node-c", Place: topology.Place{Region: "accra"}}}, code: ExitUncertain, contains: "node-c"},
 		{name: "wait too long", line: "policy set fast priority=high --wait 1h", code: ExitUsage, contains: "wait"},
 		{name: "assign invalid weight", line: "assign gate fast=0", code: ExitUsage, contains: "weight"},
 		{name: "assign without policy", line: "assign gate", code: ExitUsage, contains: "--delete"},
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -35,7 +35,7 @@
 }
 
 // printQuarantined lists the requests suspected of crashing replicas.
-func printQuarantined(w io.Writer, requests []inspect.Request) {
+func printQuarantined(w io.Writer, requests []inspect.QuarantinedRequest) {
 	table := newColumnWriter(w, "QUARANTINED", "ROUTE", "CALLER", "TARGET", "REPLICAS ENDED", "REFUSED FOR", "REFUSED BY", "KNOWN BY")
 	for _, request := range requests {
 		remaining := "suspected only"
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -32,8 +32,8 @@
 func printStatus(w io.Writer, status *admin.Status) {
 	fmt.Fprintf(w, "table revision %d; %d daemons answer, %d lag, %d do not answer\n",
 		status.Revision, len(status.Nodes), len(status.Lagging), len(status.Unreachable))
-	if status.StoreOutSince != nil {
-		fmt.Fprintln(w, "the store has been out of reach since", status.StoreOutSince.Format(time.RFC3339))
+	if status.StoreUnreachableSince != nil {
+		fmt.Fprintln(w, "the store has been out of reach since", status.StoreUnreachableSince.Format(time.RFC3339))
 	}
 	fmt.Fprintln(w)
 	nodes := slices.Clone(status.Nodes)
@@ -62,7 +62,7 @@
 	table := newColumnWriter(w, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
 	for _, replica := range status.Replicas {
 		table.row(replica.Address, replica.Group, replica.Place.Region, replica.Place.Zone, replica.Trouble,
-			fmt.Sprintf("%d of %d", replica.SeenBy, len(status.Nodes)))
+			fmt.Sprintf("%d of %d", replica.ReportedBy, len(status.Nodes)))
 	}
 	table.flush()
 }
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -90,17 +90,17 @@
 // formatConfirmed formats the time since a node last confirmed its view of the
 // store.
 func formatConfirmed(node inspect.Node) string {
-	if node.ConfirmedAgo < 0 {
+	if node.ConfirmedAgoMilliseconds < 0 {
 		return "never"
 	}
-	return fmt.Sprintf("%d ms ago", node.ConfirmedAgo)
+	return fmt.Sprintf("%d ms ago", node.ConfirmedAgoMilliseconds)
 }
 
 func printRoutes(w io.Writer, routes []inspect.Route) {
 	table := newColumnWriter(w, "ROUTE", "HOST", "PATH", "RANK", "REPEATABLE", "ATTEMPTS", "TIMEOUT", "OBJECTIVE", "REGIONS", "TO")
 	for _, route := range routes {
-		table.row(route.Name, route.Host, route.PathPrefix, route.Rank, route.Repeatable, route.Attempts,
-			fmt.Sprintf("%d ms", route.Timeout), fmt.Sprintf("%d ms", route.Objective), formatRegions(route.Regions), formatTarget(&route))
+		table.row(route.Name, route.Host, route.PathPrefix, route.Rank, route.Idempotent, route.Attempts,
+			fmt.Sprintf("%d ms", route.TimeoutMilliseconds), fmt.Sprintf("%d ms", route.ObjectiveMilliseconds), formatRegions(route.Regions), formatTarget(&route))
 	}
 	table.flush()
 }
@@ -114,11 +114,11 @@
 
 func formatTarget(route *inspect.Route) string {
 	if route.Shards > 0 {
-		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.LeastShare, route.TopRecords)
+		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.MinShardRatio, route.TopRecords)
 	}
-	parts := make([]string, 0, len(route.Shares))
-	for _, share := range route.Shares {
-		parts = append(parts, formatShare(share, len(route.Shares)))
+	parts := make([]string, 0, len(route.WeightedGroups))
+	for _, share := range route.WeightedGroups {
+		parts = append(parts, formatShare(share, len(route.WeightedGroups)))
 	}
 	return strings.Join(parts, ", ")
 }
