--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -47,12 +47,12 @@
 
 func testComparison(query url.Values) comparison.ClusterReport {
 	last, _ := time.ParseDuration(query.Get("last")) // an invalid value fails the check of the output
-	known := comparison.Estimate{Value: 10, Low: 9, High: 11, HasInterval: true}
+	estimate := comparison.Estimate{Value: 10, Low: 9, High: 11, HasInterval: true}
 	return comparison.ClusterReport{
 		Group: query.Get("group"), LastSeconds: int64(last / time.Second), Daemons: 2,
 		Report: comparison.Report{
 			A: comparison.PolicySummary{Policy: query.Get("a")}, B: comparison.PolicySummary{Policy: query.Get("b")}, Warnings: []string{"few"},
-			Latency: []comparison.LatencyComparison{{Quantile: 0.999, A: known, B: comparison.Estimate{Value: 3}, Verdict: comparison.VerdictTooFewSamples}},
+			Latency: []comparison.LatencyComparison{{Quantile: 0.999, A: estimate, B: comparison.Estimate{Value: 3}, Verdict: comparison.VerdictTooFewSamples}},
 		},
 		Unreachable: []admin.Unreachable{{Member: topology.Member{ID: "node-b"}, Reason: "gone"}},
 	}
@@ -60,35 +60,35 @@
 
 func (d *daemon) handler() http.Handler {
 	routes := http.NewServeMux()
-	answer := func(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
-	routes.HandleFunc("GET /v1/table", func(w http.ResponseWriter, _ *http.Request) { answer(w, testTable()) })
-	routes.HandleFunc("GET /v1/policies/fast", func(w http.ResponseWriter, _ *http.Request) { answer(w, testTable().Policies[0]) })
+	respond := func(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
+	routes.HandleFunc("GET /v1/table", func(w http.ResponseWriter, _ *http.Request) { respond(w, testTable()) })
+	routes.HandleFunc("GET /v1/policies/fast", func(w http.ResponseWriter, _ *http.Request) { respond(w, testTable().Policies[0]) })
 	routes.HandleFunc("GET /v1/policies/none", func(w http.ResponseWriter, _ *http.Request) {
 		failure.WriteProblem(w, failure.New(failure.NotFound, "no such policy"))
 	})
 	routes.HandleFunc("GET /v1/history", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, admin.History{Changes: []policy.Change{{Revision: 7, Author: "ama\x1b[2J", Summary: []string{"did"}}}})
+		respond(w, admin.History{Changes: []policy.Change{{Revision: 7, Author: "ama\x1b[2J", Summary: []string{"did"}}}})
 	})
-	routes.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { answer(w, admin.Status{Revision: 7}) })
-	routes.HandleFunc("GET /v1/compare", func(w http.ResponseWriter, r *http.Request) { answer(w, testComparison(r.URL.Query())) })
+	routes.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { respond(w, admin.Status{Revision: 7}) })
+	routes.HandleFunc("GET /v1/compare", func(w http.ResponseWriter, r *http.Request) { respond(w, testComparison(r.URL.Query())) })
 	routes.HandleFunc("POST /v1/release", func(w http.ResponseWriter, r *http.Request) {
 		if identity := r.URL.Query().Get("identity"); identity != "5f1c" {
 			failure.WriteProblem(w, failure.New(failure.NotFound, "no node suspects this request"))
 			return
 		}
-		answer(w, inspect.ReleaseResult{Identity: "5f1c"})
+		respond(w, inspect.ReleaseResult{Identity: "5f1c"})
 	})
 	routes.HandleFunc("POST /v1/edits", d.edit)
 	routes.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, admin.EditResult{Change: &policy.Change{Revision: 9}})
+		respond(w, admin.EditResult{Change: &policy.Change{Revision: 9}})
 	})
 	routes.HandleFunc("POST /v1/query", func(w http.ResponseWriter, r *http.Request) {
 		d.queries = append(d.queries, read[client.Query](r))
-		d.answerCaller(w, client.Answer{Snapshot: 3, Hits: []client.Hit{{ID: "h", Text: "ሰላም"}}})
+		d.respondToCaller(w, client.Answer{Snapshot: 3, Hits: []client.Hit{{ID: "h", Text: "ሰላም"}}})
 	})
 	routes.HandleFunc("POST /v1/call", func(w http.ResponseWriter, r *http.Request) {
 		d.calls = append(d.calls, read[client.Call](r))
-		d.answerCaller(w, client.CallResult{Result: json.RawMessage(`{"done":true}`)})
+		d.respondToCaller(w, client.CallResult{Result: json.RawMessage(`{"done":true}`)})
 	})
 	return routes
 }
@@ -99,7 +99,7 @@
 	return value
 }
 
-func (d *daemon) answerCaller(w http.ResponseWriter, value any) {
+func (d *daemon) respondToCaller(w http.ResponseWriter, value any) {
 	if d.problem != nil {
 		failure.WriteProblem(w, d.problem)
 		return
