--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -289,7 +289,7 @@
 	options.Statistics = func(time.Duration) ([]byte, error) { return encodeStatistics("a"), nil }
 	members := []topology.Member{{ID: "a", PeerAddress: "a"}, {ID: "b", PeerAddress: "b"}, {ID: "broken", PeerAddress: "broken"}, {ID: "gone", PeerAddress: "gone"}}
 	options.Board.Members.Publish(&topology.Members{Self: members[0], Members: members})
-	var result comparison.Live
+	var result comparison.ClusterReport
 	response := serve(New(options), http.MethodGet, "/v1/compare?a=fast&b=old&group=gate", "", "")
 	if err := json.Unmarshal(response.Body.Bytes(), &result); err != nil {
 		t.Fatal(err)
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -236,7 +236,7 @@
 }
 
 func (h *handler) statistics(w http.ResponseWriter, r *http.Request) {
-	last, err := comparison.ReadLast(r.URL.Query())
+	last, err := comparison.ParseLast(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -245,7 +245,7 @@
 }
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
-	query, err := comparison.ReadQuery(r.URL.Query())
+	query, err := comparison.ParseQuery(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -258,7 +258,7 @@
 			return
 		}
 	}
-	writeJSON(w, comparison.NewLive(query, collected, unreachable))
+	writeJSON(w, comparison.NewClusterReport(query, collected, unreachable))
 }
 
 // routeKnown reports whether a route is configured or has statistics.
