--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -49,5 +49,5 @@
 	// incarnation. timeout is the time that remains.
 	RequestHeader(message *Request, incarnation string, timeout time.Duration) http.Header
 	// ReadResponse sets the fields of a response that its header determines.
-	ReadResponse(reply *Response)
+	ReadResponse(response *Response)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,10 +22,10 @@
 	return http.Header{"Id": {message.ID}, "Process": {incarnation}, "Left": {timeout.String()}}
 }
 
-func (testCodec) ReadResponse(reply *Response) {
-	reply.RequestID = reply.Header.Get("Id")
-	reply.Signature = reply.Header.Get("Signature")
-	reply.NotExecuted = reply.Header.Get("Refused") != ""
+func (testCodec) ReadResponse(response *Response) {
+	response.RequestID = response.Header.Get("Id")
+	response.Signature = response.Header.Get("Signature")
+	response.NotExecuted = response.Header.Get("Refused") != ""
 }
 
 // rawServer is a server that writes raw bytes as responses.
