--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -63,9 +63,9 @@
 	open        int
 	idle        []*connection // most recently used last
 	closed      bool
-	// answered is true once the replica has sent a response. Until then, and until
+	// responded is true once the replica has sent a response. Until then, and until
 	// confirmUntil, new connections are confirmed before use.
-	answered     bool
+	responded    bool
 	confirmUntil time.Time
 }
 
@@ -248,7 +248,7 @@
 func (p *Pool) needsConfirm(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return !p.answered || now.Before(p.confirmUntil)
+	return !p.responded || now.Before(p.confirmUntil)
 }
 
 func (p *Pool) requireConfirm() {
@@ -260,7 +260,7 @@
 // release returns a connection to the pool after a response.
 func (p *Pool) release(conn *connection, idleTimeout time.Duration) {
 	p.mutex.Lock()
-	p.answered = true
+	p.responded = true
 	p.mutex.Unlock()
 	p.putIdle(conn, idleTimeout)
 }
--- a/internal/upstream/reset_test.go
+++ b/internal/upstream/reset_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, test := range []struct {
 		name   string
-		answer func(conn net.Conn, number int64, r *http.Request) bool
+		handle func(conn net.Conn, number int64, r *http.Request) bool
 		calls  int
 		want   bool
 	}{
@@ -44,7 +44,7 @@
 		}, 1, false},
 		{"EOF", func(net.Conn, int64, *http.Request) bool { return false }, 1, false},
 	} {
-		pool := newTestPool(serve(t, test.answer), 1)
+		pool := newTestPool(serve(t, test.handle), 1)
 		var err error
 		for range test.calls {
 			_, err = exchange(t, pool, newRequest("m"))
@@ -119,7 +119,7 @@
 		_ = conn.(*net.TCPConn).SetLinger(0) // Close sends a reset
 		return false
 	}), 1)
-	pool.answered = true
+	pool.responded = true
 	if _, err := exchange(t, pool, newRequest("m")); !errors.Is(err, ErrReset) || errors.Is(err, ErrNotSent) {
 		t.Errorf("got error %v, want ErrReset without ErrNotSent", err)
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -35,8 +35,8 @@
 	requests    atomic.Int64
 }
 
-// serve starts a server. answer writes to the connection and returns false to close it.
-func serve(t *testing.T, answer func(conn net.Conn, number int64, request *http.Request) bool) *rawServer {
+// serve starts a server. handle writes to the connection and returns false to close it.
+func serve(t *testing.T, handle func(conn net.Conn, number int64, request *http.Request) bool) *rawServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,18 +51,18 @@
 				return
 			}
 			server.connections.Add(1)
-			go server.serveConn(conn, answer)
+			go server.serveConn(conn, handle)
 		}
 	}()
 	return server
 }
 
-func (s *rawServer) serveConn(conn net.Conn, answer func(net.Conn, int64, *http.Request) bool) {
+func (s *rawServer) serveConn(conn net.Conn, handle func(net.Conn, int64, *http.Request) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
-		if err != nil || !answer(conn, s.requests.Add(1), request) {
+		if err != nil || !handle(conn, s.requests.Add(1), request) {
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -124,9 +124,9 @@
 // request.
 func TestInvalidResponses(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer string
-		reset  bool
+		name  string
+		raw   string
+		reset bool
 	}{
 		{"response to another request", "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 1\r\n\r\nx", false},
 		{"truncated body", "HTTP/1.1 200 OK\r\nId: m\r\nContent-Length: 9\r\n\r\nx", false},
@@ -138,7 +138,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			server := serve(t, func(conn net.Conn, _ int64, _ *http.Request) bool {
-				_, _ = io.WriteString(conn, test.answer)
+				_, _ = io.WriteString(conn, test.raw)
 				if test.reset {
 					time.Sleep(20 * time.Millisecond) // the bytes are read before the reset
 					_ = conn.(*net.TCPConn).SetLinger(0)
@@ -384,16 +384,16 @@
 	}
 	now := time.Now()
 	for _, step := range []struct {
-		after time.Duration
-		rest  time.Duration
-		want  int
+		after       time.Duration
+		idleTimeout time.Duration
+		want        int
 	}{
 		{spareIdleTimeout / 2, 0, 3},
 		{spareIdleTimeout + time.Second, 0, 1},
 		{20 * time.Second, 0, 1},
 		{20 * time.Second, time.Second, 0},
 	} {
-		pool.SetIdleTimeout(step.rest)
+		pool.SetIdleTimeout(step.idleTimeout)
 		pool.CloseExpired(now.Add(step.after))
 		if got := pool.OpenConnections(); got != step.want {
 			t.Errorf("after %v: %d connections open, want %d", step.after, got, step.want)
