--- a/internal/follower/activation.go
+++ b/internal/follower/activation.go
@@ -79,7 +79,7 @@
 // hasReplica reports whether a group has a replica that takes requests.
 func (s *state) hasReplica(group string) bool {
 	for _, entry := range s.replicas {
-		if entry.replica.Group == group && entry.goneAt.IsZero() && s.stateOf(s.options.Now(), &entry).TakesWork() {
+		if entry.replica.Group == group && entry.goneAt.IsZero() && s.stateOf(s.options.Now(), &entry).AcceptsRequests() {
 			return true
 		}
 	}
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	services := map[string]routing.Service{"g": {
-		Name: "g", ConnectionLimit: read.Limit, ColdTime: testColdTime, ColdRate: testColdRate,
+		Name: "g", ConnectionLimit: read.Limit, ColdDuration: testColdTime, ColdRate: testColdRate,
 	}}
 	return routing.NewTable(read.Version, nil, services, routing.Limits{}), nil
 }
@@ -328,13 +328,13 @@
 	broken, silent, compacted := r.broken, r.silent[node.Port()], r.compacted
 	r.mu.Unlock()
 	if compacted {
-		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrForgotten)
+		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrRevisionUnavailable)
 	}
 	if silent {
-		return fmt.Errorf("%w: %w", relay.ErrBroken, relay.ErrSilent)
+		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrNoResponse)
 	}
 	if broken {
-		return relay.ErrBroken
+		return relay.ErrWatchEnded
 	}
 	for {
 		select {
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	replica := topology.Replica{Address: name + ":1", Group: "g", Place: topology.Place{Zone: "z1"}, State: state}
 	if startedAfter > 0 {
-		replica.Born = start.Add(time.Duration(startedAfter) * time.Second)
+		replica.StartedAt = start.Add(time.Duration(startedAfter) * time.Second)
 	}
 	return store.KeyValue{Key: "replicas/" + name, Value: mustEncode(t, replica), ModRevision: revision}
 }
@@ -82,7 +82,7 @@
 		state.apply(start, store.Event{KeyValue: unreadable})
 	}
 	state.publish(start)
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaVanished, "c": topology.ReplicaServing}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaMissing, "c": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("right after the invalid entries (-want +got):\n%s", diff)
 	}
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -182,7 +182,7 @@
 		s.recordValue(value)
 		s.rejectReplica(value.Key, err)
 		return
-	case replica.Born.Before(s.startTime(value.Key)):
+	case replica.StartedAt.Before(s.startTime(value.Key)):
 		s.rejectReplica(value.Key, errEarlierInstance)
 		return
 	}
@@ -190,8 +190,8 @@
 	delete(s.loggedUnusable, value.Key)
 	replica.Place.Region = s.options.Regions[replica.Place.Zone]
 	entry := replicaEntry{revision: value.ModRevision, coldUntil: s.coldUntil(replica)}
-	replica.ColdFor = 0 // changes with each entry
-	if s.isLeaving(value.Key, replica.Born) {
+	replica.ColdRemaining = 0 // changes with each entry
+	if s.isLeaving(value.Key, replica.StartedAt) {
 		replica.State = topology.ReplicaLeaving
 	}
 	entry.replica = replica
@@ -358,7 +358,7 @@
 	case s.evacuated[entry.replica.Place.Zone]:
 		return topology.ReplicaEvacuated
 	case !entry.goneAt.IsZero():
-		return topology.ReplicaVanished
+		return topology.ReplicaMissing
 	case s.isCold(now, entry):
 		return topology.ReplicaCold
 	default:
@@ -372,7 +372,7 @@
 	expectStartTimes := s.expectsStartTimes()
 	for _, entry := range s.replicas {
 		replica := entry.replica
-		if expectStartTimes && replica.Born.IsZero() {
+		if expectStartTimes && replica.StartedAt.IsZero() {
 			continue // from a foreign writer
 		}
 		replica.State = s.stateOf(now, &entry)
@@ -405,13 +405,13 @@
 	nodes.Suspected = s.suspects.ids()
 	s.publishSuspects()
 	slices.SortFunc(nodes.Nodes, func(a, b topology.Node) int { return cmp.Compare(a.ID, b.ID) })
-	nodes.Entries = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
-	s.recordEntryNodes(now, nodes.Entries)
-	nodes.Shared = max(1, len(s.entryNodeUntil))
+	nodes.EntryNodes = directory.EntryNodes(nodes.Nodes, s.options.EntryNodes)
+	s.recordEntryNodes(now, nodes.EntryNodes)
+	nodes.BudgetShares = max(1, len(s.entryNodeUntil))
 	members := &topology.Members{
-		Self: memberOf(s.options.Self), Standby: !nodes.SelfIsEntry(), Sharing: slices.Sorted(maps.Keys(s.entryNodeUntil)),
+		Self: memberOf(s.options.Self), Standby: !nodes.SelfIsEntry(), ColdRateSharers: slices.Sorted(maps.Keys(s.entryNodeUntil)),
 	}
-	for _, node := range nodes.Entries {
+	for _, node := range nodes.EntryNodes {
 		members.Members = append(members.Members, memberOf(node))
 	}
 	s.options.Board.Nodes.Publish(nodes)
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		var ids []string
-		for _, entry := range nodes.Entries {
+		for _, entry := range nodes.EntryNodes {
 			ids = append(ids, entry.ID)
 		}
 		return slices.Equal(ids, want)
@@ -41,7 +41,7 @@
 		t.Errorf("%d store watches", watches)
 	}
 	if !entryNodesAre(board, "c")() {
-		t.Errorf("entry nodes %v", board.Nodes.Load().Entries)
+		t.Errorf("entry nodes %v", board.Nodes.Load().EntryNodes)
 	}
 }
 
@@ -143,7 +143,7 @@
 	state.suspects.add("a", start.Add(suspicionTTL))
 	state.nodesChanged = true
 	state.publish(start)
-	if shared := board.Nodes.Load().Shared; shared != 2 {
+	if shared := board.Nodes.Load().BudgetShares; shared != 2 {
 		t.Errorf("shared %d, want 2", shared)
 	}
 }
@@ -158,10 +158,10 @@
 	})
 	f.state.put(nodeAt(t, 1, "a"))
 	f.state.put(nodeAt(t, 2, "self"))
-	f.handleSuspicions([]relay.Suspicion{{ID: "a", Milliseconds: 3000}, {ID: "self", Milliseconds: 3000}, {ID: "unknown", Milliseconds: 3000}})
+	f.handleSuspicions([]relay.Suspicion{{ID: "a", TTLMilliseconds: 3000}, {ID: "self", TTLMilliseconds: 3000}, {ID: "unknown", TTLMilliseconds: 3000}})
 	now = now.Add(time.Second)
 	f.handleSuspicions(f.suspicions())
-	if suspicions := f.suspicions(); len(suspicions) != 1 || suspicions[0].ID != "a" || suspicions[0].For() != 2*time.Second {
+	if suspicions := f.suspicions(); len(suspicions) != 1 || suspicions[0].ID != "a" || suspicions[0].TTL() != 2*time.Second {
 		t.Errorf("suspicions %v", suspicions)
 	}
 	now = now.Add(2 * time.Second)
--- a/internal/query/single_replica_virtual_test.go
+++ b/internal/query/single_replica_virtual_test.go
@@ -18,7 +18,7 @@
 		single[group] = replicas[:1]
 	}
 	board.Replicas.Publish(&topology.Replicas{Groups: single})
-	route.LeastShards = len(route.Shards)
+	route.MinShards = len(route.Shards)
 	route.Policy.Completeness.Min = 1
 }
 
