--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -35,7 +35,7 @@
 
 // Troubled is a replica in trouble, and how many daemons see it so.
 type Troubled struct {
-	peer.TroubledReplica
+	peer.DegradedReplica
 	SeenBy int `json:"seen_by"`
 }
 
@@ -145,18 +145,18 @@
 
 // troubledReplicas merges what the daemons say of replicas.
 func troubledReplicas(nodes []peer.NodeState) []Troubled {
-	seen := make(map[peer.TroubledReplica]int)
+	seen := make(map[peer.DegradedReplica]int)
 	for _, node := range nodes {
-		for _, one := range node.Troubled {
+		for _, one := range node.DegradedReplicas {
 			seen[one]++
 		}
 	}
 	merged := make([]Troubled, 0, len(seen))
 	for one, count := range seen {
-		merged = append(merged, Troubled{TroubledReplica: one, SeenBy: count})
+		merged = append(merged, Troubled{DegradedReplica: one, SeenBy: count})
 	}
 	slices.SortFunc(merged, func(a, b Troubled) int {
-		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Trouble, b.Trouble))
+		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Reason, b.Reason))
 	})
 	return merged
 }
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -47,34 +47,34 @@
 	for _, status := range d.pool.Statuses() {
 		if status.Ejected {
 			state.ReplicasEjected++
-			addTroubled(state, peer.TroubledReplica{
+			addTroubled(state, peer.DegradedReplica{
 				Address: status.Address, Incarnation: status.Incarnation, Group: status.Group, Place: status.Place,
-				Trouble: peer.TroubleEjected,
+				Reason: peer.ReasonEjected,
 			})
 		}
 	}
 }
 
 func countReplica(state *peer.NodeState, replica topology.Replica) {
-	troubled := peer.TroubledReplica{
+	troubled := peer.DegradedReplica{
 		Address: replica.Address, Incarnation: replica.Incarnation, Group: replica.Group, Place: replica.Place,
 	}
 	switch replica.State {
 	case topology.ReplicaLeaving:
 		state.ReplicasLeaving++
-		troubled.Trouble = peer.TroubleLeaving
+		troubled.Reason = peer.ReasonLeaving
 	case topology.ReplicaCold:
 		state.ReplicasCold++
-		troubled.Trouble = peer.TroubleCold
+		troubled.Reason = peer.ReasonCold
 	case topology.ReplicaServing:
 		return
 	}
 	addTroubled(state, troubled)
 }
 
-func addTroubled(state *peer.NodeState, replica peer.TroubledReplica) {
-	if len(state.Troubled) < peer.MaxTroubled {
-		state.Troubled = append(state.Troubled, replica)
+func addTroubled(state *peer.NodeState, replica peer.DegradedReplica) {
+	if len(state.DegradedReplicas) < peer.MaxDegradedReplicas {
+		state.DegradedReplicas = append(state.DegradedReplicas, replica)
 	}
 }
 
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -60,7 +60,7 @@
 	fmt.Fprintln(to)
 	lines := newGrid(to, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
 	for _, one := range status.Replicas {
-		lines.row(one.Address, one.Group, one.Place.Region, one.Place.Zone, one.Trouble,
+		lines.row(one.Address, one.Group, one.Place.Region, one.Place.Zone, one.Reason,
 			fmt.Sprintf("%d of %d", one.SeenBy, len(status.Nodes)))
 	}
 	lines.end()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -122,12 +122,12 @@
 
 // FetchDocument returns the document that the peer holds.
 func (c *Client) FetchDocument(ctx context.Context, address string, name document.Name) (document.Document, error) {
-	return c.FetchDocumentFrom(ctx, address, DocumentRequest{Name: name})
+	return c.FetchDocumentAtLeast(ctx, address, DocumentRequest{Name: name})
 }
 
-// FetchDocumentFrom returns the document that the peer holds, or not found
+// FetchDocumentAtLeast returns the document that the peer holds, or not found
 // where its revision is under the minimum.
-func (c *Client) FetchDocumentFrom(ctx context.Context, address string, request DocumentRequest) (document.Document, error) {
+func (c *Client) FetchDocumentAtLeast(ctx context.Context, address string, request DocumentRequest) (document.Document, error) {
 	return call[document.Document](ctx, c, c.requests, address, DocumentPath, request)
 }
 
@@ -138,7 +138,7 @@
 
 // Statistics returns the peer's encoded statistics of the last while.
 func (c *Client) Statistics(ctx context.Context, address string, since time.Duration) ([]byte, error) {
-	reply, err := call[StatisticsReply](ctx, c, c.requests, address, StatisticsPath, StatisticsRequest{Since: since})
+	reply, err := call[StatisticsReply](ctx, c, c.requests, address, StatisticsPath, StatisticsRequest{Window: since})
 	return reply.Encoded, err
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -55,35 +55,35 @@
 	ReplicasEjected int `msgpack:"e" json:"replicas_ejected"`
 	// Version is the program's.
 	Version string `msgpack:"v" json:"version"`
-	// Troubled names the replicas counted above, at most MaxTroubled of them.
-	Troubled []TroubledReplica `msgpack:"x,omitempty" json:"replicas_troubled"`
+	// DegradedReplicas names the replicas counted above, at most MaxTroubled of them.
+	DegradedReplicas []DegradedReplica `msgpack:"x,omitempty" json:"replicas_troubled"`
 }
 
-// MaxTroubled bounds the replicas named in a NodeState.
-const MaxTroubled = 64
+// MaxDegradedReplicas bounds the replicas named in a NodeState.
+const MaxDegradedReplicas = 64
 
-// Trouble is why a replica does not take its whole share.
-type Trouble string
+// DegradedReason is why a replica does not take its whole share.
+type DegradedReason string
 
 // The troubles.
 const (
-	TroubleLeaving Trouble = "leaving"
-	TroubleCold    Trouble = "cold"
-	TroubleEjected Trouble = "ejected"
+	ReasonLeaving DegradedReason = "leaving"
+	ReasonCold    DegradedReason = "cold"
+	ReasonEjected DegradedReason = "ejected"
 )
 
-// TroubledReplica is a replica that does not take its whole share.
-type TroubledReplica struct {
+// DegradedReplica is a replica that does not take its whole share.
+type DegradedReplica struct {
 	Address     string         `msgpack:"a" json:"address"`
 	Incarnation string         `msgpack:"n" json:"incarnation"`
 	Group       string         `msgpack:"g" json:"group"`
 	Place       topology.Place `msgpack:"p" json:"place"`
-	Trouble     Trouble        `msgpack:"t" json:"trouble"`
+	Reason      DegradedReason `msgpack:"t" json:"trouble"`
 }
 
 // StatisticsRequest asks for the statistics of the last while.
 type StatisticsRequest struct {
-	Since time.Duration `msgpack:"s"`
+	Window time.Duration `msgpack:"s"`
 }
 
 // StatisticsReply carries msgpack whose shape package statistics defines.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -122,7 +122,7 @@
 		{"refused by the forwarder", func() error { _, err := made.Forward(ctx, address, ForwardRequest{}); return err }, failure.BackendRefused, true},
 		{"unknown document", func() error { _, err := made.FetchDocument(ctx, address, "other"); return err }, failure.NotFound, true},
 		{"revision not yet there", func() error {
-			_, err := made.FetchDocumentFrom(ctx, address, DocumentRequest{Name: document.Table, MinimumRevision: 8})
+			_, err := made.FetchDocumentAtLeast(ctx, address, DocumentRequest{Name: document.Table, MinimumRevision: 8})
 			return err
 		}, failure.NotFound, true},
 		{"unknown membership message", func() error {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -158,7 +158,7 @@
 	if s.options.Statistics == nil {
 		return StatisticsReply{}, failure.New(failure.NotFound, "no statistics are kept")
 	}
-	encoded, err := s.options.Statistics(request.Since)
+	encoded, err := s.options.Statistics(request.Window)
 	return StatisticsReply{Encoded: encoded}, err
 }
 
