--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -25,7 +25,7 @@
 
 // connectGossip passes what one part learns to the others.
 func (d *Daemon) connectGossip() {
-	d.register.OnAccepted(func(accepted document.Document) {
+	d.register.Subscribe(func(accepted document.Document) {
 		d.logger.Info("document in force", "document", accepted.Name, "revision", accepted.Revision)
 		d.node.Announce(membership.Record{
 			Kind: membership.RecordDocument, Key: string(accepted.Name), Version: accepted.Revision,
@@ -43,7 +43,7 @@
 func (d *Daemon) learn(record membership.Record, fromPeerAddress string) {
 	switch record.Kind {
 	case membership.RecordDocument:
-		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
+		d.fetcher.HandleAnnouncement(document.Name(record.Key), record.Version, fromPeerAddress)
 	case membership.RecordStoreMark:
 		d.calls.Learn(once.MarkOf(record.Version))
 	case membership.RecordReplicaLeaving:
@@ -99,7 +99,7 @@
 		if !found {
 			continue
 		}
-		read, err := document.FromBody(name, stored.Value)
+		read, err := document.Parse(name, stored.Value)
 		if err == nil {
 			_, err = d.register.Offer(read)
 		}
--- a/internal/document/decode.go
+++ b/internal/document/decode.go
@@ -9,9 +9,9 @@
 // MaxBodyBytes is the greatest size of a document.
 const MaxBodyBytes = 4 << 20
 
-// FromBody reads a document's revision out of its JSON body; every document
+// Parse reads a document's revision out of its JSON body; every document
 // has it in the member "revision". Revision 0 is refused.
-func FromBody(name Name, body []byte) (Document, error) {
+func Parse(name Name, body []byte) (Document, error) {
 	if len(body) > MaxBodyBytes {
 		return Document{}, eris.Errorf("read document %q: %d bytes are over the limit of %d", name, len(body), MaxBodyBytes)
 	}
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -37,7 +37,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			register := document.NewRegister()
 			var accepted, told []uint64
-			register.OnAccept(document.Table, func(offered document.Document) error {
+			register.AddAcceptor(document.Table, func(offered document.Document) error {
 				if offered.Revision == 13 {
 					return errRejected
 				}
@@ -47,7 +47,7 @@
 				accepted = append(accepted, offered.Revision)
 				return nil
 			})
-			register.OnAccepted(func(now document.Document) { told = append(told, now.Revision) })
+			register.Subscribe(func(now document.Document) { told = append(told, now.Revision) })
 			var last bool
 			var err error
 			for _, offered := range c.offers {
@@ -75,7 +75,7 @@
 	}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got, err := document.FromBody(document.Table, body); err == nil {
+			if got, err := document.Parse(document.Table, body); err == nil {
 				t.Errorf("accepted as revision %d", got.Revision)
 			}
 		})
--- a/internal/document/fetcher.go
+++ b/internal/document/fetcher.go
@@ -27,14 +27,14 @@
 	// which a change must be in force: a peer that has just died should cost
 	// little before the next one is asked.
 	FetchTimeout = 700 * time.Millisecond
-	// FetchAttempts is how many peers are asked in a row.
-	FetchAttempts = 4
+	// MaxFetchAttempts is how many peers are asked in a row.
+	MaxFetchAttempts = 4
 	// FetchBackoff is the wait before the second attempt; it grows by itself
 	// with each further one.
 	FetchBackoff = 200 * time.Millisecond
-	// FetchAgain is the wait before a revision that nobody gave is asked for
+	// FetchRetryInterval is the wait before a revision that nobody gave is asked for
 	// again.
-	FetchAgain = time.Second
+	FetchRetryInterval = time.Second
 )
 
 // announcement says which peer has which revision.
@@ -62,8 +62,8 @@
 	return &Fetcher{options: options, wanted: make(map[Name]announcement), arrivals: make(chan struct{}, 1)}
 }
 
-// Announced tells the fetcher that a peer has a revision. It does not block.
-func (f *Fetcher) Announced(name Name, revision uint64, address string) {
+// HandleAnnouncement tells the fetcher that a peer has a revision. It does not block.
+func (f *Fetcher) HandleAnnouncement(name Name, revision uint64, address string) {
 	if f.has(name, revision) {
 		return
 	}
@@ -86,7 +86,7 @@
 // Run fetches until ctx ends, and returns nil then. A revision that nobody
 // gave is wanted again after a while, as its announcement is not repeated.
 func (f *Fetcher) Run(ctx context.Context) error {
-	again := time.NewTicker(FetchAgain)
+	again := time.NewTicker(FetchRetryInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -109,7 +109,7 @@
 		return
 	}
 	addresses := append([]string{want.address}, f.options.Peers()...)
-	for attempt := 0; attempt < min(FetchAttempts, len(addresses)); attempt++ {
+	for attempt := 0; attempt < min(MaxFetchAttempts, len(addresses)); attempt++ {
 		if !pause(ctx, time.Duration(attempt)*FetchBackoff) {
 			return
 		}
--- a/internal/document/fetcher_test.go
+++ b/internal/document/fetcher_test.go
@@ -52,7 +52,7 @@
 				fetcher := NewFetcher(FetcherOptions{Source: source, Register: register, Peers: func() []string { return []string{"other"} }})
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() { _ = fetcher.Run(ctx) }()
-				fetcher.Announced(Table, 5, "announcer")
+				fetcher.HandleAnnouncement(Table, 5, "announcer")
 				time.Sleep(time.Minute)
 				if test.later > 0 {
 					source.set("announcer", test.later)
@@ -63,7 +63,7 @@
 					t.Errorf("revision %d, want %d", current.Revision, test.want)
 				}
 				asked := len(source.asked)
-				fetcher.Announced(Table, 5, "announcer")
+				fetcher.HandleAnnouncement(Table, 5, "announcer")
 				time.Sleep(10 * time.Second)
 				if len(source.asked) != asked {
 					t.Error("a revision that is had was fetched again")
--- a/internal/document/register.go
+++ b/internal/document/register.go
@@ -34,18 +34,18 @@
 	}
 }
 
-// OnAccept adds a check and consumer of a document's new versions, such as
+// AddAcceptor adds a check and consumer of a document's new versions, such as
 // one that decodes it and publishes it on the blackboard. Its error rejects
 // the version. It must not call Offer.
-func (r *Register) OnAccept(name Name, accept func(Document) error) {
+func (r *Register) AddAcceptor(name Name, accept func(Document) error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.acceptors[name] = append(r.acceptors[name], accept)
 }
 
-// OnAccepted adds a consumer that is told of each version after it came into
+// Subscribe adds a consumer that is told of each version after it came into
 // force. It must not call Offer.
-func (r *Register) OnAccepted(notify func(Document)) {
+func (r *Register) Subscribe(notify func(Document)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.notify = append(r.notify, notify)
--- a/internal/document/storewatcher.go
+++ b/internal/document/storewatcher.go
@@ -295,7 +295,7 @@
 		if name.Key() != value.Key {
 			continue
 		}
-		version, err := FromBody(name, value.Value)
+		version, err := Parse(name, value.Value)
 		if err != nil {
 			w.options.Logger.Warn("a document in the store cannot be read", slog.Any("error", err))
 			return Document{}, false
--- a/internal/policytable/editor_test.go
+++ b/internal/policytable/editor_test.go
@@ -26,7 +26,7 @@
 
 func newDaemon(held policytable.Store) *daemon {
 	made := &daemon{board: &blackboard.Board{}, register: document.NewRegister()}
-	made.register.OnAccept(document.Table, policytable.Publish(made.board))
+	made.register.AddAcceptor(document.Table, policytable.Publish(made.board))
 	made.editor = policytable.NewEditor(policytable.Options{Store: held, Register: made.register, Board: made.board})
 	return made
 }
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -100,9 +100,9 @@
 		Self: topology.Member{ID: d.id, PeerAddress: d.slot.address, Place: d.slot.place},
 		Seed: w.engine.Random().Uint64(),
 	})
-	d.register.OnAccept(document.Table, d.world.acceptTable(d.board))
-	d.register.OnAccept(document.Catalogue, w.acceptCatalogue(d.board))
-	d.register.OnAccepted(d.accepted)
+	d.register.AddAcceptor(document.Table, d.world.acceptTable(d.board))
+	d.register.AddAcceptor(document.Catalogue, w.acceptCatalogue(d.board))
+	d.register.Subscribe(d.accepted)
 	d.publishMembers()
 	d.calls = &callService{daemon: d, fence: once.NewFence(d.id), started: d.now()}
 	d.election = document.NewElection(document.ElectionOptions{PerZone: followersPerZone})
--- a/internal/simulation/system/documents.go
+++ b/internal/simulation/system/documents.go
@@ -104,7 +104,7 @@
 		if name.Key() != value.Key {
 			continue
 		}
-		if version, err := document.FromBody(name, value.Value); err == nil {
+		if version, err := document.Parse(name, value.Value); err == nil {
 			d.offerDocument(version)
 		}
 	}
@@ -146,7 +146,7 @@
 			d.fetching = false
 			return
 		}
-		d.world.sleep(document.FetchAgain)
+		d.world.sleep(document.FetchRetryInterval)
 	}
 }
 
@@ -157,7 +157,7 @@
 	if !wanted {
 		return
 	}
-	for attempt := range document.FetchAttempts {
+	for attempt := range document.MaxFetchAttempts {
 		if d.has(name, d.wanted[name].revision) {
 			delete(d.wanted, name)
 			return
--- a/internal/simulation/system/tablechecks.go
+++ b/internal/simulation/system/tablechecks.go
@@ -51,7 +51,7 @@
 		return
 	}
 	c.table.modRevision = held.ModRevision
-	version, err := document.FromBody(document.Table, held.Value)
+	version, err := document.Parse(document.Table, held.Value)
 	if err != nil {
 		c.world.violate(PromiseTable, "the store holds no table: %v", err)
 		return
