--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -202,8 +202,8 @@
 	d.election = document.NewElection(document.ElectionOptions{
 		PerZone: d.settings.Store.WatchersPerZone, HasSeeds: d.seeds.mayHaveSeeds,
 	})
-	d.register.AddAcceptor(document.Table, policytable.Publish(d.board))
-	d.register.AddAcceptor(document.Catalogue, policytable.PublishCatalogue(d.board))
+	d.register.AddAcceptor(document.Table, policytable.TableAcceptor(d.board))
+	d.register.AddAcceptor(document.Catalogue, policytable.CatalogueAcceptor(d.board))
 	d.fetcher = document.NewFetcher(document.FetcherOptions{
 		Source: d.peers, Register: d.register, Peers: d.otherPeers, Logger: d.logger,
 	})
--- a/internal/document/election.go
+++ b/internal/document/election.go
@@ -26,10 +26,10 @@
 	// HasSeeds tells whether other daemons may exist; nil means that they may.
 	// A daemon without seeds need not wait for others.
 	HasSeeds func() bool
-	// Settle is how long the membership must not have grown; 0 means 2 s.
-	Settle time.Duration
-	// Longest bounds the wait after the start; 0 means 10 s.
-	Longest time.Duration
+	// SettleTime is how long the membership must not have grown; 0 means 2 s.
+	SettleTime time.Duration
+	// MaxWait bounds the wait after the start; 0 means 10 s.
+	MaxWait time.Duration
 }
 
 // Election decides whether this daemon follows the store. A daemon that has
@@ -48,8 +48,8 @@
 
 // NewElection returns an Election that starts at its first use.
 func NewElection(options ElectionOptions) *Election {
-	orDefault(&options.Settle, defaultSettle)
-	orDefault(&options.Longest, defaultLongest)
+	orDefault(&options.SettleTime, defaultSettle)
+	orDefault(&options.MaxWait, defaultLongest)
 	return &Election{options: options}
 }
 
@@ -82,9 +82,9 @@
 	switch {
 	case alone && e.options.HasSeeds != nil && !e.options.HasSeeds():
 		e.settled = true
-	case now-e.started >= e.options.Longest:
+	case now-e.started >= e.options.MaxWait:
 		e.settled = true
-	case !alone && now-e.grownAt >= e.options.Settle:
+	case !alone && now-e.grownAt >= e.options.SettleTime:
 		e.settled = true
 	}
 	return e.settled
--- a/internal/document/storewatcher.go
+++ b/internal/document/storewatcher.go
@@ -55,13 +55,13 @@
 	// ElectionInterval is how often Elected is asked besides changes of the
 	// membership; 0 means 1 s.
 	ElectionInterval time.Duration
-	// ReadInterval is how often the documents are read besides the watch,
+	// ResyncInterval is how often the documents are read besides the watch,
 	// which can break without a sign; 0 means 15 s.
-	ReadInterval time.Duration
-	// FirstBackoff and LongestBackoff bound the wait after an error; 0 means
+	ResyncInterval time.Duration
+	// InitialBackoff and LongestBackoff bound the wait after an error; 0 means
 	// 100 ms and 10 s.
-	FirstBackoff   time.Duration
-	LongestBackoff time.Duration
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 }
 
 // StoreWatcher follows the store's documents while it is elected, offers each
@@ -89,9 +89,9 @@
 		options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	orDefault(&options.ElectionInterval, defaultElectionInterval)
-	orDefault(&options.ReadInterval, defaultReadInterval)
-	orDefault(&options.FirstBackoff, defaultFirstBackoff)
-	orDefault(&options.LongestBackoff, defaultLongestBackoff)
+	orDefault(&options.ResyncInterval, defaultReadInterval)
+	orDefault(&options.InitialBackoff, defaultFirstBackoff)
+	orDefault(&options.MaxBackoff, defaultLongestBackoff)
 	requests := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "doorpondd_store_watcher_requests_total",
 		Help: "Requests to the store by the watcher of documents, by operation.",
@@ -146,7 +146,7 @@
 	default:
 		w.setReachable(false, err)
 	}
-	limit := min(w.options.LongestBackoff, w.options.FirstBackoff<<min(w.failures, maxBackoffShift))
+	limit := min(w.options.MaxBackoff, w.options.InitialBackoff<<min(w.failures, maxBackoffShift))
 	w.failures++
 	timer := time.NewTimer(time.Duration(w.options.Random.Int64N(int64(limit)) + 1))
 	defer timer.Stop()
@@ -225,7 +225,7 @@
 // consume takes batches, reads again now and then, and ends when the daemon
 // is no longer elected.
 func (w *StoreWatcher) consume(ctx context.Context, batches <-chan store.WatchBatch) error {
-	readAgain := time.NewTicker(w.options.ReadInterval)
+	readAgain := time.NewTicker(w.options.ResyncInterval)
 	defer readAgain.Stop()
 	election := time.NewTicker(w.options.ElectionInterval)
 	defer election.Stop()
--- a/internal/policytable/editor_test.go
+++ b/internal/policytable/editor_test.go
@@ -26,7 +26,7 @@
 
 func newDaemon(held policytable.Store) *daemon {
 	made := &daemon{board: &blackboard.Board{}, register: document.NewRegister()}
-	made.register.AddAcceptor(document.Table, policytable.Publish(made.board))
+	made.register.AddAcceptor(document.Table, policytable.TableAcceptor(made.board))
 	made.editor = policytable.NewEditor(policytable.Options{Store: held, Register: made.register, Board: made.board})
 	return made
 }
@@ -325,7 +325,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			board := &blackboard.Board{}
-			err := policytable.PublishCatalogue(board)(document.Document{Name: document.Catalogue, Revision: 1, Body: []byte(c.body)})
+			err := policytable.CatalogueAcceptor(board)(document.Document{Name: document.Catalogue, Revision: 1, Body: []byte(c.body)})
 			if c.want == "" {
 				if err != nil || board.Catalogue.Load() == nil {
 					t.Fatal(err)
--- a/internal/policytable/publish.go
+++ b/internal/policytable/publish.go
@@ -14,9 +14,9 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// Publish returns the acceptor of the policy table: it decodes and checks a
+// TableAcceptor returns the acceptor of the policy table: it decodes and checks a
 // version, and publishes it on the blackboard.
-func Publish(board *blackboard.Board) func(document.Document) error {
+func TableAcceptor(board *blackboard.Board) func(document.Document) error {
 	return func(version document.Document) error {
 		table, err := decodeTable(version.Body)
 		if err != nil {
@@ -41,9 +41,9 @@
 	return table, nil
 }
 
-// PublishCatalogue returns the acceptor of the catalogue, as Publish does for
+// CatalogueAcceptor returns the acceptor of the catalogue, as Publish does for
 // the table.
-func PublishCatalogue(board *blackboard.Board) func(document.Document) error {
+func CatalogueAcceptor(board *blackboard.Board) func(document.Document) error {
 	return func(version document.Document) error {
 		published := &catalogue.Catalogue{}
 		if err := json.Unmarshal(version.Body, published); err != nil {
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -332,11 +332,11 @@
 // acceptTable and acceptCatalogue are the daemon's acceptors. With many
 // daemons, each version is decoded once and shared, as it is immutable.
 func (w *World) acceptTable(board *blackboard.Board) func(document.Document) error {
-	return shared(w, &board.PolicyTable, policytable.Publish)
+	return shared(w, &board.PolicyTable, policytable.TableAcceptor)
 }
 
 func (w *World) acceptCatalogue(board *blackboard.Board) func(document.Document) error {
-	return shared(w, &board.Catalogue, policytable.PublishCatalogue)
+	return shared(w, &board.Catalogue, policytable.CatalogueAcceptor)
 }
 
 func shared[T any](w *World, section *blackboard.Section[T], acceptor func(*blackboard.Board) func(document.Document) error) func(document.Document) error {
