--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,16 +18,18 @@
 	"github.com/doorpond/doorpond/internal/membership"
 )
 
-// ClientOptions configure a Client. Zero fields take the defaults.
+// ClientOptions configures a Client. Zero fields use the defaults.
 type ClientOptions struct {
-	// TLS is used towards peers; nil means plain HTTP.
+	// TLS configures connections to peers; nil means plain HTTP.
 	TLS *tls.Config
-	// Timeout bounds a call whose context has no earlier deadline; 2 s.
+	// Timeout bounds a call whose context has no earlier deadline; the default
+	// is 2 s. It does not apply to Forward.
 	Timeout time.Duration
-	// MaxIdleConnections bounds the connections kept for membership, which
-	// goes to another peer each time; 16.
+	// MaxIdleConnections bounds the idle connections kept for each protocol;
+	// the default is 16.
 	MaxIdleConnections int
-	// MaxReplyBytes bounds a reply; DefaultMaxBodyBytes.
+	// MaxReplyBytes bounds the body of a reply; the default is
+	// DefaultMaxBodyBytes.
 	MaxReplyBytes int64
 	Registerer    prometheus.Registerer
 }
@@ -44,14 +46,14 @@
 type Client struct {
 	options ClientOptions
 	scheme  string
-	// membership speaks HTTP/1.1, as a connection that serves one exchange is
-	// cheaper so; requests speaks HTTP/2, as forwarding multiplexes.
+	// membership uses HTTP/1.1, which is cheaper for a connection that carries
+	// a single exchange. requests uses HTTP/2 to multiplex forwarded requests.
 	membership *http.Client
 	requests   *http.Client
 	metrics    *clientMetrics
 }
 
-// NewClient makes a client; it connects on use.
+// NewClient returns a Client. Connections are opened on first use.
 func NewClient(options ClientOptions) *Client {
 	if options.Timeout == 0 {
 		options.Timeout = defaultTimeout
@@ -66,8 +68,8 @@
 	if options.TLS != nil {
 		c.scheme = "https://"
 	}
-	c.membership = c.httpClient(membershipProtocols(), membershipIdleTimeout)
-	c.requests = c.httpClient(requestProtocols(options.TLS != nil), requestIdleTimeout)
+	c.membership = c.newHTTPClient(membershipProtocols(), membershipIdleTimeout)
+	c.requests = c.newHTTPClient(requestProtocols(options.TLS != nil), requestIdleTimeout)
 	return c
 }
 
@@ -84,7 +86,7 @@
 	return &protocols
 }
 
-func (c *Client) httpClient(protocols *http.Protocols, idle time.Duration) *http.Client {
+func (c *Client) newHTTPClient(protocols *http.Protocols, idle time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:           dialer.DialContext,
@@ -93,7 +95,7 @@
 		MaxIdleConnsPerHost:   1,
 		IdleConnTimeout:       idle,
 		DisableCompression:    true,
-		ResponseHeaderTimeout: maximumForwardTime,
+		ResponseHeaderTimeout: maxForwardTimeout,
 	}
 	if c.options.TLS != nil {
 		transport.DialTLSContext = certificates.DialTLS(c.options.TLS, dialer.DialContext, applicationProtocol(protocols))
@@ -101,7 +103,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// applicationProtocol is what TLS negotiates.
+// applicationProtocol returns the ALPN protocol to negotiate.
 func applicationProtocol(protocols *http.Protocols) string {
 	if protocols.HTTP2() {
 		return "h2"
@@ -109,7 +111,7 @@
 	return "http/1.1"
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.membership.CloseIdleConnections()
 	c.requests.CloseIdleConnections()
@@ -125,92 +127,93 @@
 	return c.FetchDocumentAtLeast(ctx, address, DocumentRequest{Name: name})
 }
 
-// FetchDocumentAtLeast returns the document that the peer holds, or not found
-// where its revision is under the minimum.
+// FetchDocumentAtLeast returns the document that the peer holds. It fails with
+// failure.NotFound if the revision is below request.MinimumRevision.
 func (c *Client) FetchDocumentAtLeast(ctx context.Context, address string, request DocumentRequest) (document.Document, error) {
 	return call[document.Document](ctx, c, c.requests, address, DocumentPath, request)
 }
 
-// State returns what the peer says of itself.
+// State returns the state that the peer reports.
 func (c *Client) State(ctx context.Context, address string) (NodeState, error) {
 	return call[NodeState](ctx, c, c.requests, address, StatePath, StateRequest{})
 }
 
-// Statistics returns the peer's encoded statistics of the last while.
-func (c *Client) Statistics(ctx context.Context, address string, since time.Duration) ([]byte, error) {
-	reply, err := call[StatisticsReply](ctx, c, c.requests, address, StatisticsPath, StatisticsRequest{Window: since})
+// Statistics returns the peer's encoded statistics of the most recent window.
+func (c *Client) Statistics(ctx context.Context, address string, window time.Duration) ([]byte, error) {
+	reply, err := call[StatisticsReply](ctx, c, c.requests, address, StatisticsPath, StatisticsRequest{Window: window})
 	return reply.Encoded, err
 }
 
-// Forward asks the peer to ask a replica. It is bounded by ctx alone.
+// Forward asks the peer to send a sub-request to a replica. Only ctx limits its
+// duration.
 func (c *Client) Forward(ctx context.Context, address string, request ForwardRequest) (ForwardReply, error) {
 	return send[ForwardReply](ctx, c, c.requests, address, ForwardPath, request)
 }
 
-// call is send within the client's timeout.
-func call[Reply any](ctx context.Context, c *Client, through *http.Client, address, path string, request any) (Reply, error) {
-	bounded, cancel := context.WithTimeout(ctx, c.options.Timeout)
+// call is like send, but applies the client's timeout.
+func call[Reply any](ctx context.Context, c *Client, httpClient *http.Client, address, path string, request any) (Reply, error) {
+	callCtx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	return send[Reply](bounded, c, through, address, path, request)
+	return send[Reply](callCtx, c, httpClient, address, path, request)
 }
 
-// send makes one request. Its errors are *failure.Error; NotRun is true only
-// where the peer said so or no connection was made.
-func send[Reply any](ctx context.Context, c *Client, through *http.Client, address, path string, request any) (Reply, error) {
+// send makes one request without retries. Its errors are *failure.Error; NotRun
+// is set only if the peer reported it or no connection was established.
+func send[Reply any](ctx context.Context, c *Client, httpClient *http.Client, address, path string, request any) (Reply, error) {
 	var reply Reply
 	body, err := encode(request)
 	if err != nil {
-		return reply, failure.Wrap(err, failure.Internal, "encode request to peer").WithNotRun(true)
+		return reply, failure.Wrap(err, failure.Internal, "encode peer request").WithNotRun(true)
 	}
-	status, answer, err := c.post(ctx, through, address, path, body)
+	status, responseBody, err := c.post(ctx, httpClient, address, path, body)
 	if err != nil {
-		return reply, transportFailure(ctx, err, address)
+		return reply, transportError(ctx, err, address)
 	}
-	c.metrics.transferred(path, len(body), len(answer))
+	c.metrics.addBytes(path, len(body), len(responseBody))
 	if status != http.StatusOK {
-		return reply, answeredProblem(status, answer, address)
+		return reply, responseError(status, responseBody, address)
 	}
-	if err := decode(answer, &reply); err != nil {
-		return reply, failure.Wrap(err, failure.Internal, "reply of peer "+address)
+	if err := decode(responseBody, &reply); err != nil {
+		return reply, failure.Wrap(err, failure.Internal, "decode reply from peer "+address)
 	}
 	return reply, nil
 }
 
-func (c *Client) post(ctx context.Context, through *http.Client, address, path string, body []byte) (int, []byte, error) {
+func (c *Client) post(ctx context.Context, httpClient *http.Client, address, path string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+address+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, eris.Wrap(err, "make request to peer")
+		return 0, nil, eris.Wrap(err, "create peer request")
 	}
-	request.GetBody = nil // the transport must not repeat a request by itself
+	request.GetBody = nil // prevents the transport from retrying the request
 	request.Header["User-Agent"] = []string{""}
 	request.Header.Set("Content-Type", ContentType)
-	response, err := through.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	answer, err := readBounded(response.Body, c.options.MaxReplyBytes)
-	return response.StatusCode, answer, err
+	responseBody, err := readLimited(response.Body, c.options.MaxReplyBytes)
+	return response.StatusCode, responseBody, err
 }
 
-func answeredProblem(status int, answer []byte, address string) error {
+func responseError(status int, responseBody []byte, address string) error {
 	var problem Problem
-	if err := decode(answer, &problem); err != nil {
-		return failure.Wrap(err, failure.Internal, "status "+http.StatusText(status)+" of peer "+address)
+	if err := decode(responseBody, &problem); err != nil {
+		return failure.Wrap(err, failure.Internal, "peer "+address+" returned status "+http.StatusText(status))
 	}
-	return problem.failure()
+	return problem.toError()
 }
 
-func transportFailure(ctx context.Context, err error, address string) error {
-	detail := "ask peer " + address
-	var operation *net.OpError
-	unsent := errors.As(err, &operation) && operation.Op == "dial"
+func transportError(ctx context.Context, err error, address string) error {
+	detail := "request to peer " + address
+	var opErr *net.OpError
+	notSent := errors.As(err, &opErr) && opErr.Op == "dial"
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return failure.Wrap(err, failure.Canceled, detail).WithNotRun(unsent)
+		return failure.Wrap(err, failure.Canceled, detail).WithNotRun(notSent)
 	case errors.Is(err, context.DeadlineExceeded):
-		return failure.Wrap(err, failure.DeadlineExceeded, detail).WithNotRun(unsent)
+		return failure.Wrap(err, failure.DeadlineExceeded, detail).WithNotRun(notSent)
 	default:
-		return failure.Wrap(err, failure.NoReplica, detail).WithNotRun(unsent)
+		return failure.Wrap(err, failure.NoReplica, detail).WithNotRun(notSent)
 	}
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -10,8 +10,8 @@
 	"github.com/doorpond/doorpond/internal/failure"
 )
 
-// encode returns the msgpack of a value. Types shared with JSON documents are
-// coded by their json names.
+// encode returns the msgpack encoding of value. Fields without a msgpack tag use
+// the name in their json tag.
 func encode(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -23,9 +23,9 @@
 	return buffer.Bytes(), nil
 }
 
-// decode reads exactly one value of msgpack.
+// decode decodes body, which must hold exactly one msgpack value.
 func decode(body []byte, into any) error {
-	if err := checkShape(body); err != nil {
+	if err := validateEncoding(body); err != nil {
 		return err
 	}
 	reader := bytes.NewReader(body)
@@ -35,19 +35,19 @@
 		return eris.Wrap(err, "decode peer message")
 	}
 	if reader.Len() > 0 {
-		return eris.Errorf("decode peer message: %d bytes after its end", reader.Len())
+		return eris.Errorf("decode peer message: %d trailing bytes", reader.Len())
 	}
 	return nil
 }
 
-// readBounded reads a body of at most limit bytes.
-func readBounded(body io.Reader, limit int64) ([]byte, error) {
-	read, err := io.ReadAll(io.LimitReader(body, limit+1))
+// readLimited reads body and fails if it is larger than limit bytes.
+func readLimited(body io.Reader, limit int64) ([]byte, error) {
+	content, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read peer message")
 	}
-	if int64(len(read)) > limit {
-		return nil, failure.New(failure.TooLarge, "peer message is over its size limit")
+	if int64(len(content)) > limit {
+		return nil, failure.New(failure.TooLarge, "peer message exceeds its size limit")
 	}
-	return read, nil
+	return content, nil
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -11,8 +11,9 @@
 	"github.com/doorpond/doorpond/internal/topology"
 )
 
-// The routes of the internal protocol. All take POST with a msgpack body and
-// answer 200 with a msgpack body, or another status with a Problem.
+// The routes of the protocol between daemons. Each takes a POST request with a
+// msgpack body and replies with status 200 and a msgpack body, or with another
+// status and a Problem.
 const (
 	// ExchangePath: membership.Message -> membership.Message.
 	ExchangePath = "/peer/v1/exchange"
@@ -26,53 +27,57 @@
 	ForwardPath = "/peer/v1/forward"
 )
 
-// ContentType is the media type of all bodies.
+// ContentType is the media type of request and reply bodies.
 const ContentType = "application/msgpack"
 
-// DocumentRequest asks for a document.
+// DocumentRequest requests a document.
 type DocumentRequest struct {
 	Name document.Name `msgpack:"n"`
-	// MinimumRevision is the lowest that helps the asker; one lower answers
-	// not found.
+	// MinimumRevision is the lowest acceptable revision; the reply is not found
+	// if the peer only has an older one.
 	MinimumRevision uint64 `msgpack:"r"`
 }
 
-// StateRequest asks for the NodeState.
+// StateRequest requests the NodeState.
 type StateRequest struct{}
 
-// NodeState is what a daemon says of itself.
+// NodeState is the state that a daemon reports about itself.
 type NodeState struct {
 	Member            topology.Member        `msgpack:"m" json:"member"`
 	TableRevision     uint64                 `msgpack:"t" json:"table_revision"`
 	CatalogueRevision uint64                 `msgpack:"c" json:"catalogue_revision"`
 	Store             blackboard.StoreStatus `msgpack:"s" json:"store"`
 	Phase             blackboard.Phase       `msgpack:"p" json:"phase"`
-	// MembersKnown is the number of live daemons it knows, itself included.
+	// MembersKnown is the number of live daemons in its member list, itself
+	// included.
 	MembersKnown int `msgpack:"k" json:"members_known"`
-	// The counts of replicas that do not take their whole share.
+	// The number of replicas that receive less than their full share of
+	// traffic, by reason.
 	ReplicasLeaving int `msgpack:"l" json:"replicas_leaving"`
 	ReplicasCold    int `msgpack:"d" json:"replicas_cold"`
 	ReplicasEjected int `msgpack:"e" json:"replicas_ejected"`
-	// Version is the program's.
+	// Version is the version of the program.
 	Version string `msgpack:"v" json:"version"`
-	// DegradedReplicas names the replicas counted above, at most MaxTroubled of them.
+	// DegradedReplicas lists the replicas counted above, at most
+	// MaxDegradedReplicas of them.
 	DegradedReplicas []DegradedReplica `msgpack:"x,omitempty" json:"replicas_troubled"`
 }
 
-// MaxDegradedReplicas bounds the replicas named in a NodeState.
+// MaxDegradedReplicas bounds the replicas listed in a NodeState.
 const MaxDegradedReplicas = 64
 
-// DegradedReason is why a replica does not take its whole share.
+// DegradedReason is why a replica receives less than its full share of traffic.
 type DegradedReason string
 
-// The troubles.
+// The reasons for which a replica is degraded.
 const (
 	ReasonLeaving DegradedReason = "leaving"
 	ReasonCold    DegradedReason = "cold"
 	ReasonEjected DegradedReason = "ejected"
 )
 
-// DegradedReplica is a replica that does not take its whole share.
+// DegradedReplica is a replica that receives less than its full share of
+// traffic.
 type DegradedReplica struct {
 	Address     string         `msgpack:"a" json:"address"`
 	Incarnation string         `msgpack:"n" json:"incarnation"`
@@ -81,40 +86,41 @@
 	Reason      DegradedReason `msgpack:"t" json:"trouble"`
 }
 
-// StatisticsRequest asks for the statistics of the last while.
+// StatisticsRequest requests the statistics of the most recent window.
 type StatisticsRequest struct {
 	Window time.Duration `msgpack:"s"`
 }
 
-// StatisticsReply carries msgpack whose shape package statistics defines.
+// StatisticsReply carries statistics in the msgpack format that package
+// statistics defines.
 type StatisticsReply struct {
 	Encoded []byte `msgpack:"e"`
 }
 
-// ForwardRequest asks a peer to ask a replica in its reach.
+// ForwardRequest asks a peer to send a sub-request to a replica that it can
+// reach.
 type ForwardRequest struct {
-	// Group names the replicas.
+	// Group is the name of the replica group.
 	Group string `msgpack:"g"`
-	// TimeoutMilliseconds is the time left to the asker.
+	// TimeoutMilliseconds is the time left before the caller's deadline.
 	TimeoutMilliseconds int64                    `msgpack:"t"`
 	Search              backendapi.SearchRequest `msgpack:"s"`
-	// Call, where it is set, is a call that may not be repeated, and Search is
-	// not looked at.
+	// Call, if set, is a call that must not be retried; Search is then ignored.
 	Call *backendapi.CallRequest `msgpack:"c,omitempty"`
 }
 
-// ForwardReply is the replica's reply, unchanged: one of Refusal, Call and
+// ForwardReply is the unmodified reply of the replica: one of Refusal, Call and
 // Search.
 type ForwardReply struct {
 	Search backendapi.SearchReply `msgpack:"s"`
-	// Refusal is the replica's proof that it did not run the sub-request.
+	// Refusal is the replica's statement that it did not run the sub-request.
 	Refusal *backendapi.Refusal   `msgpack:"r,omitempty"`
 	Call    *backendapi.CallReply `msgpack:"c,omitempty"`
-	// Address is the replica's.
+	// Address is the address of the replica.
 	Address string `msgpack:"a"`
 }
 
-// Problem is a failure.Error on the wire.
+// Problem is the wire format of a failure.Error.
 type Problem struct {
 	Kind       failure.Kind  `msgpack:"k"`
 	Detail     string        `msgpack:"d"`
@@ -122,14 +128,14 @@
 	RetryAfter time.Duration `msgpack:"r"`
 }
 
-func problemOf(err error) Problem {
+func newProblem(err error) Problem {
 	known := failure.From(err)
 	return Problem{Kind: known.Kind, Detail: known.Detail, NotRun: known.NotRun, RetryAfter: known.RetryAfter}
 }
 
-// failure makes the error again; a kind that this daemon does not know reads
-// as Internal.
-func (p Problem) failure() *failure.Error {
+// toError returns the error that p describes. A kind that this daemon does not
+// know becomes Internal.
+func (p Problem) toError() *failure.Error {
 	kind := p.Kind
 	if !slices.Contains(failure.Kinds(), kind) {
 		kind = failure.Internal
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -26,7 +26,7 @@
 	return m
 }
 
-func (m *serverMetrics) served(path, outcome string, in, out int) {
+func (m *serverMetrics) record(path, outcome string, in, out int) {
 	m.requests.WithLabelValues(path, outcome).Inc()
 	m.bytes.WithLabelValues(path, "in").Add(float64(in))
 	m.bytes.WithLabelValues(path, "out").Add(float64(out))
@@ -47,7 +47,7 @@
 	return m
 }
 
-func (m *clientMetrics) transferred(path string, out, in int) {
+func (m *clientMetrics) addBytes(path string, out, in int) {
 	m.bytes.WithLabelValues(path, "out").Add(float64(out))
 	m.bytes.WithLabelValues(path, "in").Add(float64(in))
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,7 +39,7 @@
 		Store: blackboard.StoreStatus{Reachable: true, Since: time.Unix(1700000000, 0), LastError: "x"}, ReplicasCold: 1}
 }
 
-func options() ServerOptions {
+func serverOptions() ServerOptions {
 	return ServerOptions{
 		Exchange: func(m membership.Message) membership.Message {
 			return membership.Message{Kind: membership.MessageReply, From: member("b"), Members: m.Members, Digest: []uint64{1, 1 << 63}}
@@ -54,21 +54,21 @@
 	}
 }
 
-func serve(t *testing.T, options ServerOptions) (*Client, string) {
+func startServer(t *testing.T, options ServerOptions) (*Client, string) {
 	t.Helper()
 	server := httptest.NewUnstartedServer(NewServer(options))
 	server.Config.Protocols = ServerProtocols()
 	server.Start()
-	made := NewClient(ClientOptions{Registerer: prometheus.NewRegistry()})
+	peerClient := NewClient(ClientOptions{Registerer: prometheus.NewRegistry()})
 	t.Cleanup(func() {
-		made.Close()
+		peerClient.Close()
 		server.Close()
 	})
-	return made, server.Listener.Addr().String()
+	return peerClient, server.Listener.Addr().String()
 }
 
-func TestRoundTrips(t *testing.T) {
-	made, address := serve(t, options())
+func TestClientServerRoundTrip(t *testing.T) {
+	peerClient, address := startServer(t, serverOptions())
 	ctx := t.Context()
 	message := membership.Message{Kind: membership.MessagePing, From: member("a"), Members: []topology.Member{member("c")}}
 	cases := []struct {
@@ -76,14 +76,14 @@
 		call func() (any, error)
 		want any
 	}{
-		{"exchange", func() (any, error) { return made.Exchange(ctx, address, message) }, membership.Message{
+		{"exchange", func() (any, error) { return peerClient.Exchange(ctx, address, message) }, membership.Message{
 			Kind: membership.MessageReply, From: member("b"), Members: message.Members, Digest: []uint64{1, 1 << 63}}},
-		{"document", func() (any, error) { return made.FetchDocument(ctx, address, document.Table) },
+		{"document", func() (any, error) { return peerClient.FetchDocument(ctx, address, document.Table) },
 			document.Document{Name: document.Table, Revision: 7, Body: []byte(`{"revision":7}`)}},
-		{"state", func() (any, error) { return made.State(ctx, address) }, testState()},
-		{"statistics", func() (any, error) { return made.Statistics(ctx, address, time.Minute) }, []byte{1, 2}},
+		{"state", func() (any, error) { return peerClient.State(ctx, address) }, testState()},
+		{"statistics", func() (any, error) { return peerClient.Statistics(ctx, address, time.Minute) }, []byte{1, 2}},
 		{"forward", func() (any, error) {
-			return made.Forward(ctx, address, ForwardRequest{Group: "g", Search: backendapi.SearchRequest{QueryID: "q", Shard: 4}})
+			return peerClient.Forward(ctx, address, ForwardRequest{Group: "g", Search: backendapi.SearchRequest{QueryID: "q", Shard: 4}})
 		}, ForwardReply{Address: "10.0.0.1:1", Search: backendapi.SearchReply{QueryID: "q", Shard: 4, Count: 1,
 			Hits: []client.Hit{{ID: "h", Text: "ሰላም", Rank: 0.5}}}}},
 	}
@@ -100,10 +100,10 @@
 	}
 }
 
-func TestFailures(t *testing.T) {
-	refusing := options()
-	refusing.Forwarder = fakeForwarder{err: failure.New(failure.BackendRefused, "shed").WithRetryAfter(time.Second)}
-	made, address := serve(t, refusing)
+func TestClientErrors(t *testing.T) {
+	failing := serverOptions()
+	failing.Forwarder = fakeForwarder{err: failure.New(failure.BackendRefused, "shed").WithRetryAfter(time.Second)}
+	peerClient, address := startServer(t, failing)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,33 +119,33 @@
 		kind   failure.Kind
 		notRun bool
 	}{
-		{"refused by the forwarder", func() error { _, err := made.Forward(ctx, address, ForwardRequest{}); return err }, failure.BackendRefused, true},
-		{"unknown document", func() error { _, err := made.FetchDocument(ctx, address, "other"); return err }, failure.NotFound, true},
-		{"revision not yet there", func() error {
-			_, err := made.FetchDocumentAtLeast(ctx, address, DocumentRequest{Name: document.Table, MinimumRevision: 8})
+		{"forwarder error", func() error { _, err := peerClient.Forward(ctx, address, ForwardRequest{}); return err }, failure.BackendRefused, true},
+		{"unknown document", func() error { _, err := peerClient.FetchDocument(ctx, address, "other"); return err }, failure.NotFound, true},
+		{"revision too old", func() error {
+			_, err := peerClient.FetchDocumentAtLeast(ctx, address, DocumentRequest{Name: document.Table, MinimumRevision: 8})
 			return err
 		}, failure.NotFound, true},
 		{"unknown membership message", func() error {
-			_, err := made.Exchange(ctx, address, membership.Message{Kind: 99, From: member("a")})
+			_, err := peerClient.Exchange(ctx, address, membership.Message{Kind: 99, From: member("a")})
 			return err
 		}, failure.InvalidRequest, true},
-		{"nobody listens", func() error { _, err := made.State(ctx, closed); return err }, failure.NoReplica, true},
-		{"given up", func() error { _, err := made.State(canceled, address); return err }, failure.Canceled, false},
+		{"connection refused", func() error { _, err := peerClient.State(ctx, closed); return err }, failure.NoReplica, true},
+		{"canceled context", func() error { _, err := peerClient.State(canceled, address); return err }, failure.Canceled, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			got := failure.From(test.call())
 			if got.Kind != test.kind || got.NotRun != test.notRun {
-				t.Errorf("got %v, not run %v; want %v, %v", got, got.NotRun, test.kind, test.notRun)
+				t.Errorf("got %v, NotRun %v; want kind %v, NotRun %v", got, got.NotRun, test.kind, test.notRun)
 			}
 		})
 	}
 }
 
-func TestServerRefusesBadBodies(t *testing.T) {
-	small := options()
-	small.MaxBodyBytes = 1000
-	handler := NewServer(small)
+func TestServerRejectsInvalidBodies(t *testing.T) {
+	limited := serverOptions()
+	limited.MaxBodyBytes = 1000
+	handler := NewServer(limited)
 	cases := []struct {
 		name, path, body string
 		status           int
@@ -153,8 +153,8 @@
 		{"empty", ExchangePath, "", http.StatusBadRequest},
 		{"not msgpack", ExchangePath, "hello", http.StatusBadRequest},
 		{"wrong type", StatePath, "\x93\x01\x02\x03", http.StatusBadRequest},
-		{"bytes after the end", StatePath, "\x80\x80", http.StatusBadRequest},
-		{"huge claimed array", ExchangePath, "\x81\xa1m\xdd\xff\xff\xff\xff", http.StatusBadRequest},
+		{"trailing bytes", StatePath, "\x80\x80", http.StatusBadRequest},
+		{"array length beyond body", ExchangePath, "\x81\xa1m\xdd\xff\xff\xff\xff", http.StatusBadRequest},
 		{"deep nesting", ExchangePath, "\x81\xa1x" + strings.Repeat("\x91", 990), http.StatusBadRequest},
 		{"too large", ExchangePath, strings.Repeat("x", 1001), http.StatusRequestEntityTooLarge},
 	}
@@ -167,20 +167,20 @@
 			}
 			var problem Problem
 			if err := decode(recorder.Body.Bytes(), &problem); err != nil || problem.Kind == "" {
-				t.Errorf("no problem in the answer: %v", err)
+				t.Errorf("reply is not a Problem: %v", err)
 			}
 		})
 	}
 }
 
 func FuzzDecodeMessage(f *testing.F) {
-	whole, err := encode(membership.Message{Kind: membership.MessageSync, From: member("a"), Digest: make([]uint64, membership.DigestBuckets),
+	encoded, err := encode(membership.Message{Kind: membership.MessageSync, From: member("a"), Digest: make([]uint64, membership.DigestBuckets),
 		Members: []topology.Member{member("c")}, Records: []membership.Record{{Kind: membership.RecordDocument, Key: "table", Version: 1}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	f.Add(encoded)
+	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte("\x81\xa1m\xdd\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var message membership.Message
@@ -190,18 +190,18 @@
 		core := membership.NewCore(membership.CoreOptions{Self: member("a")})
 		core.Step(0, membership.Received{Message: message})
 		if core.Self().State != topology.MemberAlive {
-			t.Errorf("a peer's message changed this daemon's state to %v", core.Self().State)
+			t.Errorf("received message changed the state of this daemon to %v", core.Self().State)
 		}
-		again, err := encode(message)
+		encodedAgain, err := encode(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var repeated membership.Message
-		if err := decode(again, &repeated); err != nil {
+		var decodedAgain membership.Message
+		if err := decode(encodedAgain, &decodedAgain); err != nil {
 			t.Fatal(err)
 		}
-		if once, err := encode(repeated); err != nil || !bytes.Equal(once, again) {
-			t.Errorf("encoding is not stable: %v", err)
+		if encodedThird, err := encode(decodedAgain); err != nil || !bytes.Equal(encodedThird, encodedAgain) {
+			t.Errorf("encoding changes after a round trip: %v", err)
 		}
 	})
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,7 +1,7 @@
-// Package peer is the protocol between daemons: msgpack over net/http. It
-// carries membership, documents, node states, statistics and forwarded
-// sub-requests. Every message is bounded in size, and one that does not
-// decode is answered by a problem and changes nothing.
+// Package peer implements the protocol between daemons: msgpack over HTTP. It
+// carries membership messages, documents, node states, statistics and forwarded
+// sub-requests. Messages are bounded in size. A message that does not decode is
+// rejected with a Problem and changes no state.
 package peer
 
 import (
@@ -16,51 +16,53 @@
 	"github.com/doorpond/doorpond/internal/membership"
 )
 
-// StatisticsSource returns the encoded statistics of the last while.
-type StatisticsSource func(since time.Duration) ([]byte, error)
+// StatisticsSource returns the encoded statistics of the most recent window.
+type StatisticsSource func(window time.Duration) ([]byte, error)
 
-// Forwarder asks a replica for a peer. Its errors are *failure.Error.
+// Forwarder sends a sub-request to a replica on behalf of a peer. Its errors are
+// *failure.Error.
 type Forwarder interface {
 	Forward(ctx context.Context, request ForwardRequest) (ForwardReply, error)
 }
 
-// ServerOptions configure the handler. Exchange, Document and State are
-// needed; a nil Statistics or Forwarder answers not found.
+// ServerOptions configures the handler. Exchange, Document and State are
+// required. If Statistics or Forwarder is nil, its route replies not found.
 type ServerOptions struct {
-	// Exchange is membership.Node.Receive.
+	// Exchange handles a membership message, as membership.Node.Receive does.
 	Exchange func(membership.Message) membership.Message
-	// Document is document.Register.Current.
+	// Document returns a document, as document.Register.Current does.
 	Document   func(document.Name) (document.Document, bool)
 	State      func() NodeState
 	Statistics StatisticsSource
 	Forwarder  Forwarder
-	// WithTimeout bounds a forwarded sub-request; nil means context.WithTimeout. That of an
-	// elapsed.Meter does not count a pause of the process.
-	WithTimeout func(parent context.Context, lasting time.Duration) (context.Context, context.CancelFunc)
-	// MaxBodyBytes bounds a request's body; 0 means DefaultMaxBodyBytes.
+	// WithTimeout bounds a forwarded sub-request; nil means
+	// context.WithTimeout. The method of elapsed.Meter does not count the time
+	// for which the process was suspended.
+	WithTimeout func(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc)
+	// MaxBodyBytes bounds the body of a request; 0 means DefaultMaxBodyBytes.
 	MaxBodyBytes int64
 	Registerer   prometheus.Registerer
 }
 
-// DefaultMaxBodyBytes bounds the body of a message.
+// DefaultMaxBodyBytes is the default limit on the body of a message.
 const DefaultMaxBodyBytes = 4 << 20
 
 const (
-	// maximumExchangeBytes bounds a membership message.
-	maximumExchangeBytes = 256 << 10
-	// maximumQuestionBytes bounds requests that only name what is wanted.
-	maximumQuestionBytes = 4 << 10
+	// maxExchangeBytes bounds a membership message.
+	maxExchangeBytes = 256 << 10
+	// maxLookupBytes bounds requests for documents, states and statistics.
+	maxLookupBytes = 4 << 10
 )
 
-// maximumForwardTime bounds a forwarded sub-request that names no time.
-const maximumForwardTime = 30 * time.Second
+// maxForwardTimeout bounds a forwarded sub-request, also one without a timeout.
+const maxForwardTimeout = 30 * time.Second
 
 type server struct {
 	options ServerOptions
 	metrics *serverMetrics
 }
 
-// NewServer makes the handler of the peers' port.
+// NewServer returns the handler of the peer protocol.
 func NewServer(options ServerOptions) http.Handler {
 	if options.MaxBodyBytes == 0 {
 		options.MaxBodyBytes = DefaultMaxBodyBytes
@@ -70,16 +72,16 @@
 	}
 	s := &server{options: options, metrics: newServerMetrics(options.Registerer)}
 	routes := http.NewServeMux()
-	routes.Handle("POST "+ExchangePath, route(s, ExchangePath, maximumExchangeBytes, s.exchange))
-	routes.Handle("POST "+DocumentPath, route(s, DocumentPath, maximumQuestionBytes, s.document))
-	routes.Handle("POST "+StatePath, route(s, StatePath, maximumQuestionBytes, s.state))
-	routes.Handle("POST "+StatisticsPath, route(s, StatisticsPath, maximumQuestionBytes, s.statistics))
+	routes.Handle("POST "+ExchangePath, route(s, ExchangePath, maxExchangeBytes, s.exchange))
+	routes.Handle("POST "+DocumentPath, route(s, DocumentPath, maxLookupBytes, s.document))
+	routes.Handle("POST "+StatePath, route(s, StatePath, maxLookupBytes, s.state))
+	routes.Handle("POST "+StatisticsPath, route(s, StatisticsPath, maxLookupBytes, s.statistics))
 	routes.Handle("POST "+ForwardPath, route(s, ForwardPath, DefaultMaxBodyBytes, s.forward))
 	return routes
 }
 
-// ServerProtocols are the protocols of the http.Server that serves the
-// handler: HTTP/1.1 for membership, HTTP/2 (without TLS as h2c) for the rest.
+// ServerProtocols returns the protocols that an http.Server with the handler must
+// support: HTTP/1.1 for membership, HTTP/2 (h2c without TLS) for all else.
 func ServerProtocols() *http.Protocols {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -88,51 +90,52 @@
 	return &protocols
 }
 
-// route decodes requests, calls the operation and encodes its reply.
+// route returns a handler that decodes a request, calls operation and encodes its
+// reply.
 func route[Request, Reply any](s *server, path string, limit int64, operation func(context.Context, Request) (Reply, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := readBounded(r.Body, min(limit, s.options.MaxBodyBytes))
+		body, err := readLimited(r.Body, min(limit, s.options.MaxBodyBytes))
 		if err != nil {
-			s.refuse(w, path, err)
+			s.writeProblem(w, path, err)
 			return
 		}
 		var request Request
 		if err := decode(body, &request); err != nil {
-			s.refuse(w, path, failure.Wrap(err, failure.InvalidRequest, "peer message"))
+			s.writeProblem(w, path, failure.Wrap(err, failure.InvalidRequest, "invalid peer message"))
 			return
 		}
 		reply, err := operation(r.Context(), request)
 		if err != nil {
-			s.refuse(w, path, err)
+			s.writeProblem(w, path, err)
 			return
 		}
 		encoded, err := encode(reply)
 		if err != nil {
-			s.refuse(w, path, err)
+			s.writeProblem(w, path, err)
 			return
 		}
-		s.metrics.served(path, outcomeAnswered, len(body), len(encoded))
-		write(w, http.StatusOK, encoded)
+		s.metrics.record(path, outcomeAnswered, len(body), len(encoded))
+		writeResponse(w, http.StatusOK, encoded)
 	})
 }
 
-func (s *server) refuse(w http.ResponseWriter, path string, err error) {
-	problem := problemOf(err)
+func (s *server) writeProblem(w http.ResponseWriter, path string, err error) {
+	problem := newProblem(err)
 	encoded, err := encode(problem)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	s.metrics.served(path, string(problem.Kind), 0, len(encoded))
-	write(w, failure.Lookup(problem.Kind).Status, encoded)
+	s.metrics.record(path, string(problem.Kind), 0, len(encoded))
+	writeResponse(w, failure.Lookup(problem.Kind).Status, encoded)
 }
 
-func write(w http.ResponseWriter, status int, body []byte) {
+func writeResponse(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
-	header["Date"] = nil // saves bytes on every reply
+	header["Date"] = nil // omits the header
 	header.Set("Content-Type", ContentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the peer is gone if this fails
+	_, _ = w.Write(body) // a failed write means that the peer has disconnected
 }
 
 func (s *server) exchange(_ context.Context, request membership.Message) (membership.Message, error) {
@@ -143,9 +146,9 @@
 }
 
 func (s *server) document(_ context.Context, request DocumentRequest) (document.Document, error) {
-	current, known := s.options.Document(request.Name)
-	if !known || current.Revision < request.MinimumRevision {
-		return document.Document{}, failure.New(failure.NotFound, "no such revision of document "+string(request.Name))
+	current, found := s.options.Document(request.Name)
+	if !found || current.Revision < request.MinimumRevision {
+		return document.Document{}, failure.New(failure.NotFound, "document "+string(request.Name)+" not found at the requested revision")
 	}
 	return current, nil
 }
@@ -156,7 +159,7 @@
 
 func (s *server) statistics(_ context.Context, request StatisticsRequest) (StatisticsReply, error) {
 	if s.options.Statistics == nil {
-		return StatisticsReply{}, failure.New(failure.NotFound, "no statistics are kept")
+		return StatisticsReply{}, failure.New(failure.NotFound, "statistics are not available")
 	}
 	encoded, err := s.options.Statistics(request.Window)
 	return StatisticsReply{Encoded: encoded}, err
@@ -164,13 +167,13 @@
 
 func (s *server) forward(ctx context.Context, request ForwardRequest) (ForwardReply, error) {
 	if s.options.Forwarder == nil {
-		return ForwardReply{}, failure.New(failure.NotFound, "nothing is forwarded here")
+		return ForwardReply{}, failure.New(failure.NotFound, "forwarding is not available")
 	}
 	timeout := time.Duration(request.TimeoutMilliseconds) * time.Millisecond
-	if timeout <= 0 || timeout > maximumForwardTime {
-		timeout = maximumForwardTime
+	if timeout <= 0 || timeout > maxForwardTimeout {
+		timeout = maxForwardTimeout
 	}
-	bounded, cancel := s.options.WithTimeout(ctx, timeout)
+	forwardCtx, cancel := s.options.WithTimeout(ctx, timeout)
 	defer cancel()
-	return s.options.Forwarder.Forward(bounded, request)
+	return s.options.Forwarder.Forward(forwardCtx, request)
 }
