--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,32 +1,32 @@
-// Package document replicates the few documents that the store holds and
-// every daemon needs: the policy table and the catalogue. A document is whole,
-// small and versioned; a daemon keeps the highest revision it has seen and
-// nothing ever replaces it by a lower one.
+// Package document replicates the documents in the store that every daemon needs:
+// the policy table and the catalogue. Documents are small, versioned and replaced
+// as a whole. A daemon keeps the highest revision that it has seen and never goes
+// back to a lower one.
 package document
 
-// Name names a document.
+// Name identifies a document.
 type Name string
 
-// The documents.
+// The names of the documents.
 const (
 	Table     Name = "table"
 	Catalogue Name = "catalogue"
 )
 
-// Names are all documents.
+// Names lists all documents.
 var Names = []Name{Table, Catalogue}
 
 // Document is one version of a document.
 type Document struct {
 	Name Name `msgpack:"n"`
-	// Revision is the document's own, not the store's.
+	// Revision is the revision of the document, not of the store.
 	Revision uint64 `msgpack:"r"`
-	// Body is the JSON of policy.Table or catalogue.Catalogue.
+	// Body is the JSON encoding of a policy.Table or catalogue.Catalogue.
 	Body []byte `msgpack:"b"`
 }
 
-// Key returns the store's key of a document.
+// Key returns the key of the document in the store.
 func (n Name) Key() string { return KeyPrefix + string(n) }
 
-// KeyPrefix is the prefix of every document's key in the store.
+// KeyPrefix is the prefix of the keys of all documents in the store.
 const KeyPrefix = "/doorpond/document/"
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -10,33 +10,32 @@
 	"github.com/doorpond/doorpond/internal/document"
 )
 
-func version(revision uint64) document.Document {
+func tableVersion(revision uint64) document.Document {
 	body := fmt.Sprintf(`{"revision":%d}`, revision)
 	return document.Document{Name: document.Table, Revision: revision, Body: []byte(body)}
 }
 
-func TestRegisterOnlyMovesUp(t *testing.T) {
+func TestRegisterRevisionNeverDecreases(t *testing.T) {
 	errRejected := errors.New("rejected")
 	cases := []struct {
 		name   string
 		offers []document.Document
 		want   []document.Revision
-		// wantLast is whether the last offer is accepted, wantErr whether it
-		// is an error.
+		// wantLast and wantErr are the results of the last offer.
 		wantLast, wantErr bool
 	}{
-		{"first", []document.Document{version(3)}, []document.Revision{{Name: document.Table, Revision: 3}}, true, false},
-		{"higher", []document.Document{version(3), version(5)}, []document.Revision{{Name: document.Table, Revision: 5}}, true, false},
-		{"same", []document.Document{version(3), version(3)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, false},
-		{"lower", []document.Document{version(3), version(2)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, false},
-		{"zero", []document.Document{version(0)}, []document.Revision{}, false, false},
-		{"rejected", []document.Document{version(3), version(13)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, true},
+		{"first", []document.Document{tableVersion(3)}, []document.Revision{{Name: document.Table, Revision: 3}}, true, false},
+		{"higher", []document.Document{tableVersion(3), tableVersion(5)}, []document.Revision{{Name: document.Table, Revision: 5}}, true, false},
+		{"same", []document.Document{tableVersion(3), tableVersion(3)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, false},
+		{"lower", []document.Document{tableVersion(3), tableVersion(2)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, false},
+		{"zero", []document.Document{tableVersion(0)}, []document.Revision{}, false, false},
+		{"rejected", []document.Document{tableVersion(3), tableVersion(13)}, []document.Revision{{Name: document.Table, Revision: 3}}, false, true},
 		{"unknown", []document.Document{{Name: "other", Revision: 1}}, []document.Revision{}, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			register := document.NewRegister()
-			var accepted, told []uint64
+			var accepted, notified []uint64
 			register.AddAcceptor(document.Table, func(offered document.Document) error {
 				if offered.Revision == 13 {
 					return errRejected
@@ -47,26 +46,26 @@
 				accepted = append(accepted, offered.Revision)
 				return nil
 			})
-			register.Subscribe(func(now document.Document) { told = append(told, now.Revision) })
+			register.Subscribe(func(current document.Document) { notified = append(notified, current.Revision) })
 			var last bool
 			var err error
 			for _, offered := range c.offers {
 				last, err = register.Offer(offered)
 			}
 			if last != c.wantLast || (err != nil) != c.wantErr {
-				t.Errorf("accepted %v, error %v", last, err)
+				t.Errorf("accepted = %v, error = %v", last, err)
 			}
 			if diff := cmp.Diff(c.want, register.Revisions()); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(accepted, told); diff != "" {
+			if diff := cmp.Diff(accepted, notified); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestFromBodyRefuses(t *testing.T) {
+func TestParseRejectsInvalidBody(t *testing.T) {
 	cases := map[string][]byte{
 		"not JSON":    []byte("{"),
 		"no revision": []byte("{}"),
@@ -76,7 +75,7 @@
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got, err := document.Parse(document.Table, body); err == nil {
-				t.Errorf("accepted as revision %d", got.Revision)
+				t.Errorf("invalid body accepted as revision %d", got.Revision)
 			}
 		})
 	}
--- a/internal/document/election.go
+++ b/internal/document/election.go
@@ -11,78 +11,79 @@
 
 // The defaults of ElectionOptions.
 const (
-	defaultSettle  = 2 * time.Second
-	defaultLongest = 10 * time.Second
+	defaultSettleTime = 2 * time.Second
+	defaultMaxWait    = 10 * time.Second
 )
 
-// growthShare is the growth of the membership, as a share of it, that counts
-// as not settled.
-const growthShare = 0.02
+// growthThreshold is the relative growth of the membership above which it counts
+// as still growing.
+const growthThreshold = 0.02
 
-// ElectionOptions configure an Election.
+// ElectionOptions configures an Election.
 type ElectionOptions struct {
-	// PerZone is how many daemons of a zone follow the store.
+	// PerZone is the number of daemons per zone that watch the store.
 	PerZone int
-	// HasSeeds tells whether other daemons may exist; nil means that they may.
-	// A daemon without seeds need not wait for others.
+	// HasSeeds reports whether other daemons may exist; nil means true. A daemon
+	// without seeds does not wait for other members.
 	HasSeeds func() bool
-	// SettleTime is how long the membership must not have grown; 0 means 2 s.
+	// SettleTime is how long the membership must be stable before the daemon can
+	// be elected; 0 means 2 s.
 	SettleTime time.Duration
-	// MaxWait bounds the wait after the start; 0 means 10 s.
+	// MaxWait bounds the wait for a stable membership; 0 means 10 s.
 	MaxWait time.Duration
 }
 
-// Election decides whether this daemon follows the store. A daemon that has
-// just started knows few others and would always find itself elected; when
-// all daemons start at once, all would read the store. So it is withheld until
-// the membership has stopped growing, or a longest time has passed. Use it
-// from one goroutine.
+// Election decides whether this daemon watches the store. After a start, a daemon
+// knows few members and would always elect itself; if all daemons started at once,
+// all of them would read the store. The daemon therefore is not elected until its
+// membership has stopped growing or MaxWait has passed. An Election must not be
+// used concurrently.
 type Election struct {
-	options ElectionOptions
-	started time.Duration
-	grownAt time.Duration
-	known   int
-	running bool
-	settled bool
+	options     ElectionOptions
+	startedAt   time.Duration
+	grownAt     time.Duration
+	memberCount int
+	started     bool
+	settled     bool
 }
 
-// NewElection returns an Election that starts at its first use.
+// NewElection returns an Election. Its waits start at the first call of Elected.
 func NewElection(options ElectionOptions) *Election {
-	orDefault(&options.SettleTime, defaultSettle)
-	orDefault(&options.MaxWait, defaultLongest)
+	orDefault(&options.SettleTime, defaultSettleTime)
+	orDefault(&options.MaxWait, defaultMaxWait)
 	return &Election{options: options}
 }
 
-// Elected tells whether this daemon follows the store at a time, which may
-// count from any start and never goes back.
+// Elected reports whether this daemon watches the store. now must not decrease
+// between calls; its origin is arbitrary.
 func (e *Election) Elected(now time.Duration, members *topology.Members) bool {
 	if members == nil {
 		return false
 	}
-	return e.hasSettled(now, len(members.Members)) && Elected(members, e.options.PerZone)
+	return e.updateSettled(now, len(members.Members)) && Elected(members, e.options.PerZone)
 }
 
-// Settled tells whether the wait after the start is over, from when on only a
-// change of the members changes the outcome.
+// Settled reports whether the wait after the start is over. From then on, the
+// result of Elected changes only with the membership.
 func (e *Election) Settled() bool { return e.settled }
 
-func (e *Election) hasSettled(now time.Duration, known int) bool {
+func (e *Election) updateSettled(now time.Duration, count int) bool {
 	if e.settled {
 		return true
 	}
-	if !e.running {
-		e.running = true
-		e.started, e.grownAt = now, now
+	if !e.started {
+		e.started = true
+		e.startedAt, e.grownAt = now, now
 	}
-	if float64(known) > float64(e.known)*(1+growthShare) {
+	if float64(count) > float64(e.memberCount)*(1+growthThreshold) {
 		e.grownAt = now
-		e.known = known
+		e.memberCount = count
 	}
-	alone := known <= 1
+	alone := count <= 1
 	switch {
 	case alone && e.options.HasSeeds != nil && !e.options.HasSeeds():
 		e.settled = true
-	case now-e.started >= e.options.MaxWait:
+	case now-e.startedAt >= e.options.MaxWait:
 		e.settled = true
 	case !alone && now-e.grownAt >= e.options.SettleTime:
 		e.settled = true
@@ -90,31 +91,31 @@
 	return e.settled
 }
 
-// Elected tells whether this daemon is one of the few of its zone that follow
-// the store: the perZone live ones with the highest rendezvous hash. Daemons
-// may differ for a while on who is elected; two or none do no harm.
+// Elected reports whether this daemon is one of the perZone live daemons of its
+// zone with the highest rendezvous hash. Daemons may temporarily disagree; too many
+// or too few watchers for a short time are harmless.
 func Elected(members *topology.Members, perZone int) bool {
 	if members == nil {
 		return false
 	}
-	ahead := 0
-	own := rendezvous(members.Self.ID)
+	higherRanked := 0
+	own := rendezvousHash(members.Self.ID)
 	for i := range members.Members {
 		other := &members.Members[i]
-		if other.ID == members.Self.ID || other.Place != members.Self.Place || !mayFollow(other.State) {
+		if other.ID == members.Self.ID || other.Place != members.Self.Place || !eligible(other.State) {
 			continue
 		}
-		if rendezvous(other.ID) > own {
-			ahead++
+		if rendezvousHash(other.ID) > own {
+			higherRanked++
 		}
 	}
-	return ahead < perZone
+	return higherRanked < perZone
 }
 
-// mayFollow leaves out members that are gone or going. A suspected one still
-// counts, as most suspicions are refuted.
-func mayFollow(state topology.MemberState) bool {
+// eligible reports whether a member in this state takes part in the election.
+// Suspects do, because most suspicions are refuted.
+func eligible(state topology.MemberState) bool {
 	return slices.Contains([]topology.MemberState{topology.MemberAlive, topology.MemberSuspect}, state)
 }
 
-func rendezvous(memberID string) uint64 { return xxhash.Sum64String("store follower " + memberID) }
+func rendezvousHash(memberID string) uint64 { return xxhash.Sum64String("store follower " + memberID) }
--- a/internal/document/fetcher.go
+++ b/internal/document/fetcher.go
@@ -7,73 +7,73 @@
 	"time"
 )
 
-// Source fetches a document from a peer; package peer's client is one.
+// Source fetches a document from a peer; peer.Client implements it.
 type Source interface {
 	FetchDocument(ctx context.Context, address string, name Name) (Document, error)
 }
 
-// FetcherOptions are what a Fetcher needs.
+// FetcherOptions configures a Fetcher.
 type FetcherOptions struct {
 	Source   Source
 	Register *Register
-	// Peers returns addresses to try after the one that announced, best first.
+	// Peers returns the addresses to try after the announcing peer, in order of
+	// preference.
 	Peers  func() []string
 	Logger *slog.Logger
 }
 
-// The constants of a Fetcher; the simulation uses them too.
+// The timing of a Fetcher. The simulation uses these values too.
 const (
-	// FetchTimeout bounds one fetch. It is short beside the seconds within
-	// which a change must be in force: a peer that has just died should cost
-	// little before the next one is asked.
+	// FetchTimeout bounds one fetch. It is short so that a peer that has just
+	// failed does not delay the propagation of a change by much.
 	FetchTimeout = 700 * time.Millisecond
-	// MaxFetchAttempts is how many peers are asked in a row.
+	// MaxFetchAttempts is the maximum number of peers tried per round.
 	MaxFetchAttempts = 4
-	// FetchBackoff is the wait before the second attempt; it grows by itself
-	// with each further one.
+	// FetchBackoff is the wait before the second attempt; the wait grows by the
+	// same amount with each further attempt.
 	FetchBackoff = 200 * time.Millisecond
-	// FetchRetryInterval is the wait before a revision that nobody gave is asked for
-	// again.
+	// FetchRetryInterval is the interval at which missing revisions are
+	// requested again.
 	FetchRetryInterval = time.Second
 )
 
-// announcement says which peer has which revision.
+// announcement records that a peer has a revision of a document.
 type announcement struct {
 	name     Name
 	revision uint64
 	address  string
 }
 
-// Fetcher fetches documents that peers announce and offers them to the
-// register. One document is fetched at a time, so a burst of announcements of
-// one revision costs one fetch.
+// Fetcher fetches the documents that peers announce and offers them to the
+// register. It makes one fetch at a time, so a burst of announcements of one
+// revision causes a single fetch.
 type Fetcher struct {
-	options  FetcherOptions
-	mutex    sync.Mutex
-	wanted   map[Name]announcement
-	arrivals chan struct{}
+	options FetcherOptions
+	mutex   sync.Mutex
+	pending map[Name]announcement
+	wake    chan struct{}
 }
 
-// NewFetcher returns a Fetcher; Run does the work.
+// NewFetcher returns a Fetcher. It fetches documents while Run is running.
 func NewFetcher(options FetcherOptions) *Fetcher {
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Fetcher{options: options, wanted: make(map[Name]announcement), arrivals: make(chan struct{}, 1)}
+	return &Fetcher{options: options, pending: make(map[Name]announcement), wake: make(chan struct{}, 1)}
 }
 
-// HandleAnnouncement tells the fetcher that a peer has a revision. It does not block.
+// HandleAnnouncement records that a peer has a revision. It does not block.
 func (f *Fetcher) HandleAnnouncement(name Name, revision uint64, address string) {
 	if f.has(name, revision) {
 		return
 	}
 	f.mutex.Lock()
-	if f.wanted[name].revision < revision {
-		f.wanted[name] = announcement{name: name, revision: revision, address: address}
+	if f.pending[name].revision < revision {
+		f.pending[name] = announcement{name: name, revision: revision, address: address}
 	}
 	f.mutex.Unlock()
 	select {
-	case f.arrivals <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
@@ -83,74 +83,76 @@
 	return found && current.Revision >= revision
 }
 
-// Run fetches until ctx ends, and returns nil then. A revision that nobody
-// gave is wanted again after a while, as its announcement is not repeated.
+// Run fetches announced documents until ctx is done and then returns nil. A
+// revision that no peer returned is requested again periodically, because its
+// announcement is not repeated.
 func (f *Fetcher) Run(ctx context.Context) error {
-	again := time.NewTicker(FetchRetryInterval)
-	defer again.Stop()
+	retry := time.NewTicker(FetchRetryInterval)
+	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.arrivals:
-		case <-again.C:
+		case <-f.wake:
+		case <-retry.C:
 		}
 		for _, name := range Names {
-			f.satisfy(ctx, name)
+			f.fetchPending(ctx, name)
 		}
 	}
 }
 
-// satisfy fetches the revision wanted of a document, from its announcer first
-// and from other peers after it.
-func (f *Fetcher) satisfy(ctx context.Context, name Name) {
-	want, isWanted := f.want(name)
-	if !isWanted {
+// fetchPending fetches the pending revision of a document, first from the peer
+// that announced it and then from other peers.
+func (f *Fetcher) fetchPending(ctx context.Context, name Name) {
+	pending, ok := f.pendingAnnouncement(name)
+	if !ok {
 		return
 	}
-	addresses := append([]string{want.address}, f.options.Peers()...)
+	addresses := append([]string{pending.address}, f.options.Peers()...)
 	for attempt := 0; attempt < min(MaxFetchAttempts, len(addresses)); attempt++ {
-		if !pause(ctx, time.Duration(attempt)*FetchBackoff) {
+		if !sleep(ctx, time.Duration(attempt)*FetchBackoff) {
 			return
 		}
 		f.FetchFrom(ctx, addresses[attempt], name)
-		if f.has(name, want.revision) {
+		if f.has(name, pending.revision) {
 			return
 		}
 	}
 }
 
-// want returns the revision of a document that is wanted and not had yet.
-func (f *Fetcher) want(name Name) (want announcement, isWanted bool) {
+// pendingAnnouncement returns the announcement of a revision that the register does
+// not have yet.
+func (f *Fetcher) pendingAnnouncement(name Name) (pending announcement, ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	want, isWanted = f.wanted[name]
-	if isWanted && f.has(name, want.revision) {
-		delete(f.wanted, name)
-		isWanted = false
+	pending, ok = f.pending[name]
+	if ok && f.has(name, pending.revision) {
+		delete(f.pending, name)
+		ok = false
 	}
-	return want, isWanted
+	return pending, ok
 }
 
-// FetchFrom fetches a document from one peer and offers it. It tells whether
-// the peer answered with a document, newer or not.
+// FetchFrom fetches a document from one peer and offers it to the register. It
+// reports whether the peer returned a valid document, even if not a newer one.
 func (f *Fetcher) FetchFrom(ctx context.Context, address string, name Name) bool {
 	ctx, cancel := context.WithTimeout(ctx, FetchTimeout)
 	defer cancel()
 	fetched, err := f.options.Source.FetchDocument(ctx, address, name)
 	if err != nil {
-		f.options.Logger.Debug("fetch of a document failed", "document", name, "peer", address, "error", err)
+		f.options.Logger.Debug("fetching document from peer failed", "document", name, "peer", address, "error", err)
 		return false
 	}
 	if _, err := f.options.Register.Offer(fetched); err != nil {
-		f.options.Logger.Warn("a peer's document was refused", "document", name, "peer", address, "error", err)
+		f.options.Logger.Warn("document from peer rejected", "document", name, "peer", address, "error", err)
 		return false
 	}
 	return true
 }
 
-// pause waits, and tells whether ctx is still on.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits for the given time and reports whether ctx is still active.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/document/fetcher_test.go
+++ b/internal/document/fetcher_test.go
@@ -9,46 +9,47 @@
 	"time"
 )
 
-// peers is a Source whose peers have revisions of the table; 0 fails.
-type peers struct {
+// fakeSource is a Source with a revision of the table per address. Fetches from an
+// address with revision 0 fail.
+type fakeSource struct {
 	mutex     sync.Mutex
 	revisions map[string]uint64
-	asked     []string
+	requested []string
 }
 
-func (p *peers) FetchDocument(_ context.Context, address string, name Name) (Document, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.asked = append(p.asked, address)
-	if p.revisions[address] == 0 {
+func (s *fakeSource) FetchDocument(_ context.Context, address string, name Name) (Document, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.requested = append(s.requested, address)
+	if s.revisions[address] == 0 {
 		return Document{}, errors.New("no reply")
 	}
-	return Document{Name: name, Revision: p.revisions[address], Body: []byte("{}")}, nil
+	return Document{Name: name, Revision: s.revisions[address], Body: []byte("{}")}, nil
 }
 
-func (p *peers) set(address string, revision uint64) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.revisions[address] = revision
+func (s *fakeSource) set(address string, revision uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.revisions[address] = revision
 }
 
-func TestAnAnnouncedRevisionIsFetchedWhoeverHasIt(t *testing.T) {
+func TestFetcherFetchesAnnouncedRevision(t *testing.T) {
 	cases := []struct {
 		name      string
 		revisions map[string]uint64
-		later     uint64 // what the announcer has after a minute; 0 for no change
+		later     uint64 // revision of the announcer after a minute; 0 for no change
 		want      uint64
 	}{
 		{"from the announcer", map[string]uint64{"announcer": 5}, 0, 5},
-		{"from another when the announcer is gone", map[string]uint64{"other": 5}, 0, 5},
-		{"from another when the announcer has only heard of it", map[string]uint64{"announcer": 4, "other": 6}, 0, 6},
-		{"later when nobody had it", map[string]uint64{}, 5, 5},
+		{"from other peer if announcer fails", map[string]uint64{"other": 5}, 0, 5},
+		{"from other peer if announcer is outdated", map[string]uint64{"announcer": 4, "other": 6}, 0, 6},
+		{"retried until available", map[string]uint64{}, 5, 5},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				register := NewRegister()
-				source := &peers{revisions: test.revisions}
+				source := &fakeSource{revisions: test.revisions}
 				fetcher := NewFetcher(FetcherOptions{Source: source, Register: register, Peers: func() []string { return []string{"other"} }})
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() { _ = fetcher.Run(ctx) }()
@@ -62,11 +63,11 @@
 				if current.Revision != test.want {
 					t.Errorf("revision %d, want %d", current.Revision, test.want)
 				}
-				asked := len(source.asked)
+				before := len(source.requested)
 				fetcher.HandleAnnouncement(Table, 5, "announcer")
 				time.Sleep(10 * time.Second)
-				if len(source.asked) != asked {
-					t.Error("a revision that is had was fetched again")
+				if len(source.requested) != before {
+					t.Error("current revision fetched again")
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/document/register.go
+++ b/internal/document/register.go
@@ -7,23 +7,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Revision is the revision in force of one document.
+// Revision is the current revision of a document.
 type Revision struct {
 	Name     Name   `msgpack:"n" json:"name"`
 	Revision uint64 `msgpack:"r" json:"revision"`
 }
 
-// Register holds the version in force of each document. It only ever moves
-// to a higher revision. It is safe for concurrent use.
+// Register holds the current version of each document. Revisions only increase.
+// It is safe for concurrent use.
 type Register struct {
-	// offering makes acceptances follow each other, so that an acceptor never
-	// sees revisions out of order.
-	offering sync.Mutex
+	// offerMutex serializes offers, so that acceptors see revisions in order.
+	offerMutex sync.Mutex
 
-	mutex     sync.RWMutex
-	current   map[Name]Document
-	acceptors map[Name][]func(Document) error
-	notify    []func(Document)
+	mutex       sync.RWMutex
+	current     map[Name]Document
+	acceptors   map[Name][]func(Document) error
+	subscribers []func(Document)
 }
 
 // NewRegister returns an empty Register.
@@ -34,37 +33,37 @@
 	}
 }
 
-// AddAcceptor adds a check and consumer of a document's new versions, such as
-// one that decodes it and publishes it on the blackboard. Its error rejects
-// the version. It must not call Offer.
+// AddAcceptor registers a function that checks and consumes new versions of a
+// document, for example by publishing them on the blackboard. If it returns an
+// error, the version is rejected. It must not call Offer.
 func (r *Register) AddAcceptor(name Name, accept func(Document) error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.acceptors[name] = append(r.acceptors[name], accept)
 }
 
-// Subscribe adds a consumer that is told of each version after it came into
-// force. It must not call Offer.
+// Subscribe registers a function that is called with each accepted version of any
+// document. It must not call Offer.
 func (r *Register) Subscribe(notify func(Document)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.notify = append(r.notify, notify)
+	r.subscribers = append(r.subscribers, notify)
 }
 
-// Offer brings a version into force if its revision is higher than the one in
-// force and every acceptor agrees. A version that is not higher is not an
+// Offer makes a version current if its revision is higher than the current one and
+// every acceptor accepts it. A version that is not higher is ignored without an
 // error.
 func (r *Register) Offer(document Document) (accepted bool, err error) {
 	if !slices.Contains(Names, document.Name) {
-		return false, eris.Errorf("accept document %q: no such document", document.Name)
+		return false, eris.Errorf("accept document %q: unknown document", document.Name)
 	}
-	r.offering.Lock()
-	defer r.offering.Unlock()
+	r.offerMutex.Lock()
+	defer r.offerMutex.Unlock()
 	current, _ := r.Current(document.Name)
 	if document.Revision <= current.Revision {
 		return false, nil
 	}
-	acceptors, notify := r.consumers(document.Name)
+	acceptors, subscribers := r.consumers(document.Name)
 	for _, accept := range acceptors {
 		if err := accept(document); err != nil {
 			return false, eris.Wrapf(err, "accept document %q at revision %d", document.Name, document.Revision)
@@ -73,8 +72,8 @@
 	r.mutex.Lock()
 	r.current[document.Name] = document
 	r.mutex.Unlock()
-	for _, tell := range notify {
-		tell(document)
+	for _, notify := range subscribers {
+		notify(document)
 	}
 	return true, nil
 }
@@ -82,10 +81,10 @@
 func (r *Register) consumers(name Name) ([]func(Document) error, []func(Document)) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return slices.Clone(r.acceptors[name]), slices.Clone(r.notify)
+	return slices.Clone(r.acceptors[name]), slices.Clone(r.subscribers)
 }
 
-// Current returns the version in force; found is false before the first.
+// Current returns the current version; found is false if there is none yet.
 func (r *Register) Current(name Name) (current Document, found bool) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
@@ -93,8 +92,8 @@
 	return current, found
 }
 
-// Revisions returns the revisions in force in the order of Names; documents
-// not yet known are left out.
+// Revisions returns the current revisions in the order of Names, without documents
+// that have no version yet.
 func (r *Register) Revisions() []Revision {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
--- a/internal/document/storewatcher.go
+++ b/internal/document/storewatcher.go
@@ -18,18 +18,18 @@
 // The defaults of StoreWatcherOptions.
 const (
 	defaultElectionInterval = time.Second
-	defaultReadInterval     = 15 * time.Second
-	defaultFirstBackoff     = 100 * time.Millisecond
-	defaultLongestBackoff   = 10 * time.Second
+	defaultResyncInterval   = 15 * time.Second
+	defaultInitialBackoff   = 100 * time.Millisecond
+	defaultMaxBackoff       = 10 * time.Second
 )
 
 // maxBackoffShift keeps the doubling of the backoff from overflowing.
 const maxBackoffShift = 16
 
-// The reasons for which following the store ends without a fault.
+// The reasons other than a failure for which listAndWatch returns.
 var (
-	errNotElected = errors.New("this daemon no longer watches the store")
-	errReadAgain  = errors.New("the store's documents must be read again")
+	errNotElected = errors.New("daemon is no longer elected to watch the store")
+	errResync     = errors.New("documents must be listed again")
 )
 
 // WatchedStore is the part of the store that a StoreWatcher uses.
@@ -38,43 +38,44 @@
 	store.Watcher
 }
 
-// StoreWatcherOptions are the parts and settings of a StoreWatcher.
+// StoreWatcherOptions configures a StoreWatcher.
 type StoreWatcherOptions struct {
 	Store    WatchedStore
 	Register *Register
 	Board    *blackboard.Board
-	// Elected says whether this daemon is one of the few that watch.
+	// Elected reports whether this daemon is elected to watch the store.
 	Elected func() bool
 	Logger  *slog.Logger
 	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
-	// Random gives the jitter; nil means a random seed. Run alone uses it.
+	// Random is the source of the backoff jitter; nil means a randomly seeded
+	// one. Only Run uses it.
 	Random *rand.Rand
-	// Registerer takes the metrics; nil means none are kept.
+	// Registerer registers the metrics; nil means that they are not exported.
 	Registerer prometheus.Registerer
-	// ElectionInterval is how often Elected is asked besides changes of the
-	// membership; 0 means 1 s.
+	// ElectionInterval is the interval at which Elected is called, in addition to
+	// changes of the membership; 0 means 1 s.
 	ElectionInterval time.Duration
-	// ResyncInterval is how often the documents are read besides the watch,
-	// which can break without a sign; 0 means 15 s.
+	// ResyncInterval is the interval at which the documents are listed while a
+	// watch is open, because a watch can fail silently; 0 means 15 s.
 	ResyncInterval time.Duration
-	// InitialBackoff and LongestBackoff bound the wait after an error; 0 means
-	// 100 ms and 10 s.
+	// InitialBackoff limits the random wait after an error. The limit doubles
+	// with each further error, up to MaxBackoff. 0 means 100 ms and 10 s.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
 }
 
-// StoreWatcher follows the store's documents while it is elected, offers each
-// version to the register, and publishes the store's status.
+// StoreWatcher watches the documents in the store while this daemon is elected. It
+// offers each version to the register and publishes the status of the store.
 type StoreWatcher struct {
-	options  StoreWatcherOptions
-	requests *prometheus.CounterVec
-	status   blackboard.StoreStatus
-	known    bool
-	failures int
-	// delivered is the store's revision up to which the reading that opened
-	// the watch, and the watch since, have told everything.
-	delivered int64
+	options   StoreWatcherOptions
+	requests  *prometheus.CounterVec
+	status    blackboard.StoreStatus
+	published bool
+	failures  int
+	// deliveredRevision is the revision of the store up to which the initial list
+	// and the watch have delivered all changes.
+	deliveredRevision int64
 }
 
 // NewStoreWatcher returns a StoreWatcher.
@@ -89,9 +90,9 @@
 		options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	orDefault(&options.ElectionInterval, defaultElectionInterval)
-	orDefault(&options.ResyncInterval, defaultReadInterval)
-	orDefault(&options.InitialBackoff, defaultFirstBackoff)
-	orDefault(&options.MaxBackoff, defaultLongestBackoff)
+	orDefault(&options.ResyncInterval, defaultResyncInterval)
+	orDefault(&options.InitialBackoff, defaultInitialBackoff)
+	orDefault(&options.MaxBackoff, defaultMaxBackoff)
 	requests := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "doorpondd_store_watcher_requests_total",
 		Help: "Requests to the store by the watcher of documents, by operation.",
@@ -108,23 +109,23 @@
 	}
 }
 
-// Run follows the store until ctx ends, and returns ctx's error.
+// Run watches the store until ctx is done and returns the error of ctx.
 func (w *StoreWatcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !w.options.Elected() {
 			w.awaitElection(ctx)
 			continue
 		}
-		err := w.follow(ctx)
+		err := w.listAndWatch(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		w.afterFollow(ctx, err)
+		w.backOff(ctx, err)
 	}
 	return ctx.Err()
 }
 
-// awaitElection waits until it is worth asking Elected again.
+// awaitElection waits for a change of the membership or ElectionInterval.
 func (w *StoreWatcher) awaitElection(ctx context.Context) {
 	changed := w.options.Board.Members.Changed()
 	timer := time.NewTimer(w.options.ElectionInterval)
@@ -136,13 +137,13 @@
 	}
 }
 
-// afterFollow decides when to begin again.
-func (w *StoreWatcher) afterFollow(ctx context.Context, err error) {
+// backOff handles the error of listAndWatch and waits before the next attempt.
+func (w *StoreWatcher) backOff(ctx context.Context, err error) {
 	switch {
 	case errors.Is(err, errNotElected):
 		return
-	case errors.Is(err, store.ErrCompacted), errors.Is(err, errReadAgain):
-		// Not a fault of the store, but it must not become a busy loop.
+	case errors.Is(err, store.ErrCompacted), errors.Is(err, errResync):
+		// Not a failure of the store, but retrying needs a delay all the same.
 	default:
 		w.setReachable(false, err)
 	}
@@ -156,59 +157,61 @@
 	}
 }
 
-// reading is what one reading of the documents found.
-type reading struct {
-	// revision is the store's, newest that of the document changed last.
-	revision, newest int64
+// listResult holds the revisions found by listing the documents.
+type listResult struct {
+	// revision is the revision of the store; newestModRevision is the highest
+	// modification revision of the documents.
+	revision, newestModRevision int64
 }
 
-// follow reads the documents, then watches them from the next revision on.
-func (w *StoreWatcher) follow(ctx context.Context) error {
-	found, err := w.read(ctx)
+// listAndWatch lists the documents, then watches them from the next revision on.
+func (w *StoreWatcher) listAndWatch(ctx context.Context) error {
+	listed, err := w.list(ctx)
 	if err != nil {
 		return err
 	}
-	w.delivered = found.revision
+	w.deliveredRevision = listed.revision
 	group, groupContext := errgroup.WithContext(ctx)
 	batches := make(chan store.WatchBatch)
-	group.Go(func() error { return w.watch(groupContext, found.revision+1, batches) })
+	group.Go(func() error { return w.watch(groupContext, listed.revision+1, batches) })
 	group.Go(func() error { return w.consume(groupContext, batches) })
 	return group.Wait()
 }
 
-// read lists the documents once.
-func (w *StoreWatcher) read(ctx context.Context) (reading, error) {
-	// The revisions in force are taken before the reading: a reading that
-	// began later and is lower proves that the store went back.
-	inForce := w.options.Register.Revisions()
+// list reads all documents from the store and offers them to the register.
+func (w *StoreWatcher) list(ctx context.Context) (listResult, error) {
+	// The current revisions are taken before the list, so that a lower revision
+	// in the list proves that the store has regressed.
+	current := w.options.Register.Revisions()
 	w.requests.WithLabelValues("list").Inc()
 	values, revision, err := w.options.Store.List(ctx, KeyPrefix, 0)
 	if err != nil {
-		return reading{}, eris.Wrap(err, "read the documents")
+		return listResult{}, eris.Wrap(err, "list documents")
 	}
 	w.setReachable(true, nil)
-	held := make(map[Name]uint64, len(values))
-	found := reading{revision: revision}
+	stored := make(map[Name]uint64, len(values))
+	listed := listResult{revision: revision}
 	for _, value := range values {
-		found.newest = max(found.newest, value.ModRevision)
+		listed.newestModRevision = max(listed.newestModRevision, value.ModRevision)
 		if version, ok := w.decode(value); ok {
-			held[version.Name] = version.Revision
+			stored[version.Name] = version.Revision
 			w.offer(version)
 		}
 	}
-	w.checkRegressed(inForce, held)
-	return found, nil
+	w.checkRegressed(current, stored)
+	return listed, nil
 }
 
-func (w *StoreWatcher) checkRegressed(inForce []Revision, held map[Name]uint64) {
+func (w *StoreWatcher) checkRegressed(current []Revision, stored map[Name]uint64) {
 	regressed := false
-	for _, one := range inForce {
-		regressed = regressed || held[one.Name] < one.Revision
+	for _, revision := range current {
+		regressed = regressed || stored[revision.Name] < revision.Revision
 	}
 	w.setRegressed(regressed)
 }
 
-// watch hands the batches over to consume, which alone keeps the state.
+// watch sends the batches to consume, so that only one goroutine uses the state of
+// w.
 func (w *StoreWatcher) watch(ctx context.Context, from int64, batches chan<- store.WatchBatch) error {
 	w.requests.WithLabelValues("watch").Inc()
 	err := w.options.Store.Watch(ctx, KeyPrefix, from, func(batch store.WatchBatch) error {
@@ -219,14 +222,14 @@
 			return nil
 		}
 	})
-	return eris.Wrap(err, "watch the documents")
+	return eris.Wrap(err, "watch documents")
 }
 
-// consume takes batches, reads again now and then, and ends when the daemon
-// is no longer elected.
+// consume applies batches and resyncs periodically. It returns errNotElected when
+// the daemon is no longer elected.
 func (w *StoreWatcher) consume(ctx context.Context, batches <-chan store.WatchBatch) error {
-	readAgain := time.NewTicker(w.options.ResyncInterval)
-	defer readAgain.Stop()
+	resync := time.NewTicker(w.options.ResyncInterval)
+	defer resync.Stop()
 	election := time.NewTicker(w.options.ElectionInterval)
 	defer election.Stop()
 	for {
@@ -234,11 +237,11 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case batch := <-batches:
-			if err := w.take(batch); err != nil {
+			if err := w.applyBatch(batch); err != nil {
 				return err
 			}
-		case <-readAgain.C:
-			if err := w.readBesideWatch(ctx); err != nil {
+		case <-resync.C:
+			if err := w.resync(ctx); err != nil {
 				return err
 			}
 		case <-election.C:
@@ -249,30 +252,30 @@
 	}
 }
 
-// readBesideWatch reads again. A document that is newer than what the watch
-// has told shows that the watch is dead without a sign, as after a half-open
-// connection: it must be opened anew.
-func (w *StoreWatcher) readBesideWatch(ctx context.Context) error {
-	found, err := w.read(ctx)
+// resync lists the documents. If one is newer than what the watch has delivered,
+// the watch has failed silently, for example because its connection is half-open,
+// and must be replaced.
+func (w *StoreWatcher) resync(ctx context.Context) error {
+	listed, err := w.list(ctx)
 	if err != nil {
 		return err
 	}
 	w.failures = 0
-	if found.newest > w.delivered {
-		return errReadAgain
+	if listed.newestModRevision > w.deliveredRevision {
+		return errResync
 	}
 	return nil
 }
 
-// take offers the versions of one batch. A lower version than the one in
-// force, or a deletion, may be old news of a lagging watch: only a new
-// reading can tell.
-func (w *StoreWatcher) take(batch store.WatchBatch) error {
+// applyBatch offers the versions in a batch to the register. A deletion or a
+// revision below the current one may be an outdated event of a lagging watch, so it
+// causes a new list.
+func (w *StoreWatcher) applyBatch(batch store.WatchBatch) error {
 	w.failures = 0
-	w.delivered = max(w.delivered, batch.Revision)
+	w.deliveredRevision = max(w.deliveredRevision, batch.Revision)
 	for _, event := range batch.Events {
 		if event.Deleted {
-			return errReadAgain
+			return errResync
 		}
 		version, ok := w.decode(event.KeyValue)
 		if !ok {
@@ -281,15 +284,15 @@
 		current, _ := w.options.Register.Current(version.Name)
 		if version.Revision < current.Revision || w.status.Regressed {
 			w.offer(version)
-			return errReadAgain
+			return errResync
 		}
 		w.offer(version)
 	}
 	return nil
 }
 
-// decode reads a document out of a key; what cannot be read is logged and
-// left out, so that the version in force stays.
+// decode returns the document in a key of the store. Invalid documents are logged
+// and skipped, so that the current version remains.
 func (w *StoreWatcher) decode(value store.KeyValue) (Document, bool) {
 	for _, name := range Names {
 		if name.Key() != value.Key {
@@ -297,7 +300,7 @@
 		}
 		version, err := Parse(name, value.Value)
 		if err != nil {
-			w.options.Logger.Warn("a document in the store cannot be read", slog.Any("error", err))
+			w.options.Logger.Warn("invalid document in the store", slog.Any("error", err))
 			return Document{}, false
 		}
 		return version, true
@@ -307,12 +310,12 @@
 
 func (w *StoreWatcher) offer(version Document) {
 	if _, err := w.options.Register.Offer(version); err != nil {
-		w.options.Logger.Warn("a document in the store was rejected", slog.Any("error", err))
+		w.options.Logger.Warn("document from the store rejected", slog.Any("error", err))
 	}
 }
 
 func (w *StoreWatcher) setReachable(reachable bool, cause error) {
-	changed := !w.known || w.status.Reachable != reachable
+	changed := !w.published || w.status.Reachable != reachable
 	next := w.status
 	next.Reachable = reachable
 	next.LastError = ""
@@ -338,10 +341,10 @@
 }
 
 func (w *StoreWatcher) publish(next blackboard.StoreStatus) {
-	if w.known && next == w.status {
+	if w.published && next == w.status {
 		return
 	}
-	w.known = true
+	w.published = true
 	w.status = next
 	published := next
 	w.options.Board.Store.Publish(&published)
--- a/internal/document/storewatcher_test.go
+++ b/internal/document/storewatcher_test.go
@@ -14,7 +14,8 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// fakeStore holds one table; its watches can be broken or go silent.
+// fakeStore holds a single table. Its lists and watches can fail, and its watches can
+// stop delivering events.
 type fakeStore struct {
 	mutex    sync.Mutex
 	revision int64
@@ -26,18 +27,18 @@
 	changed  chan struct{}
 	lists    int
 	watches  int
-	// dead is the number of watches, from the first on, that deliver nothing.
-	dead int
+	// deadWatches is the number of initial watches that deliver no events.
+	deadWatches int
 }
 
 func newFakeStore(table uint64) *fakeStore {
 	return &fakeStore{revision: 1, table: table}
 }
 
-func (s *fakeStore) change(alter func()) {
+func (s *fakeStore) change(update func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	alter()
+	update()
 	s.revision++
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -46,13 +47,13 @@
 func (s *fakeStore) valueLocked() store.KeyValue {
 	body := []byte(s.body)
 	if s.body == "" {
-		body = version(s.table).Body
+		body = tableVersion(s.table).Body
 	}
 	return store.KeyValue{Key: document.Table.Key(), Value: body, ModRevision: s.revision}
 }
 
 func (s *fakeStore) Get(context.Context, string) (store.KeyValue, bool, int64, error) {
-	panic("the watcher lists")
+	panic("unexpected Get")
 }
 
 func (s *fakeStore) List(context.Context, string, int) ([]store.KeyValue, int64, error) {
@@ -71,7 +72,7 @@
 func (s *fakeStore) Watch(ctx context.Context, _ string, from int64, deliver func(store.WatchBatch) error) error {
 	s.mutex.Lock()
 	s.watches++
-	dead := s.watches <= s.dead
+	dead := s.watches <= s.deadWatches
 	s.mutex.Unlock()
 	for {
 		s.mutex.Lock()
@@ -102,87 +103,87 @@
 	return s.lists, s.watches
 }
 
-// watched is a running watcher.
-type watched struct {
+// testWatcher is a running StoreWatcher and the parts that it uses.
+type testWatcher struct {
 	store    *fakeStore
 	register *document.Register
 	board    *blackboard.Board
 	elected  atomic.Bool
 }
 
-func (w *watched) revision() uint64 {
+func (w *testWatcher) revision() uint64 {
 	current, _ := w.register.Current(document.Table)
 	return current.Revision
 }
 
-func watch(t *testing.T, held *fakeStore, check func(*watched)) {
+func runWatcher(t *testing.T, fake *fakeStore, check func(*testWatcher)) {
 	synctest.Test(t, func(t *testing.T) {
-		held.changed = make(chan struct{}) // in the bubble, so that waiting on it counts
-		at := &watched{store: held, register: document.NewRegister(), board: &blackboard.Board{}}
-		at.elected.Store(true)
+		fake.changed = make(chan struct{}) // must be created inside the synctest bubble
+		w := &testWatcher{store: fake, register: document.NewRegister(), board: &blackboard.Board{}}
+		w.elected.Store(true)
 		watcher := document.NewStoreWatcher(document.StoreWatcherOptions{
-			Store: held, Register: at.register, Board: at.board, Elected: at.elected.Load,
+			Store: fake, Register: w.register, Board: w.board, Elected: w.elected.Load,
 			Random: rand.New(rand.NewPCG(1, 2)),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- watcher.Run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- watcher.Run(ctx) }()
 		synctest.Wait()
-		check(at)
+		check(w)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
-func TestStoreWatcherFollows(t *testing.T) {
+func TestStoreWatcherTracksStore(t *testing.T) {
 	cases := []struct {
 		name   string
 		before func(*fakeStore)
-		change func(*watched)
-		// within is how soon the change is in force; 0 means at once.
+		change func(*testWatcher)
+		// within is the time after the change at which the result is checked.
 		within        time.Duration
 		wantRevision  uint64
 		wantReachable bool
 		wantRegressed bool
 	}{
-		{name: "at start", change: func(*watched) {}, wantRevision: 3, wantReachable: true},
-		{name: "change", change: func(w *watched) { w.store.change(func() { w.store.table = 4 }) },
+		{name: "initial list", change: func(*testWatcher) {}, wantRevision: 3, wantReachable: true},
+		{name: "changed table", change: func(w *testWatcher) { w.store.change(func() { w.store.table = 4 }) },
 			wantRevision: 4, wantReachable: true},
 		{name: "silent watch", before: func(s *fakeStore) { s.silent = true },
-			change: func(w *watched) { w.store.change(func() { w.store.table = 4 }) },
+			change: func(w *testWatcher) { w.store.change(func() { w.store.table = 4 }) },
 			within: 15 * time.Second, wantRevision: 4, wantReachable: true},
-		{name: "compacted", change: func(w *watched) {
+		{name: "watch compacted", change: func(w *testWatcher) {
 			w.store.change(func() { w.store.watchErr = store.ErrCompacted })
 			w.store.change(func() { w.store.watchErr, w.store.table = nil, 4 })
 		}, within: time.Second, wantRevision: 4, wantReachable: true},
-		{name: "outage", change: func(w *watched) {
+		{name: "outage", change: func(w *testWatcher) {
 			w.store.change(func() { w.store.watchErr, w.store.listErr = store.ErrUnavailable, store.ErrUnavailable })
 		}, within: time.Minute, wantRevision: 3},
-		{name: "outage that ends", change: func(w *watched) {
+		{name: "end of outage", change: func(w *testWatcher) {
 			w.store.change(func() { w.store.watchErr, w.store.listErr = store.ErrUnavailable, store.ErrUnavailable })
 			time.Sleep(time.Hour) // virtual
 			w.store.change(func() { w.store.watchErr, w.store.listErr, w.store.table = nil, nil, 4 })
 		}, within: 10 * time.Second, wantRevision: 4, wantReachable: true},
-		{name: "restored older", change: func(w *watched) { w.store.change(func() { w.store.table = 2 }) },
+		{name: "older table", change: func(w *testWatcher) { w.store.change(func() { w.store.table = 2 }) },
 			within: time.Second, wantRevision: 3, wantReachable: true, wantRegressed: true},
-		{name: "restored empty", before: func(s *fakeStore) { s.silent = true },
-			change: func(w *watched) { w.store.change(func() { w.store.table = 0 }) },
+		{name: "empty store", before: func(s *fakeStore) { s.silent = true },
+			change: func(w *testWatcher) { w.store.change(func() { w.store.table = 0 }) },
 			within: 15 * time.Second, wantRevision: 3, wantReachable: true, wantRegressed: true},
-		{name: "restored older, then mended", change: func(w *watched) {
+		{name: "older table, then newer table", change: func(w *testWatcher) {
 			w.store.change(func() { w.store.table = 2 })
 			time.Sleep(time.Minute) // virtual
 			w.store.change(func() { w.store.table = 4 })
 		}, within: 11 * time.Second, wantRevision: 4, wantReachable: true},
-		{name: "written by hand", change: func(w *watched) { w.store.change(func() { w.store.body = "oops" }) },
+		{name: "invalid document", change: func(w *testWatcher) { w.store.change(func() { w.store.body = "oops" }) },
 			wantRevision: 3, wantReachable: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			held := newFakeStore(3)
+			fake := newFakeStore(3)
 			if c.before != nil {
-				c.before(held)
+				c.before(fake)
 			}
-			watch(t, held, func(w *watched) {
+			runWatcher(t, fake, func(w *testWatcher) {
 				c.change(w)
 				if c.within > 0 {
 					time.Sleep(c.within) // virtual
@@ -193,39 +194,39 @@
 				}
 				status := w.board.Store.Load()
 				if status == nil || status.Reachable != c.wantReachable || status.Regressed != c.wantRegressed {
-					t.Errorf("status %+v", status)
+					t.Errorf("unexpected status %+v", status)
 				}
 			})
 		})
 	}
 }
 
-// A reading that finds what the watch has not told opens a new watch.
+// A resync that finds a change which the watch did not deliver opens a new watch.
 func TestStoreWatcherReplacesDeadWatch(t *testing.T) {
-	held := newFakeStore(3)
-	held.dead = 1
-	watch(t, held, func(w *watched) {
-		held.change(func() { held.table = 4 })
-		time.Sleep(16 * time.Second) // virtual; a reading and the wait after it
+	fake := newFakeStore(3)
+	fake.deadWatches = 1
+	runWatcher(t, fake, func(w *testWatcher) {
+		fake.change(func() { fake.table = 4 })
+		time.Sleep(16 * time.Second) // virtual; the resync interval and the backoff
 		synctest.Wait()
-		held.change(func() { held.table = 5 })
+		fake.change(func() { fake.table = 5 })
 		synctest.Wait()
-		if _, watches := held.requests(); watches != 2 || w.revision() != 5 {
+		if _, watches := fake.requests(); watches != 2 || w.revision() != 5 {
 			t.Errorf("%d watches, revision %d, want 2 and 5", watches, w.revision())
 		}
 	})
 }
 
-func TestStoreWatcherAsksNothingUnlessElected(t *testing.T) {
-	held := newFakeStore(3)
-	watch(t, held, func(w *watched) {
+func TestStoreWatcherIdleWhenNotElected(t *testing.T) {
+	fake := newFakeStore(3)
+	runWatcher(t, fake, func(w *testWatcher) {
 		w.elected.Store(false)
 		time.Sleep(2 * time.Second) // virtual
-		lists, watches := held.requests()
-		held.change(func() { held.table = 4 })
+		lists, watches := fake.requests()
+		fake.change(func() { fake.table = 4 })
 		time.Sleep(time.Hour) // virtual
-		if nowLists, nowWatches := held.requests(); nowLists != lists || nowWatches != watches || w.revision() != 3 {
-			t.Errorf("%d lists, %d watches, revision %d", nowLists-lists, nowWatches-watches, w.revision())
+		if nowLists, nowWatches := fake.requests(); nowLists != lists || nowWatches != watches || w.revision() != 3 {
+			t.Errorf("%d lists and %d watches while not elected, revision %d", nowLists-lists, nowWatches-watches, w.revision())
 		}
 		w.elected.Store(true)
 		time.Sleep(2 * time.Second) // virtual
@@ -236,13 +237,13 @@
 }
 
 func TestStoreWatcherBacksOff(t *testing.T) {
-	held := newFakeStore(3)
-	held.listErr = store.ErrUnavailable
-	watch(t, held, func(*watched) {
+	fake := newFakeStore(3)
+	fake.listErr = store.ErrUnavailable
+	runWatcher(t, fake, func(*testWatcher) {
 		time.Sleep(time.Hour) // virtual
-		// With full jitter up to 10 s the mean wait is 5 s: 720 an hour.
-		if lists, _ := held.requests(); lists < 500 || lists > 1000 {
-			t.Errorf("%d requests in an hour's outage", lists)
+		// With full jitter up to 10 s, the mean wait is 5 s, or 720 requests per hour.
+		if lists, _ := fake.requests(); lists < 500 || lists > 1000 {
+			t.Errorf("%d requests during an outage of one hour", lists)
 		}
 	})
 }
