--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -46,7 +46,7 @@
 				accepted = append(accepted, offered.Revision)
 				return nil
 			})
-			register.Subscribe(func(current document.Document) { notified = append(notified, current.Revision) })
+			register.Subscribe(func(latest document.Document) { notified = append(notified, latest.Revision) })
 			var last bool
 			var err error
 			for _, offered := range c.offers {
--- a/internal/document/election.go
+++ b/internal/document/election.go
@@ -67,7 +67,7 @@
 // result of Elected changes only with the membership.
 func (e *Election) Settled() bool { return e.settled }
 
-func (e *Election) updateSettled(now time.Duration, count int) bool {
+func (e *Election) updateSettled(now time.Duration, memberCount int) bool {
 	if e.settled {
 		return true
 	}
@@ -75,11 +75,11 @@
 		e.started = true
 		e.startedAt, e.grownAt = now, now
 	}
-	if float64(count) > float64(e.memberCount)*(1+growthThreshold) {
+	if float64(memberCount) > float64(e.memberCount)*(1+growthThreshold) {
 		e.grownAt = now
-		e.memberCount = count
+		e.memberCount = memberCount
 	}
-	alone := count <= 1
+	alone := memberCount <= 1
 	switch {
 	case alone && e.options.HasSeeds != nil && !e.options.HasSeeds():
 		e.settled = true
--- a/internal/document/fetcher_test.go
+++ b/internal/document/fetcher_test.go
@@ -63,10 +63,10 @@
 				if current.Revision != test.want {
 					t.Errorf("revision %d, want %d", current.Revision, test.want)
 				}
-				before := len(source.requested)
+				requested := len(source.requested)
 				fetcher.HandleAnnouncement(Table, 5, "announcer")
 				time.Sleep(10 * time.Second)
-				if len(source.requested) != before {
+				if len(source.requested) != requested {
 					t.Error("current revision fetched again")
 				}
 				cancel()
--- a/internal/document/storewatcher.go
+++ b/internal/document/storewatcher.go
@@ -71,7 +71,7 @@
 	options   StoreWatcherOptions
 	requests  *prometheus.CounterVec
 	status    blackboard.StoreStatus
-	published bool
+	hasStatus bool
 	failures  int
 	// deliveredRevision is the revision of the store up to which the initial list
 	// and the watch have delivered all changes.
@@ -228,8 +228,8 @@
 // consume applies batches and resyncs periodically. It returns errNotElected when
 // the daemon is no longer elected.
 func (w *StoreWatcher) consume(ctx context.Context, batches <-chan store.WatchBatch) error {
-	resync := time.NewTicker(w.options.ResyncInterval)
-	defer resync.Stop()
+	resyncTicker := time.NewTicker(w.options.ResyncInterval)
+	defer resyncTicker.Stop()
 	election := time.NewTicker(w.options.ElectionInterval)
 	defer election.Stop()
 	for {
@@ -240,7 +240,7 @@
 			if err := w.applyBatch(batch); err != nil {
 				return err
 			}
-		case <-resync.C:
+		case <-resyncTicker.C:
 			if err := w.resync(ctx); err != nil {
 				return err
 			}
@@ -315,7 +315,7 @@
 }
 
 func (w *StoreWatcher) setReachable(reachable bool, cause error) {
-	changed := !w.published || w.status.Reachable != reachable
+	changed := !w.hasStatus || w.status.Reachable != reachable
 	next := w.status
 	next.Reachable = reachable
 	next.LastError = ""
@@ -341,10 +341,10 @@
 }
 
 func (w *StoreWatcher) publish(next blackboard.StoreStatus) {
-	if w.published && next == w.status {
+	if w.hasStatus && next == w.status {
 		return
 	}
-	w.published = true
+	w.hasStatus = true
 	w.status = next
 	published := next
 	w.options.Board.Store.Publish(&published)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -148,7 +148,7 @@
 func (s *server) document(_ context.Context, request DocumentRequest) (document.Document, error) {
 	current, found := s.options.Document(request.Name)
 	if !found || current.Revision < request.MinimumRevision {
-		return document.Document{}, failure.New(failure.NotFound, "document "+string(request.Name)+" not found at the requested revision")
+		return document.Document{}, failure.New(failure.NotFound, "requested revision not found of document "+string(request.Name))
 	}
 	return current, nil
 }
