--- a/internal/policytable/publish.go
+++ b/internal/policytable/acceptor.go
@@ -1,6 +1,5 @@
-// Package policytable edits the operators' shared policy table in the store
-// by compare-and-swap, keeps its history, and publishes accepted versions on
-// the blackboard.
+// Package policytable edits the policy table in the store by compare-and-swap, keeps
+// its history, and publishes accepted versions on the blackboard.
 package policytable
 
 import (
@@ -14,8 +13,8 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// TableAcceptor returns the acceptor of the policy table: it decodes and checks a
-// version, and publishes it on the blackboard.
+// TableAcceptor returns an acceptor for document.Register that decodes and validates
+// the policy table and publishes it on the blackboard.
 func TableAcceptor(board *blackboard.Board) func(document.Document) error {
 	return func(version document.Document) error {
 		table, err := decodeTable(version.Body)
@@ -23,7 +22,7 @@
 			return err
 		}
 		if table.Revision != version.Revision {
-			return eris.Errorf("the table says revision %d, its document %d", table.Revision, version.Revision)
+			return eris.Errorf("revision %d in the policy table differs from document revision %d", table.Revision, version.Revision)
 		}
 		board.PolicyTable.Publish(policy.NewIndex(table))
 		return nil
@@ -33,7 +32,7 @@
 func decodeTable(body []byte) (*policy.Table, error) {
 	table := &policy.Table{}
 	if err := json.Unmarshal(body, table); err != nil {
-		return nil, eris.Wrap(err, "decode the policy table")
+		return nil, eris.Wrap(err, "decode policy table")
 	}
 	if err := policy.Validate(table); err != nil {
 		return nil, err
@@ -41,31 +40,31 @@
 	return table, nil
 }
 
-// CatalogueAcceptor returns the acceptor of the catalogue, as Publish does for
-// the table.
+// CatalogueAcceptor returns an acceptor for document.Register that decodes and
+// validates the catalogue and publishes it on the blackboard.
 func CatalogueAcceptor(board *blackboard.Board) func(document.Document) error {
 	return func(version document.Document) error {
-		published := &catalogue.Catalogue{}
-		if err := json.Unmarshal(version.Body, published); err != nil {
-			return eris.Wrap(err, "decode the catalogue")
+		decoded := &catalogue.Catalogue{}
+		if err := json.Unmarshal(version.Body, decoded); err != nil {
+			return eris.Wrap(err, "decode catalogue")
 		}
-		if published.Revision != version.Revision {
-			return eris.Errorf("the catalogue says revision %d, its document %d", published.Revision, version.Revision)
+		if decoded.Revision != version.Revision {
+			return eris.Errorf("revision %d in the catalogue differs from document revision %d", decoded.Revision, version.Revision)
 		}
-		if err := validateCatalogue(published); err != nil {
+		if err := validateCatalogue(decoded); err != nil {
 			return err
 		}
-		board.Catalogue.Publish(published)
+		board.Catalogue.Publish(decoded)
 		return nil
 	}
 }
 
-func validateCatalogue(published *catalogue.Catalogue) error {
-	names := make(map[string]bool, len(published.Corpora))
-	for i := range published.Corpora {
-		corpus := &published.Corpora[i]
+func validateCatalogue(decoded *catalogue.Catalogue) error {
+	names := make(map[string]bool, len(decoded.Corpora))
+	for i := range decoded.Corpora {
+		corpus := &decoded.Corpora[i]
 		if corpus.Name == "" || names[corpus.Name] {
-			return eris.Errorf("corpus %q: the name is empty or taken", corpus.Name)
+			return eris.Errorf("corpus %q: empty or duplicate name", corpus.Name)
 		}
 		names[corpus.Name] = true
 		if err := validateCorpus(corpus); err != nil {
@@ -94,7 +93,7 @@
 	names := make(map[string]bool, len(snapshot.Indexes))
 	for _, index := range snapshot.Indexes {
 		if index.Name == "" || names[index.Name] {
-			return eris.Errorf("index %q: the name is empty or taken", index.Name)
+			return eris.Errorf("index %q: empty or duplicate name", index.Name)
 		}
 		names[index.Name] = true
 		if len(index.Groups) == 0 {
--- a/internal/policytable/commit.go
+++ b/internal/policytable/commit.go
@@ -18,90 +18,90 @@
 )
 
 const (
-	// maxAttempts bounds how often a change is tried again after others' came
-	// in between.
+	// maxAttempts bounds the attempts at a change that keeps conflicting with
+	// concurrent changes.
 	maxAttempts = 16
-	// maxRegressedReads is how often a store that seems to hold an older
-	// table is read again, as a lagging read looks the same.
+	// maxRegressedReads is the number of reads that must return an older table
+	// before the store counts as regressed, because a stale read looks the same.
 	maxRegressedReads = 3
 
-	firstWait   = 20 * time.Millisecond
-	longestWait = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// errRegressed says that the store holds an older table than the one in
-// force.
+// errRegressed indicates that the store holds an older table than the current one
+// of this daemon.
 var errRegressed = errors.New("store regressed")
 
-// stored is the table as the store holds it; an absent one is empty.
-type stored struct {
+// storedTable is the table in the store; it is empty if absent is set.
+type storedTable struct {
 	table       *policy.Table
 	absent      bool
 	modRevision int64
 }
 
-func (e *Editor) read(ctx context.Context) (*stored, error) {
+func (e *Editor) read(ctx context.Context) (*storedTable, error) {
 	value, found, _, err := e.store.Get(ctx, document.Table.Key())
 	if err != nil {
-		return nil, eris.Wrap(err, "read the table")
+		return nil, eris.Wrap(err, "read policy table")
 	}
 	if !found {
-		return &stored{table: &policy.Table{}, absent: true}, nil
+		return &storedTable{table: &policy.Table{}, absent: true}, nil
 	}
 	table := &policy.Table{}
 	if err := json.Unmarshal(value.Value, table); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "decode the table in the store").WithNotRun(true)
+		return nil, failure.Wrap(err, failure.Internal, "decode policy table in the store").WithNotRun(true)
 	}
-	return &stored{table: table, modRevision: value.ModRevision}, nil
+	return &storedTable{table: table, modRevision: value.ModRevision}, nil
 }
 
-func (e *Editor) checkNotRegressed(current *stored) error {
-	inForce, _ := e.register.Current(document.Table)
-	if current.table.Revision < inForce.Revision {
-		detail := fmt.Sprintf("the store holds revision %d, in force is %d; see \"doorpond restore\"",
-			current.table.Revision, inForce.Revision)
+func (e *Editor) checkNotRegressed(current *storedTable) error {
+	accepted, _ := e.register.Current(document.Table)
+	if current.table.Revision < accepted.Revision {
+		detail := fmt.Sprintf("the store holds revision %d, but the current revision is %d; see \"doorpond restore\"",
+			current.table.Revision, accepted.Revision)
 		return failure.Wrap(errRegressed, failure.StoreRegressed, detail)
 	}
 	return nil
 }
 
-// attempt is the progress of one change through its retries.
+// attempt is the state of a change across its retries.
 type attempt struct {
 	editor *Editor
 	id     string
-	build  func(context.Context, *stored) (*policy.Table, error)
-	// mayBeWritten is true once a write's outcome was unclear and until the
-	// store is seen to have moved past the revision it was based on.
+	build  func(context.Context, *storedTable) (*policy.Table, error)
+	// mayBeWritten is set after a write with an unknown outcome, until the table
+	// in the store is newer than baseRevision.
 	mayBeWritten bool
-	// basis is the mod revision that the unclear write compared with.
-	basis          int64
+	// baseRevision is the modification revision that this write compared with.
+	baseRevision   int64
 	tries          int
 	regressedReads int
 }
 
-// change runs read, build, compare-and-swap until the outcome is known.
+// change repeats read, build and compare-and-swap until the outcome is known.
 //
-// An unclear write needs no special path: the loop reads again and looks for
-// the change's ID. If it is not there and the table is as before, the same
-// comparison is tried again, of which only one can succeed; if the table has
-// moved on, the unclear write can no longer take effect.
-func (e *Editor) change(ctx context.Context, id string, build func(context.Context, *stored) (*policy.Table, error)) (policy.Change, error) {
+// After a write with an unknown outcome, the loop reads the table and looks for the
+// change's ID in the history. If the change is missing and the table has not
+// changed, it repeats the compare-and-swap; only one of the writes can succeed. If
+// the table has changed, the earlier write can no longer take effect.
+func (e *Editor) change(ctx context.Context, id string, build func(context.Context, *storedTable) (*policy.Table, error)) (policy.Change, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
-	trying := &attempt{editor: e, id: id, build: build}
+	a := &attempt{editor: e, id: id, build: build}
 	for {
-		change, done, err := trying.once(ctx)
+		change, done, err := a.try(ctx)
 		if done && err == nil {
 			return change, nil
 		}
-		if done || !e.pause(ctx, waitLimit(trying.tries)) {
-			return policy.Change{}, trying.final(err)
+		if done || !e.pause(ctx, backoffLimit(a.tries)) {
+			return policy.Change{}, a.finalError(err)
 		}
 	}
 }
 
-// once tries the change once. When it is not done, err is why.
-func (a *attempt) once(ctx context.Context) (change policy.Change, done bool, err error) {
+// try makes one attempt. If done is false, err is the reason.
+func (a *attempt) try(ctx context.Context) (change policy.Change, done bool, err error) {
 	a.tries++
 	current, err := a.editor.read(ctx)
 	if err != nil {
@@ -115,7 +115,7 @@
 		a.editor.offer(current.table)
 		return earlier, true, nil
 	}
-	if current.modRevision > a.basis {
+	if current.modRevision > a.baseRevision {
 		a.mayBeWritten = false
 	}
 	table, err := a.build(ctx, current)
@@ -128,8 +128,8 @@
 	return a.commit(ctx, current, table)
 }
 
-func (a *attempt) commit(ctx context.Context, current *stored, table *policy.Table) (policy.Change, bool, error) {
-	transaction, err := transactionFor(current, table)
+func (a *attempt) commit(ctx context.Context, current *storedTable, table *policy.Table) (policy.Change, bool, error) {
+	transaction, err := newTransaction(current, table)
 	if err != nil {
 		return policy.Change{}, true, err
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		if !errors.Is(err, store.ErrNotApplied) {
 			a.mayBeWritten = true
-			a.basis = current.modRevision
+			a.baseRevision = current.modRevision
 		}
 		return policy.Change{}, !a.retryable(err), err
 	}
@@ -145,11 +145,11 @@
 		a.editor.offer(table)
 		return table.LastChange, true, nil
 	}
-	moved := failure.New(failure.Conflict, "the table kept changing while the edit was tried")
-	return policy.Change{}, !a.mayBeWritten && a.tries >= maxAttempts, moved
+	conflict := failure.New(failure.Conflict, "table changed concurrently on every attempt")
+	return policy.Change{}, !a.mayBeWritten && a.tries >= maxAttempts, conflict
 }
 
-// retryable is true where trying again can settle the outcome.
+// retryable reports whether the change must be retried after err.
 func (a *attempt) retryable(err error) bool {
 	if errors.Is(err, errRegressed) {
 		a.regressedReads++
@@ -158,32 +158,33 @@
 	return a.mayBeWritten
 }
 
-// final turns the last error into the answer.
-func (a *attempt) final(err error) error {
+// finalError converts the last error into the error of the change.
+func (a *attempt) finalError(err error) error {
 	if a.mayBeWritten {
 		detail := fmt.Sprintf("change %s may have been written; apply it again with the same id", a.id)
 		return failure.Wrap(err, failure.OutcomeUnknown, detail)
 	}
-	return unavailable(err, "change the table")
+	return storeError(err, "change policy table")
 }
 
-// unavailable gives a store's error its kind; other kinds stay.
-func unavailable(err error, attempted string) error {
+// storeError returns err if it is a *failure.Error, and otherwise wraps it as
+// StoreUnavailable.
+func storeError(err error, operation string) error {
 	var known *failure.Error
 	if errors.As(err, &known) {
 		return known
 	}
-	return failure.Wrap(err, failure.StoreUnavailable, attempted)
+	return failure.Wrap(err, failure.StoreUnavailable, operation)
 }
 
-func transactionFor(current *stored, table *policy.Table) (store.Transaction, error) {
+func newTransaction(current *storedTable, table *policy.Table) (store.Transaction, error) {
 	body, err := json.Marshal(table)
 	if err != nil {
-		return store.Transaction{}, failure.Wrap(err, failure.Internal, "encode the table").WithNotRun(true)
+		return store.Transaction{}, failure.Wrap(err, failure.Internal, "encode policy table").WithNotRun(true)
 	}
 	change, err := json.Marshal(table.LastChange)
 	if err != nil {
-		return store.Transaction{}, failure.Wrap(err, failure.Internal, "encode the change").WithNotRun(true)
+		return store.Transaction{}, failure.Wrap(err, failure.Internal, "encode policy change").WithNotRun(true)
 	}
 	key := document.Table.Key()
 	return store.Transaction{
@@ -195,23 +196,23 @@
 	}, nil
 }
 
-// offer brings a table that the store holds into force here.
+// offer offers a table that is in the store to the register of this daemon.
 func (e *Editor) offer(table *policy.Table) {
 	body, err := json.Marshal(table)
 	if err == nil {
 		_, err = e.register.Offer(document.Document{Name: document.Table, Revision: table.Revision, Body: body})
 	}
 	if err != nil {
-		e.logger.Warn("the changed table was not accepted", slog.Any("error", err))
+		e.logger.Warn("changed table rejected by this daemon", slog.Any("error", err))
 	}
 }
 
-// waitLimit is the greatest wait before another try.
-func waitLimit(tries int) time.Duration { return min(longestWait, firstWait<<min(tries, 10)) }
+// backoffLimit returns the maximum wait before the next attempt.
+func backoffLimit(tries int) time.Duration { return min(maxBackoff, initialBackoff<<min(tries, 10)) }
 
-// pause waits before another try, with full jitter; it is false when ctx ends
-// first.
-func pause(ctx context.Context, limit time.Duration) bool {
+// sleepWithJitter waits for a random time below limit. It returns false if ctx is
+// done first.
+func sleepWithJitter(ctx context.Context, limit time.Duration) bool {
 	timer := time.NewTimer(rand.N(limit))
 	defer timer.Stop()
 	select {
--- a/internal/policytable/edit.go
+++ b/internal/policytable/edit.go
@@ -10,15 +10,15 @@
 	"github.com/doorpond/doorpond/internal/policy"
 )
 
-// Edit is one change wanted by an operator; all of it is applied, or nothing.
+// Edit is a change requested by an operator. It is applied atomically.
 type Edit struct {
-	// ID identifies the change: applying the same ID again has no further
-	// effect. Empty means a new one.
+	// ID identifies the change; applying the same ID again has no effect. If it
+	// is empty, a new ID is generated.
 	ID string `json:"id" yaml:"id"`
-	// Author is who wants the change.
+	// Author is the name of the operator.
 	Author string `json:"author" yaml:"author"`
-	// ExpectedRevision, unless 0, is the table's revision that the author
-	// saw: the rows touched must not have changed since.
+	// ExpectedRevision is the table revision that the edit is based on. The rows
+	// to be changed must not have changed since. 0 disables the check.
 	ExpectedRevision  uint64              `json:"expected_revision" yaml:"expected_revision"`
 	SetPolicies       []policy.Row        `json:"set_policies" yaml:"policies"`
 	DeletePolicies    []string            `json:"delete_policies" yaml:"delete_policies"`
@@ -26,31 +26,31 @@
 	DeleteAssignments []string            `json:"delete_assignments" yaml:"delete_assignments"`
 }
 
-// The kinds of items in a table, as they are named in summaries.
+// The kinds of items in a table, as written in summaries.
 const (
 	itemPolicy     = "policy"
 	itemAssignment = "assignment"
 )
 
-// touched is one item that an edit changes.
-type touched struct {
+// changedItem is an item that an edit changes.
+type changedItem struct {
 	item, name string
-	// revision is the table's revision that last changed the item; 0 for a
-	// new one.
+	// revision is the table revision that last changed the item, or 0 if it is
+	// new.
 	revision uint64
 }
 
-// applied is the result of an edit to a table.
-type applied struct {
+// editResult is the result of applying an edit to a table.
+type editResult struct {
 	table   *policy.Table
-	touched []touched
+	changed []changedItem
 	summary []string
 }
 
-// apply makes a new table from an old one. Rows that the edit does not change
+// apply returns the table that results from applying the edit to old. Unchanged rows
 // keep their revision.
-func (e *Edit) apply(old *policy.Table, revision uint64) (applied, error) {
-	result := applied{table: &policy.Table{
+func (e *Edit) apply(old *policy.Table, revision uint64) (editResult, error) {
+	result := editResult{table: &policy.Table{
 		Revision:    revision,
 		Policies:    slices.Clone(old.Policies),
 		Assignments: slices.Clone(old.Assignments),
@@ -59,89 +59,89 @@
 	for _, row := range e.SetPolicies {
 		result.setPolicy(row)
 	}
-	for _, assigned := range e.SetAssignments {
-		result.setAssignment(assigned)
+	for _, assignment := range e.SetAssignments {
+		result.setAssignment(assignment)
 	}
 	for _, group := range e.DeleteAssignments {
 		if err := result.deleteAssignment(group); err != nil {
-			return applied{}, err
+			return editResult{}, err
 		}
 	}
 	for _, name := range e.DeletePolicies {
 		if err := result.deletePolicy(name); err != nil {
-			return applied{}, err
+			return editResult{}, err
 		}
 	}
 	result.sort()
 	return result, nil
 }
 
-func (a *applied) touch(item, name string, revision uint64, lines ...string) {
-	a.touched = append(a.touched, touched{item: item, name: name, revision: revision})
+func (a *editResult) addChange(item, name string, revision uint64, lines ...string) {
+	a.changed = append(a.changed, changedItem{item: item, name: name, revision: revision})
 	a.summary = append(a.summary, lines...)
 }
 
-func (a *applied) setPolicy(row policy.Row) {
+func (a *editResult) setPolicy(row policy.Row) {
 	at := slices.IndexFunc(a.table.Policies, func(old policy.Row) bool { return old.Name == row.Name })
 	row.Revision = a.table.Revision
 	if at < 0 {
 		a.table.Policies = append(a.table.Policies, row)
-		a.touch(itemPolicy, row.Name, 0, createdLine(itemPolicy, row.Name))
+		a.addChange(itemPolicy, row.Name, 0, createdLine(itemPolicy, row.Name))
 		return
 	}
 	old := a.table.Policies[at]
-	lines := differences(itemPolicy, row.Name, old, row)
+	lines := diffRows(itemPolicy, row.Name, old, row)
 	if len(lines) == 0 {
 		return
 	}
 	a.table.Policies[at] = row
-	a.touch(itemPolicy, row.Name, old.Revision, lines...)
+	a.addChange(itemPolicy, row.Name, old.Revision, lines...)
 }
 
-func (a *applied) setAssignment(assigned policy.Assignment) {
-	at := slices.IndexFunc(a.table.Assignments, func(old policy.Assignment) bool { return old.Group == assigned.Group })
-	assigned.Revision = a.table.Revision
+func (a *editResult) setAssignment(assignment policy.Assignment) {
+	at := slices.IndexFunc(a.table.Assignments, func(old policy.Assignment) bool { return old.Group == assignment.Group })
+	assignment.Revision = a.table.Revision
 	if at < 0 {
-		a.table.Assignments = append(a.table.Assignments, assigned)
-		a.touch(itemAssignment, assigned.Group, 0, createdLine(itemAssignment, assigned.Group)+": "+describeShares(assigned.Shares))
+		a.table.Assignments = append(a.table.Assignments, assignment)
+		a.addChange(itemAssignment, assignment.Group, 0, createdLine(itemAssignment, assignment.Group)+": "+describeShares(assignment.Shares))
 		return
 	}
 	old := a.table.Assignments[at]
-	if slices.Equal(old.Shares, assigned.Shares) {
+	if slices.Equal(old.Shares, assignment.Shares) {
 		return
 	}
-	a.table.Assignments[at] = assigned
-	line := fmt.Sprintf("assignment %q: %s -> %s", assigned.Group, describeShares(old.Shares), describeShares(assigned.Shares))
-	a.touch(itemAssignment, assigned.Group, old.Revision, line)
+	a.table.Assignments[at] = assignment
+	line := fmt.Sprintf("assignment %q: %s -> %s", assignment.Group, describeShares(old.Shares), describeShares(assignment.Shares))
+	a.addChange(itemAssignment, assignment.Group, old.Revision, line)
 }
 
-func (a *applied) deletePolicy(name string) error {
+func (a *editResult) deletePolicy(name string) error {
 	at := slices.IndexFunc(a.table.Policies, func(old policy.Row) bool { return old.Name == name })
 	if at < 0 {
-		return failure.New(failure.NotFound, fmt.Sprintf("delete policy %q: there is no such policy", name))
+		return failure.New(failure.NotFound, fmt.Sprintf("delete policy %q: policy does not exist", name))
 	}
-	for _, assigned := range a.table.Assignments {
-		if slices.ContainsFunc(assigned.Shares, func(share policy.Share) bool { return share.Policy == name }) {
+	for _, assignment := range a.table.Assignments {
+		if slices.ContainsFunc(assignment.Shares, func(share policy.Share) bool { return share.Policy == name }) {
 			return failure.New(failure.InvalidRequest,
-				fmt.Sprintf("delete policy %q: group %q is assigned to it", name, assigned.Group))
+				fmt.Sprintf("delete policy %q: in use by group %q", name, assignment.Group))
 		}
 	}
-	a.touch(itemPolicy, name, a.table.Policies[at].Revision, deletedLine(itemPolicy, name))
+	a.addChange(itemPolicy, name, a.table.Policies[at].Revision, deletedLine(itemPolicy, name))
 	a.table.Policies = slices.Delete(a.table.Policies, at, at+1)
 	return nil
 }
 
-func (a *applied) deleteAssignment(group string) error {
+func (a *editResult) deleteAssignment(group string) error {
 	at := slices.IndexFunc(a.table.Assignments, func(old policy.Assignment) bool { return old.Group == group })
 	if at < 0 {
-		return failure.New(failure.NotFound, fmt.Sprintf("delete assignment %q: there is no such assignment", group))
+		return failure.New(failure.NotFound, fmt.Sprintf("delete assignment %q: assignment does not exist", group))
 	}
-	a.touch(itemAssignment, group, a.table.Assignments[at].Revision, deletedLine(itemAssignment, group))
+	a.addChange(itemAssignment, group, a.table.Assignments[at].Revision, deletedLine(itemAssignment, group))
 	a.table.Assignments = slices.Delete(a.table.Assignments, at, at+1)
 	return nil
 }
 
-func (a *applied) sort() {
+func (a *editResult) sort() {
 	slices.SortFunc(a.table.Policies, func(x, y policy.Row) int { return strings.Compare(x.Name, y.Name) })
 	slices.SortFunc(a.table.Assignments, func(x, y policy.Assignment) int { return strings.Compare(x.Group, y.Group) })
 }
@@ -157,27 +157,27 @@
 	return strings.Join(parts, " ")
 }
 
-// field is one leaf of a row's JSON.
+// field is a leaf of the JSON encoding of a row.
 type field struct {
 	path, value string
 }
 
-// revisionPath is the field that is not the operators' to change.
+// revisionPath is the field that is set by the editor and left out of summaries.
 const revisionPath = "revision"
 
-// differences compares two rows field by field, one line a field.
-func differences(item, name string, old, changed policy.Row) []string {
-	before, after := fields(old), fields(changed)
+// diffRows returns one line for each field in which two rows differ.
+func diffRows(item, name string, old, changed policy.Row) []string {
+	before, after := rowFields(old), rowFields(changed)
 	var lines []string
-	for _, now := range after {
-		was := valueOf(before, now.path)
-		if was != now.value {
-			lines = append(lines, fmt.Sprintf("%s %q: %s %s -> %s", item, name, now.path, was, now.value))
+	for _, current := range after {
+		previous := fieldValue(before, current.path)
+		if previous != current.value {
+			lines = append(lines, fmt.Sprintf("%s %q: %s %s -> %s", item, name, current.path, previous, current.value))
 		}
 	}
-	for _, was := range before {
-		if !slices.ContainsFunc(after, func(now field) bool { return now.path == was.path }) {
-			lines = append(lines, fmt.Sprintf("%s %q: %s %s -> %s", item, name, was.path, was.value, noValue))
+	for _, previous := range before {
+		if !slices.ContainsFunc(after, func(current field) bool { return current.path == previous.path }) {
+			lines = append(lines, fmt.Sprintf("%s %q: %s %s -> %s", item, name, previous.path, previous.value, noValue))
 		}
 	}
 	return lines
@@ -185,20 +185,20 @@
 
 const noValue = "(none)"
 
-func valueOf(all []field, path string) string {
-	for _, one := range all {
-		if one.path == path {
-			return one.value
+func fieldValue(fields []field, path string) string {
+	for _, leaf := range fields {
+		if leaf.path == path {
+			return leaf.value
 		}
 	}
 	return noValue
 }
 
-// fields lists the leaves of a row's JSON, sorted by path.
-func fields(row policy.Row) []field {
+// rowFields returns the leaves of the JSON encoding of a row, sorted by path.
+func rowFields(row policy.Row) []field {
 	body, err := json.Marshal(row)
 	if err != nil {
-		return []field{{path: "json", value: err.Error()}} // a number that JSON has not, refused by Validate
+		return []field{{path: "json", value: err.Error()}} // NaN or infinity, rejected by policy.Validate
 	}
 	leaves := flatten(nil, "", body)
 	leaves = slices.DeleteFunc(leaves, func(leaf field) bool { return leaf.path == revisionPath })
--- a/internal/policytable/editor.go
+++ b/internal/policytable/editor.go
@@ -15,10 +15,11 @@
 )
 
 const (
-	// maxAuthor and maxID bound what operators send, in bytes.
+	// maxAuthor and maxID are the maximum lengths of an author and an ID in
+	// bytes.
 	maxAuthor = 256
 	maxID     = 128
-	// changeTimeout bounds one change with its retries.
+	// changeTimeout bounds a change including its retries.
 	changeTimeout = 15 * time.Second
 )
 
@@ -28,7 +29,7 @@
 	store.Committer
 }
 
-// Options are the parts of an Editor.
+// Options configures an Editor.
 type Options struct {
 	Store    Store
 	Register *document.Register
@@ -36,17 +37,17 @@
 	// Now is the wall clock; nil means time.Now.
 	Now    func() time.Time
 	Logger *slog.Logger
-	// NewID names a change; nil means a ULID.
+	// NewID returns the ID of a new change; nil means a ULID.
 	NewID func() string
-	// Pause waits for a random time of up to limit before another try, and
-	// is false when ctx ended; nil means a timer of the real clock.
+	// Pause waits for a random time of up to limit before a retry and returns
+	// false if ctx is done first; nil means a timer.
 	Pause func(ctx context.Context, limit time.Duration) bool
-	// ChangeTimeout bounds one change with its retries; 0 means 15 s.
+	// ChangeTimeout bounds a change including its retries; 0 means 15 s.
 	ChangeTimeout time.Duration
 }
 
-// Editor changes the table in the store. It is safe for concurrent use, and
-// any number of editors may work on one store.
+// Editor changes the policy table in the store. It is safe for concurrent use, and
+// several editors may use the same store.
 type Editor struct {
 	store    Store
 	register *document.Register
@@ -74,7 +75,7 @@
 		editor.newID = func() string { return ulid.Make().String() }
 	}
 	if editor.pause == nil {
-		editor.pause = pause
+		editor.pause = sleepWithJitter
 	}
 	if editor.timeout <= 0 {
 		editor.timeout = changeTimeout
@@ -88,15 +89,13 @@
 	return editor
 }
 
-// Apply makes a change. It returns the change once it is in the store, and
-// the earlier change if its ID was applied before. An edit that would change
-// nothing writes nothing and returns a Change without a summary at the
-// present revision.
+// Apply applies an edit and returns the change once it is in the store. If the ID was
+// applied before, it returns the earlier change. An edit without effect writes
+// nothing and returns a Change at the current revision without a summary.
 //
-// The errors are of these kinds: InvalidRequest, NotFound, Conflict (another
-// changed a touched row first), StoreUnavailable (nothing was written),
-// StoreRegressed, OutcomeUnknown (the change may have been written; apply the
-// same ID again).
+// Its errors have one of these kinds: InvalidRequest, NotFound, Conflict (a row was
+// changed concurrently), StoreUnavailable (nothing was written), StoreRegressed, or
+// OutcomeUnknown (the change may have been written; apply the same ID again).
 func (e *Editor) Apply(ctx context.Context, edit Edit) (policy.Change, error) {
 	if edit.ID == "" {
 		edit.ID = e.newID()
@@ -104,7 +103,7 @@
 	if err := checkEdit(&edit); err != nil {
 		return policy.Change{}, err
 	}
-	build := func(ctx context.Context, current *stored) (*policy.Table, error) {
+	build := func(ctx context.Context, current *storedTable) (*policy.Table, error) {
 		return e.buildEdit(ctx, &edit, current)
 	}
 	return e.change(ctx, edit.ID, build)
@@ -113,20 +112,20 @@
 func checkEdit(edit *Edit) error {
 	switch {
 	case edit.Author == "":
-		return failure.New(failure.InvalidRequest, "edit the table: the author is missing")
+		return failure.New(failure.InvalidRequest, "edit policy table: missing author")
 	case len(edit.Author) > maxAuthor:
-		return failure.New(failure.InvalidRequest, "edit the table: the author's name is too long")
+		return failure.New(failure.InvalidRequest, "edit policy table: author is too long")
 	case len(edit.ID) > maxID:
-		return failure.New(failure.InvalidRequest, "edit the table: the change's id is too long")
+		return failure.New(failure.InvalidRequest, "edit policy table: change id is too long")
 	case len(edit.SetPolicies)+len(edit.DeletePolicies)+len(edit.SetAssignments)+len(edit.DeleteAssignments) == 0:
-		return failure.New(failure.InvalidRequest, "edit the table: there is nothing to change")
+		return failure.New(failure.InvalidRequest, "edit policy table: edit is empty")
 	default:
 		return nil
 	}
 }
 
-// buildEdit returns the table after an edit, nil where nothing changes.
-func (e *Editor) buildEdit(ctx context.Context, edit *Edit, current *stored) (*policy.Table, error) {
+// buildEdit returns the table after an edit, or nil if the edit has no effect.
+func (e *Editor) buildEdit(ctx context.Context, edit *Edit, current *storedTable) (*policy.Table, error) {
 	if err := e.checkNotRegressed(current); err != nil {
 		return nil, err
 	}
@@ -134,10 +133,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkConflict(ctx, e.store, edit, current.table, result.touched); err != nil {
+	if err := checkConflict(ctx, e.store, edit, current.table, result.changed); err != nil {
 		return nil, err
 	}
-	if len(result.touched) == 0 {
+	if len(result.changed) == 0 {
 		return nil, nil
 	}
 	result.table.LastChange = policy.Change{
@@ -150,28 +149,28 @@
 	return result.table, policy.Validate(result.table)
 }
 
-// Restore writes the table in force on this daemon back to a store that holds
-// an older one or none, as the next revision.
+// Restore writes the current table of this daemon, as the next revision, to a store
+// that holds an older table or none.
 func (e *Editor) Restore(ctx context.Context, author string) (policy.Change, error) {
 	if author == "" {
-		return policy.Change{}, failure.New(failure.InvalidRequest, "restore the table: the author is missing")
+		return policy.Change{}, failure.New(failure.InvalidRequest, "restore policy table: missing author")
 	}
 	id := e.newID()
-	build := func(_ context.Context, current *stored) (*policy.Table, error) {
+	build := func(_ context.Context, current *storedTable) (*policy.Table, error) {
 		return e.buildRestore(id, author, current)
 	}
 	return e.change(ctx, id, build)
 }
 
-func (e *Editor) buildRestore(id, author string, current *stored) (*policy.Table, error) {
-	inForce := e.board.PolicyTable.Load()
-	if inForce == nil {
-		return nil, failure.New(failure.NoTable, "restore the table: none is in force on this daemon")
+func (e *Editor) buildRestore(id, author string, current *storedTable) (*policy.Table, error) {
+	published := e.board.PolicyTable.Load()
+	if published == nil {
+		return nil, failure.New(failure.NoTable, "restore policy table: this daemon has no table")
 	}
-	if current.table.Revision >= inForce.Table.Revision {
-		return nil, failure.New(failure.InvalidRequest, "restore the table: the store does not hold an older one")
+	if current.table.Revision >= published.Table.Revision {
+		return nil, failure.New(failure.InvalidRequest, "restore policy table: the store does not hold an older one")
 	}
-	restored := *inForce.Table
+	restored := *published.Table
 	restored.Revision++
 	restored.LastChange = policy.Change{
 		ID:       id,
@@ -183,11 +182,12 @@
 	return &restored, nil
 }
 
-// Diff returns what an edit would change, one line a field, without writing.
+// Diff returns the changes that an edit would make, one line per field, without
+// writing them.
 func (e *Editor) Diff(ctx context.Context, edit Edit) ([]string, error) {
 	current, err := e.read(ctx)
 	if err != nil {
-		return nil, unavailable(err, "read the table")
+		return nil, storeError(err, "read policy table")
 	}
 	result, err := edit.apply(current.table, current.table.Revision+1)
 	if err != nil {
@@ -199,8 +199,8 @@
 	return result.summary, nil
 }
 
-// History returns the last changes, newest first, at most limit of them (0
-// means 20).
+// History returns the latest changes, newest first, and at most limit of them (20 if
+// limit is 0).
 func (e *Editor) History(ctx context.Context, limit int) ([]policy.Change, error) {
 	const defaultLimit = 20
 	if limit <= 0 {
@@ -209,16 +209,16 @@
 	limit = min(limit, maxHistory)
 	current, err := e.read(ctx)
 	if err != nil {
-		return nil, unavailable(err, "read the table")
+		return nil, storeError(err, "read policy table")
 	}
-	left := limit
-	enough := func(policy.Change) bool {
-		left--
-		return left == 0
+	remaining := limit
+	stop := func(policy.Change) bool {
+		remaining--
+		return remaining == 0
 	}
-	changes, err := changesDown(ctx, e.store, current.table.Revision, limit/blockSize+rememberedBlocks, enough)
+	changes, err := listChanges(ctx, e.store, current.table.Revision, limit/blockSize+maxSearchBlocks, stop)
 	if err != nil {
-		return nil, unavailable(err, "read the history")
+		return nil, storeError(err, "read policy history")
 	}
 	return changes, nil
 }
--- a/internal/policytable/editor_test.go
+++ b/internal/policytable/editor_test.go
@@ -17,60 +17,60 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// daemon is an editor with the parts of its daemon.
+// daemon is an Editor with the register and blackboard of its daemon.
 type daemon struct {
 	board    *blackboard.Board
 	register *document.Register
 	editor   *policytable.Editor
 }
 
-func newDaemon(held policytable.Store) *daemon {
-	made := &daemon{board: &blackboard.Board{}, register: document.NewRegister()}
-	made.register.AddAcceptor(document.Table, policytable.TableAcceptor(made.board))
-	made.editor = policytable.NewEditor(policytable.Options{Store: held, Register: made.register, Board: made.board})
-	return made
+func newDaemon(store policytable.Store) *daemon {
+	d := &daemon{board: &blackboard.Board{}, register: document.NewRegister()}
+	d.register.AddAcceptor(document.Table, policytable.TableAcceptor(d.board))
+	d.editor = policytable.NewEditor(policytable.Options{Store: store, Register: d.register, Board: d.board})
+	return d
 }
 
-// settingHits changes one policy.
-func settingHits(id, name string, hits int) policytable.Edit {
+// setHits returns an edit that sets the hit limit of a policy.
+func setHits(id, name string, hits int) policytable.Edit {
 	row := policy.DefaultRow(name)
 	row.Limits.Hits = hits
 	return policytable.Edit{ID: id, Author: "ama", SetPolicies: []policy.Row{row}}
 }
 
-func apply(t *testing.T, at *daemon, edit policytable.Edit) policy.Change {
+func apply(t *testing.T, d *daemon, edit policytable.Edit) policy.Change {
 	t.Helper()
-	change, err := at.editor.Apply(t.Context(), edit)
+	change, err := d.editor.Apply(t.Context(), edit)
 	if err != nil {
 		t.Fatalf("apply %s: %v", edit.ID, err)
 	}
 	return change
 }
 
-func TestApplyUnderStoreFaults(t *testing.T) {
+func TestApplyWithStoreFaults(t *testing.T) {
 	cases := []struct {
 		name      string
 		commits   []fault
 		failReads int
-		// wantKind is empty where the edit succeeds.
+		// wantKind is empty if the edit succeeds.
 		wantKind failure.Kind
 	}{
 		{"no fault", nil, 0, ""},
-		{"refused", []fault{faultRefused}, 0, failure.StoreUnavailable},
+		{"rejected", []fault{faultRejected}, 0, failure.StoreUnavailable},
 		{"reads fail", nil, 1, failure.StoreUnavailable},
-		{"answer lost", []fault{faultLostAnswer}, 0, ""},
+		{"response lost", []fault{faultLostResponse}, 0, ""},
 		{"request lost", []fault{faultLostRequest}, 0, ""},
-		{"request lost, then answer lost", []fault{faultLostRequest, faultLostAnswer}, 0, ""},
-		{"request lost, then refused, then applied", []fault{faultLostRequest, faultRefused}, 0, ""},
-		{"lost until the time is over", many(faultLostRequest, 1000), 0, failure.OutcomeUnknown},
+		{"request lost, then response lost", []fault{faultLostRequest, faultLostResponse}, 0, ""},
+		{"request lost, then rejected, then applied", []fault{faultLostRequest, faultRejected}, 0, ""},
+		{"requests lost until timeout", repeatFault(faultLostRequest, 1000), 0, failure.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				held := newFakeStore(c.commits...)
-				held.failReads = c.failReads
-				at := newDaemon(held)
-				change, err := at.editor.Apply(t.Context(), settingHits("one", "p", 10))
+				store := newFakeStore(c.commits...)
+				store.failReads = c.failReads
+				d := newDaemon(store)
+				change, err := d.editor.Apply(t.Context(), setHits("one", "p", 10))
 				if c.wantKind != "" {
 					checkKind(t, err, c.wantKind)
 					return
@@ -78,19 +78,19 @@
 				if err != nil || change.Revision != 1 || change.ID != "one" {
 					t.Fatalf("change %+v, error %v", change, err)
 				}
-				if row := at.board.PolicyTable.Load().Row("p"); row == nil || row.Limits.Hits != 10 || row.Revision != 1 {
-					t.Errorf("in force: %+v", row)
+				if row := d.board.PolicyTable.Load().Row("p"); row == nil || row.Limits.Hits != 10 || row.Revision != 1 {
+					t.Errorf("published: %+v", row)
 				}
-				checkHistory(t, at, "one")
+				checkHistory(t, d, "one")
 			})
 		})
 	}
 }
 
-func many(one fault, count int) []fault {
+func repeatFault(value fault, count int) []fault {
 	faults := make([]fault, count)
 	for i := range faults {
-		faults[i] = one
+		faults[i] = value
 	}
 	return faults
 }
@@ -101,15 +101,16 @@
 		t.Fatalf("error %v, want kind %s", err, want)
 	}
 	row := failure.Lookup(want)
-	if known := failure.From(err); known.NotRun != row.NotRun || known.RetryAfter != row.RetryAfter {
-		t.Errorf("not run %v, retry after %v", known.NotRun, known.RetryAfter)
+	if got := failure.From(err); got.NotRun != row.NotRun || got.RetryAfter != row.RetryAfter {
+		t.Errorf("NotRun %v, RetryAfter %v", got.NotRun, got.RetryAfter)
 	}
 }
 
-// checkHistory wants these changes, newest first, at revisions without a gap.
-func checkHistory(t *testing.T, at *daemon, want ...string) {
+// checkHistory checks that the history has these changes, newest first, with
+// consecutive revisions.
+func checkHistory(t *testing.T, d *daemon, want ...string) {
 	t.Helper()
-	changes, err := at.editor.History(t.Context(), 500)
+	changes, err := d.editor.History(t.Context(), 500)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,50 +126,50 @@
 	}
 }
 
-func TestSameIDIsAppliedOnce(t *testing.T) {
+func TestApplyIsIdempotentByID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := newFakeStore()
-		at := newDaemon(held)
-		first := apply(t, at, settingHits("one", "p", 10))
-		apply(t, at, settingHits("two", "p", 20))
-		again := apply(t, newDaemon(held), settingHits("one", "p", 10))
+		store := newFakeStore()
+		d := newDaemon(store)
+		first := apply(t, d, setHits("one", "p", 10))
+		apply(t, d, setHits("two", "p", 20))
+		again := apply(t, newDaemon(store), setHits("one", "p", 10))
 		if diff := cmp.Diff(first, again); diff != "" {
 			t.Error(diff)
 		}
-		checkHistory(t, at, "two", "one")
+		checkHistory(t, d, "two", "one")
 	})
 }
 
-func TestTwoOperators(t *testing.T) {
-	delete := func(id, name string) policytable.Edit {
+func TestApplyConcurrentChange(t *testing.T) {
+	deletePolicy := func(id, name string) policytable.Edit {
 		return policytable.Edit{ID: id, Author: "kofi", DeletePolicies: []string{name}}
 	}
 	cases := []struct {
-		name          string
-		other, mine   policytable.Edit
-		expected      uint64
-		wantKind      failure.Kind
-		wantInDetails string
+		name        string
+		other, edit policytable.Edit
+		expected    uint64
+		wantKind    failure.Kind
+		wantInError string
 	}{
-		{"other row", settingHits("other", "q", 5), settingHits("mine", "p", 20), 1, "", ""},
-		{"same row unseen", settingHits("other", "p", 5), settingHits("mine", "p", 20), 1, failure.Conflict,
+		{"different rows", setHits("other", "q", 5), setHits("mine", "p", 20), 1, "", ""},
+		{"same row", setHits("other", "p", 5), setHits("mine", "p", 20), 1, failure.Conflict,
 			`by ama at revision 2`},
-		{"same row, nothing expected", settingHits("other", "p", 5), settingHits("mine", "p", 20), 0, "", ""},
-		{"same row, same value", settingHits("other", "p", 5), settingHits("mine", "p", 5), 1, "", ""},
-		{"row deleted unseen", delete("other", "p"), settingHits("mine", "p", 20), 1, failure.Conflict,
+		{"same row without expected revision", setHits("other", "p", 5), setHits("mine", "p", 20), 0, "", ""},
+		{"same row, same value", setHits("other", "p", 5), setHits("mine", "p", 5), 1, "", ""},
+		{"row deleted", deletePolicy("other", "p"), setHits("mine", "p", 20), 1, failure.Conflict,
 			`policy "p" deleted`},
-		{"row deleted by both", delete("other", "p"), delete("mine", "p"), 1, failure.NotFound, ""},
+		{"row deleted by both", deletePolicy("other", "p"), deletePolicy("mine", "p"), 1, failure.NotFound, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				held := newFakeStore()
-				at := newDaemon(held)
-				apply(t, at, settingHits("first", "p", 10))
-				other := newDaemon(held)
-				held.before = func() { apply(t, other, c.other) }
-				c.mine.ExpectedRevision = c.expected
-				_, err := at.editor.Apply(t.Context(), c.mine)
+				store := newFakeStore()
+				d := newDaemon(store)
+				apply(t, d, setHits("first", "p", 10))
+				other := newDaemon(store)
+				store.beforeCommit = func() { apply(t, other, c.other) }
+				c.edit.ExpectedRevision = c.expected
+				_, err := d.editor.Apply(t.Context(), c.edit)
 				if c.wantKind == "" {
 					if err != nil {
 						t.Fatal(err)
@@ -176,30 +177,30 @@
 					return
 				}
 				checkKind(t, err, c.wantKind)
-				if !strings.Contains(err.Error(), c.wantInDetails) {
-					t.Errorf("%v does not say %q", err, c.wantInDetails)
+				if !strings.Contains(err.Error(), c.wantInError) {
+					t.Errorf("error %v does not contain %q", err, c.wantInError)
 				}
 			})
 		})
 	}
 }
 
-func TestConcurrentEditsLoseNothing(t *testing.T) {
+func TestApplyConcurrentEditors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const editors = 8
-		held := newFakeStore(faultNone, faultLostAnswer, faultNone, faultLostRequest, faultNone, faultLostAnswer)
+		store := newFakeStore(faultNone, faultLostResponse, faultNone, faultLostRequest, faultNone, faultLostResponse)
 		var group sync.WaitGroup
 		for i := range editors {
 			group.Go(func() {
 				name := fmt.Sprintf("p%d", i)
-				if _, err := newDaemon(held).editor.Apply(t.Context(), settingHits(name, name, i+1)); err != nil {
+				if _, err := newDaemon(store).editor.Apply(t.Context(), setHits(name, name, i+1)); err != nil {
 					t.Errorf("%s: %v", name, err)
 				}
 			})
 		}
 		group.Wait()
-		last := newDaemon(held)
-		apply(t, last, settingHits("last", "last", 1))
+		last := newDaemon(store)
+		apply(t, last, setHits("last", "last", 1))
 		if got := len(last.board.PolicyTable.Load().Table.Policies); got != editors+1 {
 			t.Errorf("%d policies, want %d", got, editors+1)
 		}
@@ -209,28 +210,28 @@
 	})
 }
 
-func TestRegressedStoreIsRefusedAndRestored(t *testing.T) {
+func TestRestoreRegressedStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		at := newDaemon(newFakeStore())
-		apply(t, at, settingHits("one", "p", 10))
-		apply(t, at, settingHits("two", "p", 20))
+		d := newDaemon(newFakeStore())
+		apply(t, d, setHits("one", "p", 10))
+		apply(t, d, setHits("two", "p", 20))
 		empty := newFakeStore()
-		restored := policytable.NewEditor(policytable.Options{Store: empty, Register: at.register, Board: at.board})
-		_, err := restored.Apply(t.Context(), settingHits("three", "p", 30))
+		restored := policytable.NewEditor(policytable.Options{Store: empty, Register: d.register, Board: d.board})
+		_, err := restored.Apply(t.Context(), setHits("three", "p", 30))
 		checkKind(t, err, failure.StoreRegressed)
 		change, err := restored.Restore(t.Context(), "ama")
 		if err != nil || change.Revision != 3 {
 			t.Fatalf("change %+v, error %v", change, err)
 		}
-		if got := at.board.PolicyTable.Load(); got.Table.Revision != 3 || got.Row("p").Limits.Hits != 20 {
-			t.Errorf("in force: %+v", got.Table)
+		if got := d.board.PolicyTable.Load(); got.Table.Revision != 3 || got.Row("p").Limits.Hits != 20 {
+			t.Errorf("published: %+v", got.Table)
 		}
 		_, err = restored.Restore(t.Context(), "ama")
 		checkKind(t, err, failure.InvalidRequest)
 	})
 }
 
-func TestRefusedEdits(t *testing.T) {
+func TestApplyRejectsInvalidEdit(t *testing.T) {
 	assigned := policytable.Edit{Author: "ama", SetPolicies: []policy.Row{policy.DefaultRow("p")},
 		SetAssignments: []policy.Assignment{{Group: "g", Shares: []policy.Share{{Policy: "p", Weight: 1}}}}}
 	bad := policy.DefaultRow("p")
@@ -241,7 +242,7 @@
 		want failure.Kind
 	}{
 		{"no author", policytable.Edit{DeletePolicies: []string{"p"}}, failure.InvalidRequest},
-		{"nothing", policytable.Edit{Author: "ama"}, failure.InvalidRequest},
+		{"empty edit", policytable.Edit{Author: "ama"}, failure.InvalidRequest},
 		{"invalid row", policytable.Edit{Author: "ama", SetPolicies: []policy.Row{bad}}, failure.InvalidRequest},
 		{"policy in use", policytable.Edit{Author: "ama", DeletePolicies: []string{"p"}}, failure.InvalidRequest},
 		{"unknown policy", policytable.Edit{Author: "ama", DeletePolicies: []string{"x"}}, failure.NotFound},
@@ -249,39 +250,39 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			at := newDaemon(newFakeStore())
-			apply(t, at, assigned)
-			_, err := at.editor.Apply(t.Context(), c.edit)
+			d := newDaemon(newFakeStore())
+			apply(t, d, assigned)
+			_, err := d.editor.Apply(t.Context(), c.edit)
 			checkKind(t, err, c.want)
-			if got := at.board.PolicyTable.Load().Table.Revision; got != 1 {
+			if got := d.board.PolicyTable.Load().Table.Revision; got != 1 {
 				t.Errorf("revision %d, want 1", got)
 			}
 		})
 	}
 }
 
-func TestDiffNamesFields(t *testing.T) {
-	at := newDaemon(newFakeStore())
-	apply(t, at, settingHits("one", "p", 10))
-	changed := settingHits("two", "p", 20)
+func TestDiffListsChangedFields(t *testing.T) {
+	d := newDaemon(newFakeStore())
+	apply(t, d, setHits("one", "p", 10))
+	changed := setHits("two", "p", 20)
 	changed.SetPolicies[0].Wait.Timeout = policy.Duration(2 * time.Second)
-	lines, err := at.editor.Diff(t.Context(), changed)
+	lines, err := d.editor.Diff(t.Context(), changed)
 	want := []string{`policy "p": limits.hits 10 -> 20`, `policy "p": wait.timeout 1s -> 2s`}
 	if diff := cmp.Diff(want, lines); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	unchanged := apply(t, at, settingHits("three", "p", 10))
+	unchanged := apply(t, d, setHits("three", "p", 10))
 	if unchanged.Revision != 1 || len(unchanged.Summary) != 0 {
-		t.Errorf("an edit without effect made %+v", unchanged)
+		t.Errorf("edit without effect returned %+v", unchanged)
 	}
 }
 
-func TestHistoryOverBlocks(t *testing.T) {
-	at := newDaemon(newFakeStore())
+func TestHistorySpansBlocks(t *testing.T) {
+	d := newDaemon(newFakeStore())
 	for i := range 205 {
-		apply(t, at, settingHits(fmt.Sprint(i), "p", i+1))
+		apply(t, d, setHits(fmt.Sprint(i), "p", i+1))
 	}
-	changes, err := at.editor.History(t.Context(), 150)
+	changes, err := d.editor.History(t.Context(), 150)
 	if err != nil || len(changes) != 150 {
 		t.Fatalf("%d changes, error %v", len(changes), err)
 	}
@@ -292,35 +293,35 @@
 	}
 }
 
-func TestPublishKeepsThePreviousTable(t *testing.T) {
+func TestTableAcceptorRejectsInvalidTable(t *testing.T) {
 	cases := map[string]string{
-		"not JSON":       `{`,
-		"wrong type":     `{"revision":2,"policies":{}}`,
-		"invalid row":    `{"revision":2,"policies":[{"name":"p"}]}`,
-		"other revision": `{"revision":3,"policies":[],"assignments":[]}`,
+		"not JSON":          `{`,
+		"wrong type":        `{"revision":2,"policies":{}}`,
+		"invalid row":       `{"revision":2,"policies":[{"name":"p"}]}`,
+		"revision mismatch": `{"revision":3,"policies":[],"assignments":[]}`,
 	}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			at := newDaemon(newFakeStore())
-			apply(t, at, settingHits("one", "p", 10))
-			_, err := at.register.Offer(document.Document{Name: document.Table, Revision: 2, Body: []byte(body)})
+			d := newDaemon(newFakeStore())
+			apply(t, d, setHits("one", "p", 10))
+			_, err := d.register.Offer(document.Document{Name: document.Table, Revision: 2, Body: []byte(body)})
 			if err == nil {
-				t.Error("accepted")
+				t.Error("invalid table accepted")
 			}
-			if got := at.board.PolicyTable.Load().Table.Revision; got != 1 {
+			if got := d.board.PolicyTable.Load().Table.Revision; got != 1 {
 				t.Errorf("revision %d, want 1", got)
 			}
 		})
 	}
 }
 
-func TestPublishCatalogue(t *testing.T) {
+func TestCatalogueAcceptor(t *testing.T) {
 	cases := []struct{ name, body, want string }{
 		{"valid", `{"revision":1,"corpora":[{"name":"c","snapshots":[{"id":1,"indexes":[{"name":"i","groups":["g"]}]},{"id":2}]}]}`, ""},
 		{"snapshots out of order", `{"revision":1,"corpora":[{"name":"c","snapshots":[{"id":2},{"id":2}]}]}`, "does not follow"},
 		{"no shards", `{"revision":1,"corpora":[{"name":"c","snapshots":[{"id":1,"indexes":[{"name":"i"}]}]}]}`, "no shards"},
 		{"no group", `{"revision":1,"corpora":[{"name":"c","snapshots":[{"id":1,"indexes":[{"name":"i","groups":[""]}]}]}]}`, "no replica group"},
-		{"corpus twice", `{"revision":1,"corpora":[{"name":"c"},{"name":"c"}]}`, "taken"},
+		{"duplicate corpus", `{"revision":1,"corpora":[{"name":"c"},{"name":"c"}]}`, "duplicate name"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -339,13 +340,13 @@
 	}
 }
 
-func TestRereadAfterUnclearWriteDoesNotHideIt(t *testing.T) {
+func TestApplyReadFailureAfterUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := newFakeStore(faultLostAnswer)
-		at := newDaemon(held)
-		held.before = func() { held.failReads = 3 }
-		if _, err := at.editor.Apply(t.Context(), settingHits("one", "p", 10)); err != nil {
-			t.Errorf("the change is in the store, but: %v", err)
+		store := newFakeStore(faultLostResponse)
+		d := newDaemon(store)
+		store.beforeCommit = func() { store.failReads = 3 }
+		if _, err := d.editor.Apply(t.Context(), setHits("one", "p", 10)); err != nil {
+			t.Errorf("change is in the store, but Apply failed: %v", err)
 		}
 	})
 }
--- a/internal/policytable/fake_test.go
+++ b/internal/policytable/fakestore_test.go
@@ -9,35 +9,35 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// fault is what happens to one commit of the fake store.
+// fault is the simulated outcome of a commit.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultRefused: not applied, and said so.
-	faultRefused
-	// faultLostAnswer: applied, but the answer is lost.
-	faultLostAnswer
-	// faultLostRequest: not applied, but that is not known.
+	// faultRejected: the commit is not applied and fails with ErrNotApplied.
+	faultRejected
+	// faultLostResponse: the commit is applied, but its outcome is unknown.
+	faultLostResponse
+	// faultLostRequest: the commit is not applied, but its outcome is unknown.
 	faultLostRequest
 )
 
-// fakeStore is an in-memory store whose commits and reads fail as scripted.
+// fakeStore is an in-memory store with scripted faults of commits and reads.
 type fakeStore struct {
 	mutex     sync.Mutex
 	revision  int64
 	values    map[string]store.KeyValue
 	commits   []fault
 	failReads int
-	// before runs before a commit is looked at, once.
-	before func()
+	// beforeCommit, if set, runs once before the next commit.
+	beforeCommit func()
 }
 
 func newFakeStore(commits ...fault) *fakeStore {
 	return &fakeStore{values: make(map[string]store.KeyValue), commits: commits}
 }
 
-func (s *fakeStore) readFails() bool {
+func (s *fakeStore) takeReadFailure() bool {
 	if s.failReads == 0 {
 		return false
 	}
@@ -48,7 +48,7 @@
 func (s *fakeStore) Get(_ context.Context, key string) (store.KeyValue, bool, int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.readFails() {
+	if s.takeReadFailure() {
 		return store.KeyValue{}, false, 0, store.ErrUnavailable
 	}
 	value, found := s.values[key]
@@ -58,7 +58,7 @@
 func (s *fakeStore) List(_ context.Context, prefix string, _ int) ([]store.KeyValue, int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.readFails() {
+	if s.takeReadFailure() {
 		return nil, 0, store.ErrUnavailable
 	}
 	var values []store.KeyValue
@@ -72,25 +72,25 @@
 }
 
 func (s *fakeStore) Commit(_ context.Context, transaction store.Transaction) (store.Outcome, error) {
-	if s.before != nil {
-		before := s.before
-		s.before = nil
-		before()
+	if s.beforeCommit != nil {
+		beforeCommit := s.beforeCommit
+		s.beforeCommit = nil
+		beforeCommit()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	happens := faultNone
+	next := faultNone
 	if len(s.commits) > 0 {
-		happens, s.commits = s.commits[0], s.commits[1:]
+		next, s.commits = s.commits[0], s.commits[1:]
 	}
-	switch happens {
-	case faultRefused:
+	switch next {
+	case faultRejected:
 		return store.Outcome{}, store.ErrNotApplied
 	case faultLostRequest:
 		return store.Outcome{}, store.ErrUnclear
 	}
 	outcome := s.apply(transaction)
-	if happens == faultLostAnswer {
+	if next == faultLostResponse {
 		return store.Outcome{}, store.ErrUnclear
 	}
 	return outcome, nil
@@ -111,5 +111,5 @@
 }
 
 func (s *fakeStore) CommitAll(context.Context, []store.Transaction) ([]store.Outcome, error) {
-	panic("the editor does not group")
+	panic("unexpected CommitAll")
 }
--- a/internal/policytable/history.go
+++ b/internal/policytable/history.go
@@ -13,21 +13,21 @@
 	"github.com/doorpond/doorpond/internal/store"
 )
 
-// HistoryPrefix is the prefix of the keys that hold the changes, one a
-// revision, as the JSON of policy.Change.
+// HistoryPrefix is the prefix of the keys that hold the changes. There is one key per
+// revision, with the JSON encoding of a policy.Change.
 const HistoryPrefix = "/doorpond/history/"
 
 const (
-	// revisionDigits is the length of a revision in a history key.
+	// revisionDigits is the number of digits of a revision in a history key.
 	revisionDigits = 16
-	// blockDigits are the digits that differ inside a block of history keys
-	// read at once: 100 changes.
+	// blockDigits is the number of trailing digits that differ between the keys
+	// of a block. A block of blockSize changes is read at once.
 	blockDigits = 2
 	blockSize   = 100
-	// rememberedBlocks bounds the search for a change by its ID: at least the
-	// last 100 changes, at most 200.
-	rememberedBlocks = 2
-	// maxHistory is the greatest number of changes that History returns.
+	// maxSearchBlocks bounds the search for a change by its ID to between 100 and
+	// 200 of the latest changes.
+	maxSearchBlocks = 2
+	// maxHistory is the maximum number of changes that History returns.
 	maxHistory = 1000
 )
 
@@ -35,21 +35,22 @@
 	return fmt.Sprintf("%s%0*d", HistoryPrefix, revisionDigits, revision)
 }
 
-// changesDown returns changes from a revision downwards, newest first, until
-// enough returns true for one (which is included) or blocks are used up.
-func changesDown(ctx context.Context, reader store.Reader, from uint64, blocks int, enough func(policy.Change) bool) ([]policy.Change, error) {
+// listChanges returns the changes at and before a revision, newest first. It ends
+// with the first change for which stop returns true, or after the given number of
+// blocks.
+func listChanges(ctx context.Context, reader store.Reader, from uint64, blocks int, stop func(policy.Change) bool) ([]policy.Change, error) {
 	var changes []policy.Change
 	for block := from / blockSize; blocks > 0; blocks-- {
-		inBlock, err := readBlock(ctx, reader, block)
+		blockChanges, err := readBlock(ctx, reader, block)
 		if err != nil {
 			return nil, err
 		}
-		for _, change := range inBlock {
+		for _, change := range blockChanges {
 			if change.Revision > from {
 				continue
 			}
 			changes = append(changes, change)
-			if enough(change) {
+			if stop(change) {
 				return changes, nil
 			}
 		}
@@ -61,14 +62,13 @@
 	return changes, nil
 }
 
-// readBlock returns the changes whose keys share all digits but the last two,
-// newest first. A value that cannot be read is passed over: it was not
-// written by doorpond.
+// readBlock returns the changes of a block, newest first. Invalid values are skipped,
+// because they were not written by an Editor.
 func readBlock(ctx context.Context, reader store.Reader, block uint64) ([]policy.Change, error) {
 	key := historyKey(block * blockSize)
 	values, _, err := reader.List(ctx, key[:len(key)-blockDigits], 0)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the history")
+		return nil, eris.Wrap(err, "read policy history")
 	}
 	changes := make([]policy.Change, 0, len(values))
 	for _, value := range values {
@@ -90,7 +90,7 @@
 	return change, historyKey(change.Revision) == value.Key
 }
 
-// findChange looks for a change by its ID among the last ones.
+// findChange searches the latest changes for an ID.
 func findChange(ctx context.Context, reader store.Reader, table *policy.Table, id string) (policy.Change, bool, error) {
 	if table.LastChange.ID == id {
 		return table.LastChange, true, nil
@@ -98,12 +98,12 @@
 	if table.Revision == 0 {
 		return policy.Change{}, false, nil
 	}
-	same := func(change policy.Change) bool { return change.ID == id }
-	changes, err := changesDown(ctx, reader, table.Revision, rememberedBlocks, same)
+	hasID := func(change policy.Change) bool { return change.ID == id }
+	changes, err := listChanges(ctx, reader, table.Revision, maxSearchBlocks, hasID)
 	if err != nil {
 		return policy.Change{}, false, err
 	}
-	if len(changes) == 0 || !same(changes[len(changes)-1]) {
+	if len(changes) == 0 || !hasID(changes[len(changes)-1]) {
 		return policy.Change{}, false, nil
 	}
 	return changes[len(changes)-1], true, nil
