--- a/internal/edge/budget_test.go
+++ b/internal/edge/budget_test.go
@@ -81,11 +81,11 @@
 
 // standbyBoard returns the board of a standby node beside a number of entry nodes.
 func standbyBoard(entries int) *blackboard.Board {
-	nodes := &topology.Nodes{Nodes: make([]topology.Node, entries+1), Shared: entries}
+	nodes := &topology.Nodes{Nodes: make([]topology.Node, entries+1), BudgetShares: entries}
 	for i := range nodes.Nodes {
 		nodes.Nodes[i].ID = string(rune('a' + i))
 	}
-	nodes.Entries = nodes.Nodes[:entries]
+	nodes.EntryNodes = nodes.Nodes[:entries]
 	nodes.Self = nodes.Nodes[entries]
 	board := &blackboard.Board{}
 	board.Nodes.Publish(nodes)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -191,7 +191,7 @@
 	n.initQuarantine(source, registerer)
 	n.queries = query.NewService(query.Options{
 		Board: n.board, Pool: n.pool, Registerer: registerer, Logger: n.logger, Quarantine: n.quarantine,
-		Admission: admission.New(admission.Options{Registerer: registerer}), PausedTime: n.meter.Lost,
+		Admission: admission.New(admission.Options{Registerer: registerer}), PausedTime: n.meter.PausedTime,
 	})
 	n.follower = follower.New(follower.Options{
 		Store: source, Decoder: n.platform.Codec, Keys: n.platform.Keys, Board: n.board, Quarantine: n.quarantine,
@@ -202,7 +202,7 @@
 			HTTP: relayClient(), Wait: relayPollTimeout, ResponseMargin: relayPollSlack,
 			OnSuspicions: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
-		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.Steady,
+		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.RanWithoutPause,
 		VanishedRetention: time.Duration(removedReplicaShare * float64(n.settings.Bounds.Drain)),
 		ColdBound:         decision.ColdRateLimit{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
@@ -212,7 +212,7 @@
 		Listed: n.listed, Era: n.storeEra,
 		Node: func() topology.Node {
 			entry := n.self
-			entry.Ready, entry.Loaded = n.ready(), n.loaded()
+			entry.Ready, entry.Overloaded = n.ready(), n.loaded()
 			return entry
 		},
 		Logger: n.logger,
@@ -313,7 +313,7 @@
 		return nil // callers then ask another directory
 	}
 	own := recorded.Self
-	own.Ready, own.Loaded = n.ready(), n.loaded()
+	own.Ready, own.Overloaded = n.ready(), n.loaded()
 	index := slices.IndexFunc(recorded.Nodes, func(node topology.Node) bool { return node.ID == own.ID })
 	if index >= 0 && recorded.Nodes[index] == own {
 		return recorded
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -50,9 +50,9 @@
 // initServers creates the server of each listener.
 func (n *Node) initServers() {
 	n.server = n.newServer(ingress.New(ingress.Options{
-		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, Await: n.follower.WaitUntilFresh, Logger: n.logger,
+		Board: n.board, Codec: n.platform.Codec, Forwarder: n.queries, WaitFresh: n.follower.WaitUntilFresh, Logger: n.logger,
 	}))
-	n.connections.Follow(n.server)
+	n.connections.Track(n.server)
 	requests, cancelRequests := context.WithCancelCause(context.Background())
 	n.server.BaseContext = func(net.Listener) context.Context { return requests }
 	n.cancelRequests = cancelRequests
@@ -70,8 +70,8 @@
 	mux.Handle(relay.Path, n.follower.Feed())
 	mux.Handle(handover.Path, handover.Handler(n.follower.Snapshot))
 	mux.Handle("/v1/", inspect.New(inspect.Config{
-		Board: n.board, Node: n.self, Measured: n.queries.Statistics, Loaded: n.loaded, Budgets: n.budgets.usage,
-		Client: stateClient(), Quarantined: n.quarantine.Records, Release: n.release, Known: n.follower.AppliedRevision,
+		Board: n.board, Node: n.self, Statistics: n.queries.Statistics, Overloaded: n.loaded, Budgets: n.budgets.usage,
+		Client: stateClient(), Quarantined: n.quarantine.Records, Release: n.release, StoreProgress: n.follower.AppliedRevision,
 	}))
 	return mux
 }
--- a/internal/edge/settings_test.go
+++ b/internal/edge/settings_test.go
@@ -206,11 +206,11 @@
 
 // Standby nodes get a small share of the slack, and all shares together must not exceed it.
 func TestStandbyBudget(t *testing.T) {
-	nodes := &topology.Nodes{Nodes: make([]topology.Node, 10), Shared: 4}
+	nodes := &topology.Nodes{Nodes: make([]topology.Node, 10), BudgetShares: 4}
 	for i := range nodes.Nodes {
 		nodes.Nodes[i].ID = fmt.Sprint("n", i)
 	}
-	nodes.Entries = nodes.Nodes[:4]
+	nodes.EntryNodes = nodes.Nodes[:4]
 	granted := func(self int) int {
 		own := *nodes
 		own.Self = nodes.Nodes[self]
--- a/internal/follower/cold.go
+++ b/internal/follower/cold.go
@@ -18,10 +18,10 @@
 // coldUntil returns when a replica's cold period ends according to its entry; zero when the entry
 // does not say. The deadline is needed because entries are not updated during a store outage.
 func (s *state) coldUntil(replica topology.Replica) time.Time {
-	if replica.ColdFor == 0 {
+	if replica.ColdRemaining == 0 {
 		return time.Time{}
 	}
-	return s.options.Now().Add(replica.ColdFor)
+	return s.options.Now().Add(replica.ColdRemaining)
 }
 
 // coldEndsAt returns when a replica's cold period ends, by its entry or by the end of its zone's
@@ -31,7 +31,7 @@
 	service := s.service(entry.replica.Group)
 	endedAt, found := s.evacuationEnded[entry.replica.Place.Zone]
 	if found && service.ColdRate > 0 {
-		if after := endedAt.Add(service.ColdTime); after.After(end) {
+		if after := endedAt.Add(service.ColdDuration); after.After(end) {
 			end = after
 		}
 	}
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -80,7 +80,7 @@
 	}
 	candidates := directory.Watchers(nodes.Nodes, f.options.Self.Place, watchersPerZone)
 	if attempt > 0 || len(candidates) == 0 || slices.ContainsFunc(candidates, f.isSelf) {
-		candidates = slices.Clone(nodes.Entries)
+		candidates = slices.Clone(nodes.EntryNodes)
 	}
 	candidates = slices.DeleteFunc(candidates, f.isSelf)
 	return f.pick(candidates)
--- a/internal/follower/state_test.go
+++ b/internal/follower/state_test.go
@@ -64,7 +64,7 @@
 	state.publish(start)
 	state.replace(start, nil)
 	state.publish(start.Add(900 * time.Millisecond))
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaVanished, "b": topology.ReplicaLeaving}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaMissing, "b": topology.ReplicaLeaving}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("within the retention period (-want +got):\n%s", diff)
 	}
@@ -98,11 +98,11 @@
 	state.apply(start, store.Event{KeyValue: store.KeyValue{Key: "nodes/n2"}, Deleted: true})
 	state.publish(start.Add(time.Second))
 	nodes := board.Nodes.Load()
-	if len(nodes.Nodes) != 1 || nodes.Shared != 2 {
-		t.Errorf("%d nodes, shared %d", len(nodes.Nodes), nodes.Shared)
+	if len(nodes.Nodes) != 1 || nodes.BudgetShares != 2 {
+		t.Errorf("%d nodes, shared %d", len(nodes.Nodes), nodes.BudgetShares)
 	}
 	state.publish(start.Add(2 * formerEntryRetention))
-	if got := board.Nodes.Load().Shared; got != 1 {
+	if got := board.Nodes.Load().BudgetShares; got != 1 {
 		t.Errorf("shared %d after the retention period", got)
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	state.apply(start, store.Event{KeyValue: nodeAt(t, 4, "n1")}) // displaces n3
 	state.publish(start.Add(time.Second))
-	if got, shared := entryIDs(board), board.Nodes.Load().Shared; !slices.Equal(got, []string{"n1", "n2"}) || shared != 3 {
+	if got, shared := entryIDs(board), board.Nodes.Load().BudgetShares; !slices.Equal(got, []string{"n1", "n2"}) || shared != 3 {
 		t.Errorf("entry nodes %v, shared %d", got, shared)
 	}
 	if got := len(board.Members.Load().Members); got != 2 {
@@ -197,7 +197,7 @@
 
 func entryIDs(board *blackboard.Board) []string {
 	var ids []string
-	for _, node := range board.Nodes.Load().Entries {
+	for _, node := range board.Nodes.Load().EntryNodes {
 		ids = append(ids, node.ID)
 	}
 	return ids
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		var ids []string
-		for _, entry := range nodes.Entries {
+		for _, entry := range nodes.EntryNodes {
 			ids = append(ids, entry.ID)
 		}
 		return slices.Equal(ids, want)
@@ -41,7 +41,7 @@
 		t.Errorf("%d store watches", watches)
 	}
 	if !entryNodesAre(board, "c")() {
-		t.Errorf("entry nodes %v", board.Nodes.Load().Entries)
+		t.Errorf("entry nodes %v", board.Nodes.Load().EntryNodes)
 	}
 }
 
@@ -143,7 +143,7 @@
 	state.suspects.add("a", start.Add(suspicionTTL))
 	state.nodesChanged = true
 	state.publish(start)
-	if shared := board.Nodes.Load().Shared; shared != 2 {
+	if shared := board.Nodes.Load().BudgetShares; shared != 2 {
 		t.Errorf("shared %d, want 2", shared)
 	}
 }
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -74,7 +74,7 @@
 		if one.Entry {
 			role = "entry"
 		}
-		lines.row(one.Node.Place.Region, one.Node.Place.Zone, one.Node.ID, one.Node.Address, role, one.Node.Loaded,
+		lines.row(one.Node.Place.Region, one.Node.Place.Zone, one.Node.ID, one.Node.Address, role, one.Node.Overloaded,
 			one.Version, reachableText(one), one.StoreEra, one.StoreRevision, confirmedText(one))
 	}
 	lines.end()
@@ -89,17 +89,17 @@
 
 // confirmedText says how old what a node knows of the store may be.
 func confirmedText(node inspect.Node) string {
-	if node.ConfirmedAgo < 0 {
+	if node.ConfirmedAgoMilliseconds < 0 {
 		return "never"
 	}
-	return fmt.Sprintf("%d ms ago", node.ConfirmedAgo)
+	return fmt.Sprintf("%d ms ago", node.ConfirmedAgoMilliseconds)
 }
 
 func printRoutes(to io.Writer, routes []inspect.Route) {
 	lines := newGrid(to, "ROUTE", "HOST", "PATH", "RANK", "REPEATABLE", "ATTEMPTS", "TIMEOUT", "OBJECTIVE", "REGIONS", "TO")
 	for _, one := range routes {
-		lines.row(one.Name, one.Host, one.PathPrefix, one.Rank, one.Repeatable, one.Attempts,
-			fmt.Sprintf("%d ms", one.Timeout), fmt.Sprintf("%d ms", one.Objective), regionsText(one.Regions), targetText(&one))
+		lines.row(one.Name, one.Host, one.PathPrefix, one.Rank, one.Idempotent, one.Attempts,
+			fmt.Sprintf("%d ms", one.TimeoutMilliseconds), fmt.Sprintf("%d ms", one.ObjectiveMilliseconds), regionsText(one.Regions), targetText(&one))
 	}
 	lines.end()
 }
@@ -113,16 +113,16 @@
 
 func targetText(route *inspect.Route) string {
 	if route.Shards > 0 {
-		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.LeastShare, route.TopRecords)
+		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.MinShardRatio, route.TopRecords)
 	}
-	parts := make([]string, 0, len(route.Shares))
-	for _, share := range route.Shares {
-		parts = append(parts, splitText(share, len(route.Shares)))
+	parts := make([]string, 0, len(route.WeightedGroups))
+	for _, share := range route.WeightedGroups {
+		parts = append(parts, splitText(share, len(route.WeightedGroups)))
 	}
 	return strings.Join(parts, ", ")
 }
 
-func splitText(share routing.Share, of int) string {
+func splitText(share routing.WeightedGroup, of int) string {
 	if of == 1 {
 		return share.Group
 	}
@@ -148,7 +148,7 @@
 	lines := newGrid(to, "LEAVING", "GROUP", "ZONE", "ADDRESS")
 	for _, one := range replicas {
 		state := "draining"
-		if one.State == topology.ReplicaVanished {
+		if one.State == topology.ReplicaMissing {
 			state = "vanished"
 		}
 		lines.row(state, one.Group, one.Place.Zone, one.Address)
--- a/internal/policytable/fakestore_test.go
+++ b/internal/policytable/fakestore_test.go
@@ -87,11 +87,11 @@
 	case faultRejected:
 		return store.Outcome{}, store.ErrNotApplied
 	case faultLostRequest:
-		return store.Outcome{}, store.ErrUnclear
+		return store.Outcome{}, store.ErrOutcomeUnknown
 	}
 	outcome := s.apply(transaction)
 	if next == faultLostResponse {
-		return store.Outcome{}, store.ErrUnclear
+		return store.Outcome{}, store.ErrOutcomeUnknown
 	}
 	return outcome, nil
 }
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -89,11 +89,11 @@
 				request: &ForwardRequest{Route: &routing.Route{Objective: objective}},
 			}
 			forward.halfAnsweredAt = time.Millisecond
-			if got := forward.forwardOutcome(objective); got.Strained != test.strained || got.Objective != objective {
+			if got := forward.forwardOutcome(objective); got.Congested != test.strained || got.Objective != objective {
 				t.Errorf("outcome %+v, want strained %v", got, test.strained)
 			}
 			forward.halfAnsweredAt = objective * 3 / 5
-			if got := forward.forwardOutcome(objective); !got.Strained {
+			if got := forward.forwardOutcome(objective); !got.Congested {
 				t.Error("not strained though half of the shards were late")
 			}
 		})
--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -40,7 +40,7 @@
 	if v.members == nil {
 		return nil
 	}
-	return v.members.Sharing
+	return v.members.ColdRateSharers
 }
 
 // coldLimiter is a sliding-window rate limiter for a cold replica. The zero
