--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -61,7 +61,7 @@
 	fmt.Fprintln(w)
 	table := newColumnWriter(w, "REPLICA", "GROUP", "REGION", "ZONE", "STATE", "SEEN BY")
 	for _, replica := range status.Replicas {
-		table.row(replica.Address, replica.Group, replica.Place.Region, replica.Place.Zone, replica.Trouble,
+		table.row(replica.Address, replica.Group, replica.Place.Region, replica.Place.Zone, replica.Reason,
 			fmt.Sprintf("%d of %d", replica.ReportedBy, len(status.Nodes)))
 	}
 	table.flush()
