--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -193,16 +193,16 @@
 }
 
 func TestControllersIsolateTargets(t *testing.T) {
-	targets := NewControllers(Options{})
-	first := targets.ForTarget("a")
+	controllers := NewControllers(Options{})
+	first := controllers.ForTarget("a")
 	now := overload(first, time.Unix(1000, 0), time.Second)
-	if !targets.Overloaded(now) {
+	if !controllers.Overloaded(now) {
 		t.Error("overload of a target not reported")
 	}
-	if targets.ForTarget("b").Overloaded(now) || targets.ForTarget("a") != first {
+	if controllers.ForTarget("b").Overloaded(now) || controllers.ForTarget("a") != first {
 		t.Error("targets share a controller, or a target has several")
 	}
-	if units := targets.ForTarget("b").limit.units.Load(); units != defaultMaxInFlight*limitScale {
+	if units := controllers.ForTarget("b").limit.units.Load(); units != defaultMaxInFlight*limitScale {
 		t.Errorf("limit of the other target %d, want %d", units/limitScale, defaultMaxInFlight)
 	}
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -32,7 +32,7 @@
 
 // Announcement reports the revision of the store at a moment in the past.
 type Announcement struct {
-	// Revision combines the store's era and revision number (store.RevisionIn).
+	// Revision combines the store's era and revision number (store.MakeRevision).
 	Revision int64
 	// AgeMilliseconds is the time since the store reported the revision.
 	AgeMilliseconds int64
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -145,7 +145,7 @@
 		StoreTimeout:   d.settings.Store.Timeout,
 		HasPeers:       d.seeds.mayHaveSeeds,
 		StoreUnhealthy: d.storeUnreachable,
-		Announce:       d.announceMark,
+		Announce:       d.announceWatermark,
 		WithTimeout:    d.meter.WithTimeout,
 	})
 	d.queries = query.NewService(query.Options{
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -43,7 +43,7 @@
 	switch record.Kind {
 	case membership.RecordDocument:
 		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
-	case membership.RecordStoreMark:
+	case membership.RecordStoreWatermark:
 		d.calls.MergeWatermark(once.WatermarkFromVersion(record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, valid := strings.Cut(record.Key, incarnationSeparator)
@@ -53,10 +53,10 @@
 	}
 }
 
-// announceMark announces to peers how recent the store's state must be.
-func (d *Daemon) announceMark(mark once.Watermark) {
+// announceWatermark announces to peers how recent the store's state must be.
+func (d *Daemon) announceWatermark(watermark once.Watermark) {
 	d.node.Announce(membership.Record{
-		Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
+		Kind: membership.RecordStoreWatermark, Key: membership.StoreWatermarkKey, Version: watermark.Version(),
 	})
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -85,9 +85,9 @@
 	// proves that the node is alive, this is well below the two seconds within which a lost
 	// node should be detected.
 	relayPollTimeout = time.Second
-	// relayPollSlack is how much later the answer may arrive, because of a retransmission or
+	// relayResponseMargin is how much later the answer may arrive, because of a retransmission or
 	// a busy node.
-	relayPollSlack = 500 * time.Millisecond
+	relayResponseMargin = 500 * time.Millisecond
 	// sweepInterval is the interval between sweeps of idle connections to replicas.
 	sweepInterval = time.Second
 	// removedReplicaShare is the share of the drain time for which a replica whose entry is
@@ -199,12 +199,12 @@
 		Announcer: n.announcer, MaxStaleness: n.settings.Bounds.MaxStaleness(),
 		PeerSnapshots: handover.New(handover.Config{HTTP: stateClient(), Nodes: n.board.Nodes.Load, Seeds: n.settings.Seeds}),
 		RelayClient: relay.New(relay.Config{
-			HTTP: relayClient(), Wait: relayPollTimeout, ResponseMargin: relayPollSlack,
+			HTTP: relayClient(), Wait: relayPollTimeout, ResponseMargin: relayResponseMargin,
 			OnSuspicions: func(found []relay.Suspicion) { n.follower.Suspect(found) },
 		}),
 		Unreachable: n.liveness.Unreachable, Now: elapsed.Time, RanWithoutPause: n.meter.RanWithoutPause,
 		VanishedRetention: time.Duration(removedReplicaShare * float64(n.settings.Bounds.Drain)),
-		ColdBound:         decision.ColdRateLimit{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
+		ColdRateLimit:     decision.ColdRateLimit{Overage: n.settings.Bounds.ColdOverage, Slack: n.settings.Bounds.ColdSlack},
 	})
 	n.registerStoreMetrics(registerer)
 	n.registry = registry.New(registry.Config{
@@ -212,7 +212,7 @@
 		Listed: n.listed, Era: n.storeEra,
 		Node: func() topology.Node {
 			entry := n.self
-			entry.Ready, entry.Overloaded = n.ready(), n.loaded()
+			entry.Ready, entry.Overloaded = n.ready(), n.overloaded()
 			return entry
 		},
 		Logger: n.logger,
@@ -289,8 +289,8 @@
 		n.board.Routes.Load() != nil && n.board.Replicas.Load() != nil
 }
 
-// loaded reports whether callers should be directed to further nodes besides this one.
-func (n *Node) loaded() bool { return n.queries.Overloaded() || n.processor.Loaded() }
+// overloaded reports whether callers should be directed to further nodes besides this one.
+func (n *Node) overloaded() bool { return n.queries.Overloaded() || n.processor.Overloaded() }
 
 // storeEra returns the latest era of the store that this node knows. The era rises when the
 // store is restored from a backup.
@@ -313,7 +313,7 @@
 		return nil // callers then ask another directory
 	}
 	own := recorded.Self
-	own.Ready, own.Overloaded = n.ready(), n.loaded()
+	own.Ready, own.Overloaded = n.ready(), n.overloaded()
 	index := slices.IndexFunc(recorded.Nodes, func(node topology.Node) bool { return node.ID == own.ID })
 	if index >= 0 && recorded.Nodes[index] == own {
 		return recorded
--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// fewTTLShare is the share of the longest permitted TTL that is used for answers with few
+	// shortTTLShare is the share of the longest permitted TTL that is used for answers with few
 	// addresses: some callers keep these for three times their TTL.
-	fewTTLShare = 0.3
+	shortTTLShare = 0.3
 	// ttlShare is the share of the grace period that is used as TTL of other answers, within
 	// the permitted TTL: the time for which a stopping node accepts new connections, less the
 	// time until other nodes learn of the stop. A shorter TTL makes callers resolve more
@@ -26,10 +26,10 @@
 // resolve returns the reachable nodes that a caller of a host should use.
 func (n *Node) resolve(host string, caller topology.Place) (directory.Answer, bool) {
 	bounds := n.current.Load().Bounds
-	fewTTL := scaleDuration(fewTTLShare, bounds.DirectoryTTL)
+	shortTTL := scaleDuration(shortTTLShare, bounds.DirectoryTTL)
 	options := directory.Options{
-		TTL:      max(fewTTL, min(bounds.DirectoryTTL, scaleDuration(ttlShare, bounds.Grace))),
-		ShortTTL: fewTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
+		TTL:      max(shortTTL, min(bounds.DirectoryTTL, scaleDuration(ttlShare, bounds.Grace))),
+		ShortTTL: shortTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
 		options.Regions, options.RestrictRegions = table.AllowedRegions(host)
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -70,7 +70,7 @@
 	mux.Handle(relay.Path, n.follower.Feed())
 	mux.Handle(handover.Path, handover.Handler(n.follower.Snapshot))
 	mux.Handle("/v1/", inspect.New(inspect.Config{
-		Board: n.board, Node: n.self, Measured: n.queries.Statistics, Loaded: n.loaded, Budgets: n.budgets.usage,
+		Board: n.board, Node: n.self, Measured: n.queries.Statistics, Loaded: n.overloaded, Budgets: n.budgets.usage,
 		Client: stateClient(), Quarantined: n.quarantine.Records, Release: n.release, Known: n.follower.AppliedRevision,
 	}))
 	return mux
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -60,7 +60,7 @@
 	MemoryMegabytes int `yaml:"memory_mb" validate:"gte=0"`
 	// ProcessorShare is the share of a core that each thread may use, and Cores the number
 	// of cores. Without them the processor limit is unknown: processor use never marks the
-	// node as loaded, and its capacity counts as 0.
+	// node as overloaded, and its capacity counts as 0.
 	ProcessorShare float64 `yaml:"processor_share" validate:"gte=0"`
 	Cores          float64 `yaml:"cores" validate:"gte=0"`
 }
--- a/internal/follower/cold_test.go
+++ b/internal/follower/cold_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	state, board := newTestState(t)
 	state.options.Now = func() time.Time { return *now }
-	state.options.ColdBound = decision.ColdRateLimit{Overage: 1.5, Slack: 5}
+	state.options.ColdRateLimit = decision.ColdRateLimit{Overage: 1.5, Slack: 5}
 	state.put(tableAt(t, 1, 1))
 	return state, board
 }
@@ -73,7 +73,7 @@
 	state.put(cold)
 	state.remove(now, cold.Key)
 	state.publish(now)
-	if got := board.Replicas.Load().Groups["g"][0]; got.State != topology.ReplicaMissing || got.ColdRate != testColdRate {
+	if got := board.Replicas.Load().Groups["g"][0]; got.State != topology.ReplicaVanished || got.ColdRate != testColdRate {
 		t.Errorf("state %v, cold rate %d", got.State, got.ColdRate)
 	}
 }
--- a/internal/follower/fakes_test.go
+++ b/internal/follower/fakes_test.go
@@ -316,21 +316,21 @@
 	broken bool
 	// compacted makes the relays lack the requested history.
 	compacted bool
-	// silent are the ports of the relays that do not respond.
-	silent  map[uint16]bool
-	watched []netip.AddrPort
-	batches chan store.WatchBatch
+	// unresponsive are the ports of the relays that do not respond.
+	unresponsive map[uint16]bool
+	watched      []netip.AddrPort
+	batches      chan store.WatchBatch
 }
 
 func (r *fakeRelayClient) Watch(ctx context.Context, node netip.AddrPort, _ int64, deliver func(store.WatchBatch) error) error {
 	r.mu.Lock()
 	r.watched = append(r.watched, node)
-	broken, silent, compacted := r.broken, r.silent[node.Port()], r.compacted
+	broken, unresponsive, compacted := r.broken, r.unresponsive[node.Port()], r.compacted
 	r.mu.Unlock()
 	if compacted {
 		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrRevisionUnavailable)
 	}
-	if silent {
+	if unresponsive {
 		return fmt.Errorf("%w: %w", relay.ErrWatchEnded, relay.ErrNoResponse)
 	}
 	if broken {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -69,9 +69,9 @@
 
 // Quarantine receives the quarantined requests in the store.
 type Quarantine interface {
-	Adopt(identity string, value []byte)
-	// Forgotten is called when a request's entry is gone from the store.
-	Forgotten(identity string)
+	HandleStored(identity string, value []byte)
+	// HandleDeleted is called when a request's entry is gone from the store.
+	HandleDeleted(identity string)
 }
 
 // Options configures a Follower.
@@ -101,8 +101,8 @@
 	// VanishedRetention is how long a replica whose entry is gone may still receive requests if its
 	// group has no other replica.
 	VanishedRetention time.Duration
-	// ColdBound limits the rate of requests that all nodes together send to a cold replica.
-	ColdBound decision.ColdRateLimit
+	// ColdRateLimit limits the rate of requests that all nodes together send to a cold replica.
+	ColdRateLimit decision.ColdRateLimit
 	// Logger and Now are optional. Now must advance while the machine is suspended.
 	Logger *slog.Logger
 	Now    func() time.Time
@@ -177,8 +177,8 @@
 	// needsStoreWatch is true from when a relay no longer had the required history until the store
 	// has delivered it.
 	needsStoreWatch bool
-	// consecutiveSilent counts relays in a row that did not respond.
-	consecutiveSilent int
+	// consecutiveUnresponsive counts relays in a row that did not respond.
+	consecutiveUnresponsive int
 	// suspected delivers suspicions about other nodes.
 	suspected chan []relay.Suspicion
 }
@@ -240,8 +240,8 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) Adopt(string, []byte) {}
-func (noQuarantine) Forgotten(string)     {}
+func (noQuarantine) HandleStored(string, []byte) {}
+func (noQuarantine) HandleDeleted(string)        {}
 
 // Run follows the store until ctx is done, and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -93,7 +93,7 @@
 			eventually(t, "the replica is known", func() bool { return board.Replicas.Load() != nil })
 			gone := time.Now()
 			fake.remove("replicas/a")
-			eventually(t, "the replica has vanished", func() bool { return replicaStates(board)["a"] == topology.ReplicaMissing })
+			eventually(t, "the replica has vanished", func() bool { return replicaStates(board)["a"] == topology.ReplicaVanished })
 			fake.setFaults(false, unavailable)
 			if unavailable {
 				fake.breakWatches()
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -82,7 +82,7 @@
 		state.apply(start, store.Event{KeyValue: unreadable})
 	}
 	state.publish(start)
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaMissing, "c": topology.ReplicaServing}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaVanished, "c": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("right after the invalid entries (-want +got):\n%s", diff)
 	}
--- a/internal/follower/quarantine_test.go
+++ b/internal/follower/quarantine_test.go
@@ -11,11 +11,11 @@
 // recordingQuarantine records its calls.
 type recordingQuarantine struct{ calls []string }
 
-func (q *recordingQuarantine) Adopt(identity string, value []byte) {
+func (q *recordingQuarantine) HandleStored(identity string, value []byte) {
 	q.calls = append(q.calls, identity+"="+string(value))
 }
 
-func (q *recordingQuarantine) Forgotten(identity string) {
+func (q *recordingQuarantine) HandleDeleted(identity string) {
 	q.calls = append(q.calls, identity+" forgotten")
 }
 
--- a/internal/follower/restore_test.go
+++ b/internal/follower/restore_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("next deadline %v after the first restore", due.Sub(start))
 	}
 	state.publish(start.Add(time.Second + rewriteGrace))
-	want["b"] = topology.ReplicaMissing
+	want["b"] = topology.ReplicaVanished
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" || state.evacuated["z9"] {
 		t.Errorf("after the grace period, evacuated %v (-want +got):\n%s", state.evacuated, diff)
 	}
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -136,7 +136,7 @@
 		s.evacuate(value.Key[len(s.options.Keys.Evacuations):])
 	case hasPrefix(value.Key, s.options.Keys.Quarantine):
 		if isNew { // the quarantine period starts when the entry is first seen
-			s.options.Quarantine.Adopt(value.Key[len(s.options.Keys.Quarantine):], value.Value)
+			s.options.Quarantine.HandleStored(value.Key[len(s.options.Keys.Quarantine):], value.Value)
 		}
 	case hasPrefix(value.Key, s.options.Keys.Nodes):
 		s.putNode(value)
@@ -241,7 +241,7 @@
 	s.pendingEvents = append(s.pendingEvents, store.Event{KeyValue: store.KeyValue{Key: key}, Deleted: true})
 	s.markReplicaGone(now, key)
 	if hasPrefix(key, s.options.Keys.Quarantine) {
-		s.options.Quarantine.Forgotten(key[len(s.options.Keys.Quarantine):])
+		s.options.Quarantine.HandleDeleted(key[len(s.options.Keys.Quarantine):])
 	}
 	if hasPrefix(key, s.options.Keys.Evacuations) {
 		s.endEvacuation(now, key[len(s.options.Keys.Evacuations):])
@@ -358,7 +358,7 @@
 	case s.evacuated[entry.replica.Place.Zone]:
 		return topology.ReplicaEvacuated
 	case !entry.goneAt.IsZero():
-		return topology.ReplicaMissing
+		return topology.ReplicaVanished
 	case s.isCold(now, entry):
 		return topology.ReplicaCold
 	default:
@@ -378,7 +378,7 @@
 		replica.State = s.stateOf(now, &entry)
 		replica.ConnectionLimit = s.service(replica.Group).ConnectionLimit
 		if s.isCold(now, &entry) {
-			replica.ColdRate = s.options.ColdBound.Rate(s.service(replica.Group).ColdRate)
+			replica.ColdRate = s.options.ColdRateLimit.Rate(s.service(replica.Group).ColdRate)
 		}
 		if replica.ColdRate > 0 {
 			s.nextWarmAt = earliest(s.nextWarmAt, s.coldEndsAt(&entry))
--- a/internal/follower/state_test.go
+++ b/internal/follower/state_test.go
@@ -64,7 +64,7 @@
 	state.publish(start)
 	state.replace(start, nil)
 	state.publish(start.Add(900 * time.Millisecond))
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaMissing, "b": topology.ReplicaLeaving}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaVanished, "b": topology.ReplicaLeaving}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("within the retention period (-want +got):\n%s", diff)
 	}
--- a/internal/follower/suspects.go
+++ b/internal/follower/suspects.go
@@ -16,11 +16,11 @@
 	// renewed. It must exceed the interval between two probes by the zone's guard and between two
 	// responses of a relay, and be short enough for callers to return soon to a recovered node.
 	suspicionTTL = 5 * time.Second
-	// maxSilentRelays is the number of consecutive relays that may be silent before the node
-	// watches the store instead. Each costs a timeout, and if all are silent, this node itself is
+	// maxUnresponsiveRelays is the number of consecutive relays that may be unresponsive before the node
+	// watches the store instead. Each costs a timeout, and if all are unresponsive, this node itself is
 	// isolated.
-	maxSilentRelays = 3
-	// probedSuccessors is the number of nodes probed when a relay is silent. Even if a quarter of
+	maxUnresponsiveRelays = 3
+	// probedSuccessors is the number of nodes probed when a relay is unresponsive. Even if a quarter of
 	// the nodes fail at once, runs of failed nodes are rarely longer.
 	probedSuccessors = 5
 )
@@ -138,15 +138,15 @@
 	return current
 }
 
-// handleSilentRelay suspects a relay that did not respond, so that the next node by capacity is
+// handleUnresponsiveRelay suspects a relay that did not respond, so that the next node by capacity is
 // watched. That node detects the failure as well, and watches the store if it is the first that
 // remains.
-func (f *Follower) handleSilentRelay(from source) {
+func (f *Follower) handleUnresponsiveRelay(from source) {
 	f.suspectAddresses([]netip.AddrPort{from.node})
 	f.probeSuccessors()
-	f.consecutiveSilent++
-	if f.consecutiveSilent >= maxSilentRelays {
-		f.consecutiveSilent = 0
+	f.consecutiveUnresponsive++
+	if f.consecutiveUnresponsive >= maxUnresponsiveRelays {
+		f.consecutiveUnresponsive = 0
 		f.recordRelayFailures(maxRelayFailures)
 	}
 }
--- a/internal/follower/suspects_test.go
+++ b/internal/follower/suspects_test.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// TestNextNodeWatchedWhenRelaySilent tests that silent relays, which remain registered, are
+// TestNextNodeWatchedWhenRelayUnresponsive tests that unresponsive relays, which remain registered, are
 // replaced by the next nodes by capacity and not by the store.
-func TestNextNodeWatchedWhenRelaySilent(t *testing.T) {
-	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), silent: map[uint16]bool{1001: true, 1002: true}}
+func TestNextNodeWatchedWhenRelayUnresponsive(t *testing.T) {
+	fake, relays := &fakeStore{}, &fakeRelayClient{batches: make(chan store.WatchBatch), unresponsive: map[uint16]bool{1001: true, 1002: true}}
 	peers := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"))
 	board := startRelayed(t, fake, relays, peers)
 	relays.batches <- store.WatchBatch{Revision: 9, Events: []store.Event{{KeyValue: tableAt(t, 9, 9)}}, Relayed: true}
@@ -46,9 +46,9 @@
 }
 
 // TestFirstRemainingNodeWatchesStore tests that a standby node becomes an entry node and watches
-// the store when all nodes before it are silent.
+// the store when all nodes before it are unresponsive.
 func TestFirstRemainingNodeWatchesStore(t *testing.T) {
-	fake, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true}}
+	fake, relays := &fakeStore{}, &fakeRelayClient{unresponsive: map[uint16]bool{1001: true, 1002: true}}
 	fake.put(nodeAtAddress(t, 1, "self", "127.0.0.1:1004"))
 	board := startRelayed(t, fake, relays, twoPeers(t))
 	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
@@ -65,7 +65,7 @@
 // probed concurrently and never watched.
 func TestUnreachableSuccessorsSkipped(t *testing.T) {
 	lost := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1002"), netip.MustParseAddrPort("127.0.0.1:1003")}
-	fake, relays := &fakeStore{}, &fakeRelayClient{silent: map[uint16]bool{1001: true, 1002: true, 1003: true}, batches: make(chan store.WatchBatch)}
+	fake, relays := &fakeStore{}, &fakeRelayClient{unresponsive: map[uint16]bool{1001: true, 1002: true, 1003: true}, batches: make(chan store.WatchBatch)}
 	for _, other := range append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005")) {
 		fake.put(other)
 	}
@@ -83,15 +83,15 @@
 	}
 }
 
-// TestIsolatedNodeWatchesStore tests that a node to which all others are silent does not try each
+// TestIsolatedNodeWatchesStore tests that a node to which all others are unresponsive does not try each
 // of them.
 func TestIsolatedNodeWatchesStore(t *testing.T) {
-	silent := map[uint16]bool{1001: true, 1002: true, 1003: true, 1005: true}
-	fake, relays := &fakeStore{}, &fakeRelayClient{silent: silent}
+	unresponsive := map[uint16]bool{1001: true, 1002: true, 1003: true, 1005: true}
+	fake, relays := &fakeStore{}, &fakeRelayClient{unresponsive: unresponsive}
 	peers := append(twoPeers(t), nodeAtAddress(t, 4, "c", "127.0.0.1:1003"), nodeAtAddress(t, 5, "d", "127.0.0.1:1005"))
 	startRelayed(t, fake, relays, peers)
 	eventually(t, "the store is watched", func() bool { return fake.watchCount() == 1 })
-	if watched := relays.watchedNodes(); len(watched) != maxSilentRelays {
+	if watched := relays.watchedNodes(); len(watched) != maxUnresponsiveRelays {
 		t.Errorf("watched relays %v", watched)
 	}
 }
--- a/internal/follower/watch.go
+++ b/internal/follower/watch.go
@@ -43,7 +43,7 @@
 	case errors.Is(err, relay.ErrRevisionUnavailable):
 		f.needsStoreWatch = true
 	case errors.Is(err, relay.ErrNoResponse):
-		f.handleSilentRelay(from)
+		f.handleUnresponsiveRelay(from)
 	case errors.Is(err, relay.ErrWatchEnded):
 		f.recordRelayFailures(f.relayFailures + 1)
 	default:
@@ -86,7 +86,7 @@
 			}
 			return err
 		case batch := <-batches:
-			f.consecutiveSilent = 0
+			f.consecutiveUnresponsive = 0
 			f.handleBatch(batch)
 		case announcement := <-f.options.Announcer.Received():
 			f.handleAnnouncement(announcement)
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -212,7 +212,7 @@
 	for _, group := range replicas.Groups {
 		for _, replica := range group {
 			switch replica.State {
-			case topology.ReplicaLeaving, topology.ReplicaMissing:
+			case topology.ReplicaLeaving, topology.ReplicaVanished:
 				known.Leaving = append(known.Leaving, replica)
 			case topology.ReplicaEvacuated:
 				known.Evacuated[replica.Place.Zone]++
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -147,12 +147,12 @@
 	w.addMany(clusterSize)
 	w.run(15 * time.Second)
 	for number := range clusterSize {
-		mark := Record{Kind: RecordStoreMark, Key: StoreMarkKey, Version: uint64(100 + number)}
-		w.step(address(number), Announced{mark})
+		watermark := Record{Kind: RecordStoreWatermark, Key: StoreWatermarkKey, Version: uint64(100 + number)}
+		w.step(address(number), Announced{watermark})
 	}
 	w.run(3 * time.Second)
-	if got := w.holders(RecordStoreMark, StoreMarkKey, 100+clusterSize-1); got != clusterSize {
-		t.Errorf("%d of %d have the highest mark", got, clusterSize)
+	if got := w.holders(RecordStoreWatermark, StoreWatermarkKey, 100+clusterSize-1); got != clusterSize {
+		t.Errorf("%d of %d have the highest watermark", got, clusterSize)
 	}
 }
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -247,7 +247,7 @@
 // acceptsRecord reports whether a record is valid, not expired and newer than the
 // stored one.
 func (c *Core) acceptsRecord(record Record) bool {
-	if record.Kind < RecordDocument || record.Kind > RecordStoreMark {
+	if record.Kind < RecordDocument || record.Kind > RecordStoreWatermark {
 		return false
 	}
 	if recordSize(record) > maxRecordBytes {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -15,13 +15,13 @@
 	RecordDocument RecordKind = iota + 1
 	// RecordReplicaLeaving: Key is "address|incarnation" of a replica.
 	RecordReplicaLeaving
-	// RecordStoreMark: Key is StoreMarkKey, Version a packed once.Mark, the
+	// RecordStoreWatermark: Key is StoreWatermarkKey, Version a packed once.Watermark, the
 	// minimum state that the store must have reached.
-	RecordStoreMark
+	RecordStoreWatermark
 )
 
-// StoreMarkKey is the only key of RecordStoreMark.
-const StoreMarkKey = "store"
+// StoreWatermarkKey is the only key of RecordStoreWatermark.
+const StoreWatermarkKey = "store"
 
 // Record is a small versioned value that is replicated to every daemon. Of two
 // records with the same kind and key, the one with the higher version wins.
@@ -67,7 +67,7 @@
 	Kind MessageKind     `msgpack:"k"`
 	From topology.Member `msgpack:"f"`
 	// Target is the probed member, for MessagePingRequest and
-	// MessageReached.
+	// MessageIndirectAck.
 	Target topology.Member `msgpack:"t"`
 	// Members and Records are rumors, and the entries of Buckets.
 	Members []topology.Member `msgpack:"m,omitempty"`
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -148,7 +148,7 @@
 	lines := newGrid(to, "LEAVING", "GROUP", "ZONE", "ADDRESS")
 	for _, one := range replicas {
 		state := "draining"
-		if one.State == topology.ReplicaMissing {
+		if one.State == topology.ReplicaVanished {
 			state = "vanished"
 		}
 		lines.row(state, one.Group, one.Place.Zone, one.Address)
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -27,7 +27,7 @@
 			{Name: "fetch", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
 			{Name: "plain", Host: "h", Shares: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
 		},
-		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaMissing}},
+		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaVanished}},
 		Evacuated: map[string]int{"adum": 4}, Cold: 3,
 		Quarantined: []inspect.Request{{
 			Identity: "5f1c", Nodes: 3, Refusing: 2,
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -15,9 +15,9 @@
 const (
 	// interval between two readings. It is over any burst of a single request.
 	interval = time.Second
-	// loadedShare of the processor time is where a process counts as loaded:
+	// overloadedShare of the processor time is where a process counts as overloaded:
 	// requests come in bursts, so that half of the time in use means queues.
-	loadedShare = 0.5
+	overloadedShare = 0.5
 	// idleShare is where it no longer does. One more node beside it takes half
 	// of its requests at the most, which must not make it idle again.
 	idleShare = 0.2
@@ -26,7 +26,7 @@
 // Options are what a Meter needs.
 type Options struct {
 	// Processors is the processor time that the process may use, in cores; 0 means
-	// that it is not known, and the process never counts as loaded.
+	// that it is not known, and the process never counts as overloaded.
 	Processors float64
 	// Used returns the processor time used since the start; nil means the
 	// operating system's count.
@@ -36,9 +36,9 @@
 
 // Meter reads the processor time in use; Run must be running.
 type Meter struct {
-	options Options
-	loaded  atomic.Bool
-	used    time.Duration
+	options    Options
+	overloaded atomic.Bool
+	used       time.Duration
 }
 
 // New makes a Meter.
@@ -52,8 +52,8 @@
 	return &Meter{options: options, used: options.Used()}
 }
 
-// Loaded is true while much of the processor time is in use.
-func (m *Meter) Loaded() bool { return m.loaded.Load() }
+// Overloaded is true while much of the processor time is in use.
+func (m *Meter) Overloaded() bool { return m.overloaded.Load() }
 
 // Run reads the count until ctx ends, and returns nil then.
 func (m *Meter) Run(ctx context.Context) error {
@@ -79,9 +79,9 @@
 	used := m.options.Used()
 	share := float64(used-m.used) / (m.options.Processors * float64(since))
 	m.used = used
-	loaded := share >= loadedShare || (m.loaded.Load() && share >= idleShare)
-	if m.loaded.Swap(loaded) != loaded {
-		m.options.Logger.Info("processor load", "loaded", loaded, "share", share)
+	overloaded := share >= overloadedShare || (m.overloaded.Load() && share >= idleShare)
+	if m.overloaded.Swap(overloaded) != overloaded {
+		m.options.Logger.Info("processor load", "loaded", overloaded, "share", share)
 	}
 }
 
--- a/internal/processor/processor_test.go
+++ b/internal/processor/processor_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLoaded(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	var used time.Duration
 	meter := New(Options{Processors: 0.5, Used: func() time.Duration { return used }})
 	for i, step := range []struct {
@@ -20,23 +20,23 @@
 	} {
 		used += step.used
 		meter.read(time.Second)
-		if got := meter.Loaded(); got != step.want {
-			t.Errorf("step %d: loaded %v, want %v", i, got, step.want)
+		if got := meter.Overloaded(); got != step.want {
+			t.Errorf("step %d: overloaded %v, want %v", i, got, step.want)
 		}
 	}
 }
 
-// TestAProcessWithoutAKnownLimitIsNeverLoaded: nodes that share a process, as in
+// TestNotOverloadedWithoutKnownLimit: nodes that share a process, as in
 // tests, would take each other's work for their own.
-func TestAProcessWithoutAKnownLimitIsNeverLoaded(t *testing.T) {
+func TestNotOverloadedWithoutKnownLimit(t *testing.T) {
 	var used time.Duration
 	meter := New(Options{Used: func() time.Duration { return used }})
 	for range 3 {
 		used += 10 * time.Second
 		meter.read(time.Second)
 	}
-	if meter.Loaded() {
-		t.Error("loaded")
+	if meter.Overloaded() {
+		t.Error("overloaded")
 	}
 }
 
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -75,7 +75,7 @@
 }
 
 // confirmationWindow is how long a request with conclusive evidence is refused before it is
-// quarantined: the detecting node first waits for evidence that makes the cause ambiguous, and
+// quarantined: the detecting node first waits for evidence that makes the cause disputed, and
 // its decision has to reach the others.
 const confirmationWindow = 200 * time.Millisecond
 
@@ -125,7 +125,7 @@
 		status.RefuseFor = max(0, known.conclusiveAt.Add(confirmationWindow).Sub(l.config.Now()))
 	}
 	if status.Evidence.Conclusive() && status.RefuseFor == 0 {
-		status.Evidence = status.Evidence.Decayed() // not quarantined in time: the cause was ambiguous
+		status.Evidence = status.Evidence.Decayed() // not quarantined in time: the cause was disputed
 	}
 	return status
 }
@@ -225,9 +225,9 @@
 	l.config.Broadcast(known.record)
 }
 
-// Ambiguous reports whether all replicas that crashed under canaries of a request also crashed
+// Disputed reports whether all replicas that crashed under canaries of a request also crashed
 // under canaries of another one, so that either may be the cause.
-func (l *List) Ambiguous(message *upstream.Message) bool {
+func (l *List) Disputed(message *upstream.Message) bool {
 	if l == nil {
 		return false
 	}
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -212,8 +212,8 @@
 	var list *List
 	quarantine(list, message(nil))
 	list.RecordAnswer(message(nil))
-	list.Adopt("x", nil)
-	list.Forgotten("x")
+	list.HandleStored("x", nil)
+	list.HandleDeleted("x")
 	if list.Receive(Record{}) || list.Release(Identity{}) || list.Lookup(message(nil)) != (Status{}) || len(list.Records()) != 0 {
 		t.Error("a nil list is not empty")
 	}
@@ -236,8 +236,8 @@
 	})
 }
 
-// The cause is ambiguous while another request crashed all of the same replicas.
-func TestAmbiguous(t *testing.T) {
+// The cause is disputed while another request crashed all of the same replicas.
+func TestDisputed(t *testing.T) {
 	list, now, _ := newTestList(nil)
 	sender, _, sent := newTestList(nil)
 	for _, canary := range []string{"a/1", "b/2"} {
@@ -245,19 +245,19 @@
 		sender.RecordCrash(target(1), testRoute, canary, suspicious)
 	}
 	list.RecordCrash(message(nil), testRoute, "b/2", conclusive)
-	if list.Ambiguous(message(nil)) {
-		t.Error("ambiguous without another request")
+	if list.Disputed(message(nil)) {
+		t.Error("disputed without another request")
 	}
 	sender.RecordCrash(target(1), testRoute, "b/2", conclusive)
 	for _, record := range *sent {
 		list.Receive(record)
 	}
-	if !list.Ambiguous(message(nil)) {
-		t.Error("not ambiguous with a request that crashed the same replicas")
+	if !list.Disputed(message(nil)) {
+		t.Error("not disputed with a request that crashed the same replicas")
 	}
 	list.RecordCrash(message(nil), testRoute, "c/3", conclusive)
-	if list.Ambiguous(message(nil)) {
-		t.Error("ambiguous with a request that did not crash the last replica")
+	if list.Disputed(message(nil)) {
+		t.Error("disputed with a request that did not crash the last replica")
 	}
 	now.now = now.now.Add(confirmationWindow)
 	if got := list.Lookup(message(nil)); got.RefuseFor != 0 || got.Evidence.Conclusive() || !got.Evidence.Suspicious() {
--- a/internal/quarantine/persister_test.go
+++ b/internal/quarantine/persister_test.go
@@ -107,11 +107,11 @@
 			t.Errorf("value %s, %d calls after the write, lease %v", value, later-calls, backing.ttl)
 		}
 		newNode := New(Config{})
-		newNode.Adopt(IdentityOf(message(nil)).String(), value)
+		newNode.HandleStored(IdentityOf(message(nil)).String(), value)
 		if !newNode.IsQuarantined(message(nil)) || len(newNode.unstored(0)) != 0 {
 			t.Error("a new node does not adopt the stored request")
 		}
-		newNode.Forgotten(IdentityOf(message(nil)).String())
+		newNode.HandleDeleted(IdentityOf(message(nil)).String())
 		if len(newNode.unstored(0)) != 1 || len(newNode.unstored(takeoverDelay)) != 0 {
 			t.Error("a request lost by the store is not due again after the takeover delay")
 		}
@@ -155,7 +155,7 @@
 		}
 		other := New(Config{})
 		quarantine(other, message(nil))
-		other.Adopt(IdentityOf(message(nil)).String(), value)
+		other.HandleStored(IdentityOf(message(nil)).String(), value)
 		if other.IsQuarantined(message(nil)) {
 			t.Error("a node that reads the release still refuses the request")
 		}
--- a/internal/quarantine/stored.go
+++ b/internal/quarantine/stored.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Adopt applies an entry of the store. The quarantine counts from now, as the store does not
+// HandleStored applies an entry of the store. The quarantine counts from now, as the store does not
 // tell the age of an entry; the entry's lease bounds how late that can be.
-func (l *List) Adopt(identity string, value []byte) {
+func (l *List) HandleStored(identity string, value []byte) {
 	if l == nil {
 		return
 	}
@@ -31,9 +31,9 @@
 	}
 }
 
-// Forgotten handles the loss of a store entry before the end of the quarantine: the request is
+// HandleDeleted handles the loss of a store entry before the end of the quarantine: the request is
 // written again.
-func (l *List) Forgotten(identity string) {
+func (l *List) HandleDeleted(identity string) {
 	parsed, valid := ParseIdentity(identity)
 	if l == nil || !valid {
 		return
--- a/internal/quarantine/stored_test.go
+++ b/internal/quarantine/stored_test.go
@@ -7,7 +7,7 @@
 
 // No store entry, whoever wrote it, may cause a panic, exceed the limit on entries or extend a
 // quarantine beyond its duration.
-func FuzzAdopt(f *testing.F) {
+func FuzzHandleStored(f *testing.F) {
 	identity := IdentityOf(message(nil)).String()
 	f.Add(identity, []byte(`{"refuse_ms":1000,"ended":3}`))
 	f.Add(identity, []byte("null"))
@@ -15,8 +15,8 @@
 	f.Add(identity[1:], []byte(`{"refuse_ms":-1}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		list := New(Config{Duration: time.Minute, MaxEntries: 1, Broadcast: func(Record) {}})
-		list.Adopt(key, value)
-		list.Adopt(identity, value)
+		list.HandleStored(key, value)
+		list.HandleStored(identity, value)
 		if entries := len(list.Records()); entries > 1 {
 			t.Errorf("%d entries, want at most 1", entries)
 		}
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -135,7 +135,7 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	target := s.targets.ForTarget(groups[0])
+	target := s.controllers.ForTarget(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
@@ -151,7 +151,7 @@
 }
 
 // Overloaded reports whether this node has recently rejected requests because of load.
-func (s *Service) Overloaded() bool { return s.targets.Overloaded(s.options.Now()) }
+func (s *Service) Overloaded() bool { return s.controllers.Overloaded(s.options.Now()) }
 
 // Statistics returns the statistics of each policy and route over the last window.
 func (s *Service) Statistics(window time.Duration) []statistics.PolicyStatistics {
@@ -206,7 +206,7 @@
 	forward := &forwardRun{request: request, criteria: criteria}
 	forward.run = s.newRun(plan, forward)
 	forward.linger = lingerTimeout
-	forward.checkQuarantined, forward.checkContested, forward.onCrash = forward.isQuarantined, forward.isContested, forward.reportCrash
+	forward.checkQuarantined, forward.checkDisputed, forward.onCrash = forward.isQuarantined, forward.isDisputed, forward.reportCrash
 	return forward
 }
 
@@ -350,7 +350,7 @@
 	s.options.Statistics.Record(route.Name, statistics.Sample{
 		Group: route.Host, Latency: took, Failed: err != nil,
 		Asked: len(current.shards), Answered: current.core.Answered(),
-		Attempts: current.counts.dispatched, Hedges: current.counts.hedges, Cancelled: current.counts.cancelled,
+		Attempts: current.counts.dispatched, Hedges: current.counts.hedges, Cancelled: current.counts.canceled,
 	})
 	s.metrics.observe(took, err)
 	var failed *failure.Error
@@ -360,7 +360,7 @@
 	ticket.Observe(s.options.Now(), current.forwardOutcome(took))
 }
 
-// forwardOutcome returns what the run reports to admission control. A request is strained
+// forwardOutcome returns what the run reports to admission control. A request is congested
 // if half of its shards answered late, or too few first attempts were sent in time. A few
 // slow or unreachable shards are no sign of overload, as the answer does without them.
 func (r *forwardRun) forwardOutcome(took time.Duration) admission.Outcome {
--- a/internal/query/quarantine.go
+++ b/internal/query/quarantine.go
@@ -21,10 +21,10 @@
 	return r.service.options.Quarantine.IsQuarantined(r.request.Message)
 }
 
-// isContested reports whether all crashes that convict the request may have been caused
+// isDisputed reports whether all crashes attributed to the request may have been caused
 // by another request.
-func (r *forwardRun) isContested() bool {
-	return r.core.AbortPending() && r.service.options.Quarantine.Ambiguous(r.request.Message)
+func (r *forwardRun) isDisputed() bool {
+	return r.core.AbortPending() && r.service.options.Quarantine.Disputed(r.request.Message)
 }
 
 // reportCrash tells the quarantine list, while the request is still running, that a
@@ -37,7 +37,7 @@
 	}
 }
 
-// reportOutcome tells the quarantine list whether the request was answered or convicted.
+// reportOutcome tells the quarantine list whether the request was answered or quarantined.
 func (r *forwardRun) reportOutcome() {
 	list := r.service.options.Quarantine
 	if _, survived := r.core.CrashEvidence(); survived {
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -45,12 +45,12 @@
 	// halfAnsweredAt is when half of the shards had answered, 0 until then.
 	halfAnsweredAt time.Duration
 	// checkQuarantined reports whether another node has quarantined the request,
-	// checkContested whether the crashes attributed to it may have been caused by
+	// checkDisputed whether the crashes attributed to it may have been caused by
 	// another request. onCrash is called when a replica crashed while executing
 	// a sub-request; canary names its process if that was a canary. Each may be
 	// nil.
 	checkQuarantined func() bool
-	checkContested   func() bool
+	checkDisputed    func() bool
 	onCrash          func(canary string)
 	// abandoned is true once the caller no longer waits for an answer.
 	abandoned bool
@@ -61,7 +61,7 @@
 type runCounts struct {
 	dispatched int
 	hedges     int
-	cancelled  int
+	canceled   int
 	// provenNotRun counts the attempts that provably were not executed.
 	provenNotRun int
 	retryAfter   time.Duration
@@ -182,7 +182,7 @@
 				r.onCrash(r.shards[result.Shard].attempts[result.Attempt].canaryProcess())
 			}
 		case WakeTimer:
-			if r.checkContested != nil && r.checkContested() {
+			if r.checkDisputed != nil && r.checkDisputed() {
 				finished = r.step(decision.Event{Kind: decision.EvidenceDisputed})
 			}
 			finished = finished || r.step(decision.Event{Kind: decision.TimerFired})
@@ -230,7 +230,7 @@
 		Kind: decision.AttemptCompleted, Shard: result.Shard, Attempt: result.Attempt,
 		Outcome: outcome, RetryAfter: result.Result.RetryAfter,
 		Busy:     errors.Is(result.Result.Err, upstream.ErrConnectionLimit),
-		Survived: result.Result.UpstreamReply != nil, Attribution: result.Result.Blame,
+		Survived: result.Result.UpstreamReply != nil, Attribution: result.Result.Attribution,
 	}
 	if outcome == decision.Crashed && r.checkQuarantined != nil {
 		event.Quarantined = r.checkQuarantined()
@@ -284,7 +284,7 @@
 	if action.Attempt >= len(attempts) {
 		return
 	}
-	r.counts.cancelled++
+	r.counts.canceled++
 	cancel := attempts[action.Attempt].cancel
 	if r.linger > 0 && !r.abandoned {
 		r.service.options.Driver.After(r.linger, cancel)
--- a/internal/query/run_internal_test.go
+++ b/internal/query/run_internal_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestForwardOutcomeStrained checks that admission control does not take a few slow or
+// TestForwardOutcomeCongested checks that admission control does not take a few slow or
 // unreachable shards for overload.
-func TestForwardOutcomeStrained(t *testing.T) {
+func TestForwardOutcomeCongested(t *testing.T) {
 	const objective = 200 * time.Millisecond
 	sentAt := func(at time.Duration) shardRun {
 		return shardRun{attempts: []attempt{{handle: &replica.Handle{}, sentAt: at}}}
@@ -68,7 +68,7 @@
 		name        string
 		shards      []shardRun
 		leastShards int
-		strained    bool
+		congested   bool
 	}{
 		{"all on time", []shardRun{onTime, onTime, onTime}, 2, false},
 		{"one shard unreachable", []shardRun{onTime, unsent, onTime}, 2, false},
@@ -89,12 +89,12 @@
 				request: &ForwardRequest{Route: &routing.Route{Objective: objective}},
 			}
 			forward.halfAnsweredAt = time.Millisecond
-			if got := forward.forwardOutcome(objective); got.Congested != test.strained || got.Objective != objective {
-				t.Errorf("outcome %+v, want strained %v", got, test.strained)
+			if got := forward.forwardOutcome(objective); got.Congested != test.congested || got.Objective != objective {
+				t.Errorf("outcome %+v, want congested %v", got, test.congested)
 			}
 			forward.halfAnsweredAt = objective * 3 / 5
 			if got := forward.forwardOutcome(objective); !got.Congested {
-				t.Error("not strained though half of the shards were late")
+				t.Error("not congested though half of the shards were late")
 			}
 		})
 	}
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -51,11 +51,11 @@
 
 // Service executes queries. It is safe for concurrent use.
 type Service struct {
-	options   Options
-	metrics   serviceMetrics
-	latencies replica.LatencyBaselines
-	targets   *admission.Controllers
-	splitter  routing.Splitter
+	options     Options
+	metrics     serviceMetrics
+	latencies   replica.LatencyBaselines
+	controllers *admission.Controllers
+	splitter    routing.Splitter
 }
 
 // NewService returns a Service with the given options.
@@ -77,7 +77,7 @@
 	}
 	return &Service{
 		options: options, metrics: newServiceMetrics(options.Registerer),
-		targets: admission.NewControllers(admission.Options{Logger: options.Logger}),
+		controllers: admission.NewControllers(admission.Options{Logger: options.Logger}),
 	}
 }
 
@@ -245,7 +245,7 @@
 func (c *runCounts) add(other runCounts) {
 	c.dispatched += other.dispatched
 	c.hedges += other.hedges
-	c.cancelled += other.cancelled
+	c.canceled += other.canceled
 	c.provenNotRun += other.provenNotRun
 	c.retryAfter = max(c.retryAfter, other.retryAfter)
 }
@@ -320,7 +320,7 @@
 	s.options.Statistics.Record(request.row.Name, statistics.Sample{
 		Group: request.query.Group, Latency: took, Failed: err != nil,
 		Asked: len(last.selected.Asked), Answered: last.core.Answered(),
-		Attempts: total.dispatched, Hedges: total.hedges, Cancelled: total.cancelled,
+		Attempts: total.dispatched, Hedges: total.hedges, Cancelled: total.canceled,
 	})
 	s.metrics.observe(took, err)
 }
--- a/internal/query/service_test.go
+++ b/internal/query/service_test.go
@@ -237,7 +237,7 @@
 func TestSearchHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slow atomic.Bool
-		cancelled := make(chan struct{}, 1)
+		canceled := make(chan struct{}, 1)
 		switchable := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			if !slow.Load() {
 				time.Sleep(2 * time.Millisecond)
@@ -245,7 +245,7 @@
 				return
 			}
 			<-r.Context().Done()
-			cancelled <- struct{}{}
+			canceled <- struct{}{}
 		}
 		steady := func(w http.ResponseWriter, r *http.Request, request backendapi.SearchRequest) {
 			time.Sleep(4 * time.Millisecond)
@@ -264,7 +264,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		<-cancelled
+		<-canceled
 		if answer.Attempts != 2 || answer.Coverage.Answered != 1 || len(answer.Hits) != 1 {
 			t.Errorf("attempts %d, answered %d, hits %d, want 2, 1, 1", answer.Attempts, answer.Coverage.Answered, len(answer.Hits))
 		}
--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -27,16 +27,16 @@
 	if v.members == nil {
 		return 0
 	}
-	return decision.ColdRateShare(replica.ColdRate, v.members.Self.ID, v.sharingNodes(), replica.Place.Zone)
+	return decision.ColdRateShare(replica.ColdRate, v.members.Self.ID, v.coldRateSharers(), replica.Place.Zone)
 }
 
-// sameSharingNodes reports whether the cold rates are divided among the same
+// sameColdRateSharers reports whether the cold rates are divided among the same
 // nodes in both views.
-func (v *view) sameSharingNodes(other *view) bool {
-	return slices.Equal(v.sharingNodes(), other.sharingNodes())
+func (v *view) sameColdRateSharers(other *view) bool {
+	return slices.Equal(v.coldRateSharers(), other.coldRateSharers())
 }
 
-func (v *view) sharingNodes() []string {
+func (v *view) coldRateSharers() []string {
 	if v.members == nil {
 		return nil
 	}
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -74,7 +74,7 @@
 func TestVanishedColdReplicaRateLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool, board := newColdPool(t, 2, &now)
-	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaMissing, ColdRate: 2})
+	listReplicas(board, topology.Replica{Address: "cold:1", Place: nearPlace, State: topology.ReplicaVanished, ColdRate: 2})
 	sent := 0
 	for range 10 {
 		if acquired := pool.AcquireForMessage(testGroup, testCriteria(), nil); acquired.Handle != nil {
@@ -117,10 +117,10 @@
 	criteria.Regions = []string{nearPlace.Region}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, ColdRateSharers: []string{"other"}})
 	if got := pool.CountServableGroups([]string{testGroup}, criteria); got != 0 {
-		t.Error("group is servable on a node outside the sharing set")
+		t.Error("group is servable on a node that does not share the cold rate")
 	}
 	board.Members.Publish(&topology.Members{Self: topology.Member{ID: "self"}, ColdRateSharers: []string{"other", "self"}})
 	if got := pool.CountServableGroups([]string{testGroup}, criteria); got != 1 {
-		t.Error("group is not servable on a node in the sharing set")
+		t.Error("group is not servable on a node that shares the cold rate")
 	}
 }
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -152,7 +152,7 @@
 	result := classifyForward(reply, err, scattered)
 	if handle.upstream.HasEnded(ctx, err) {
 		result.Outcome = decision.Crashed
-		result.Blame = 1 / float64(max(1, running))
+		result.Attribution = 1 / float64(max(1, running))
 	}
 	if result.Outcome == decision.Misdirected {
 		p.markAddressReused(handle)
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -205,7 +205,7 @@
 
 // First attempts must avoid a replica that holds a late request, until it
 // answers.
-func TestAcquireAvoidsSilentReplica(t *testing.T) {
+func TestAcquireAvoidsUnresponsiveReplica(t *testing.T) {
 	f := newPoolFixture(t)
 	near := f.acquire(t)
 	f.now = f.now.Add(30 * time.Millisecond)
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestSilentReplicaIsEjected(t *testing.T) {
+func TestUnresponsiveReplicaIsEjected(t *testing.T) {
 	f := newPoolFixture(t)
 	near := f.pool.current().handles[processID{"near:1", "1"}]
 	for range ejectAfter {
@@ -317,11 +317,11 @@
 	board := f.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
-		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
+		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
 	if got := f.acquire(t).Address(); got != "far:1" {
 		t.Errorf("chose %s while another replica is listed", got)
 	}
-	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
+	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
 	if got := f.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -178,7 +178,7 @@
 	if prev.members != members || prev.plan == nil {
 		next.plan = newPlan(members)
 	}
-	if prev.replicas == replicas && prev.plan != nil && next.plan.sameDaemons(prev.plan) && next.sameSharingNodes(prev) {
+	if prev.replicas == replicas && prev.plan != nil && next.plan.sameDaemons(prev.plan) && next.sameColdRateSharers(prev) {
 		next.groups, next.handles, next.routes, next.probed = prev.groups, prev.handles, prev.routes, prev.probed
 		p.view.Store(next)
 		return next
@@ -227,7 +227,7 @@
 		}
 		handle.setBudget(budget)
 		handle.setStandby(next.standby())
-		handle.vanished.Store(replica.State == topology.ReplicaMissing)
+		handle.vanished.Store(replica.State == topology.ReplicaVanished)
 		handle.coldLimiter.setLimit(next.coldLimit(replica))
 		next.handles[key] = handle
 		built.handles = append(built.handles, handle)
@@ -322,7 +322,7 @@
 	return p.acquire(groupName, weights, tried, decision.ChooseReplica)
 }
 
-// chooser is decision.ChooseReplica or decision.ChooseAnother.
+// chooser is decision.ChooseReplica or decision.ChooseAlternate.
 type chooser func(candidates []decision.Candidate, weights policy.Replicas, random uint64) int
 
 func (p *Pool) acquire(groupName string, weights policy.Replicas, tried []*Handle, choose chooser) *Handle {
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -71,7 +71,7 @@
 
 func TestProbeOutcomes(t *testing.T) {
 	cancelProbe := new(context.CancelFunc)
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	unresponsive := func(_ http.ResponseWriter, r *http.Request) {
 		(*cancelProbe)()
 		<-r.Context().Done()
 	}
@@ -99,7 +99,7 @@
 		{"connection aborted", abort, ProbeFailed, nil},
 		{"server error with draining status", respondJSON(http.StatusInternalServerError, backendapi.Status{Incarnation: "1", State: backendapi.StateDraining}), ProbeFailed, nil},
 		{"connection refused", nil, ProbeFailed, nil},
-		{"timeout", silent, ProbeFailed, nil},
+		{"timeout", unresponsive, ProbeFailed, nil},
 	}
 	for _, protocol := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
 		for _, test := range cases {
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -25,11 +25,11 @@
 	// UpstreamReply is the complete reply to a message. It is set on Success,
 	// and on Failed if the replica answered with an error status.
 	UpstreamReply *upstream.Reply
-	// Blame is set for the outcome Ended, that is, if the replica's process
+	// Attribution is set for the outcome Ended, that is, if the replica's process
 	// terminated while running the sub-request. It is 1 divided by the number
 	// of this node's requests that the replica was running.
-	Blame float64
-	Err   error
+	Attribution float64
+	Err         error
 }
 
 // Search sends one sub-request to an acquired replica, at most once, and
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -210,7 +210,7 @@
 	switch learned.Record.Kind {
 	case membership.RecordDocument:
 		d.announced(document.Name(learned.Record.Key), learned.Record.Version, learned.From)
-	case membership.RecordStoreMark:
+	case membership.RecordStoreWatermark:
 		d.calls.fence.Merge(once.WatermarkFromVersion(learned.Record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, _ := strings.Cut(learned.Record.Key, "|")
--- a/internal/simulation/system/fence.go
+++ b/internal/simulation/system/fence.go
@@ -102,7 +102,7 @@
 	}
 	s.daemon.process.After(0, func() {
 		s.daemon.step(membership.Announced{Record: membership.Record{
-			Kind: membership.RecordStoreMark, Key: membership.StoreMarkKey, Version: mark.Version(),
+			Kind: membership.RecordStoreWatermark, Key: membership.StoreWatermarkKey, Version: mark.Version(),
 		}})
 	})
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -84,9 +84,9 @@
 	ReplicaCold
 	// ReplicaLeaving accepts no new requests. The state is final for the incarnation.
 	ReplicaLeaving
-	// ReplicaMissing is no longer listed but has not announced that it leaves. It is
+	// ReplicaVanished is no longer listed but has not announced that it leaves. It is
 	// sent requests only if no other replica is left.
-	ReplicaMissing
+	ReplicaVanished
 	// ReplicaEvacuated is in a zone that operators have evacuated. It is sent no
 	// requests, and is cold if it serves again.
 	ReplicaEvacuated
