--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -6,7 +6,7 @@
 )
 
 const logs = `started by hand
-  1.2 node-a {"time":"2026-01-01T10:00:01Z","level":"WARN","msg":"store lost; going on with what is known","error":"silent"}
+  1.2 node-a {"time":"2026-01-01T10:00:01Z","level":"WARN","msg":"store unreachable; serving from the last known state","error":"silent"}
   1.3 node-b {"time":"2026-01-01T10:00:02Z","level":"INFO","msg":"replica gone","address":"10.0.0.9:1"}
   0.1 node-a {"time":"2026-01-01T09:50:00Z","level":"INFO","msg":"started"}
   1.4 node-a {"time":"2026-01-01T10:00:03.5Z","level":"INFO","msg":"request answered in part","request":"q1","route":"r","missing":1,"shards":[{"group":"g3","reason":"failed","error":"reset","attempts":[{"replica":"10.0.0.1:1","sent_ms":0,"outcome":"failed"},{"sent_ms":12,"outcome":"no_replica"}]},{"group":"g4","answered_ms":230,"no_hedge":"budget","attempts":[{"replica":"10.0.0.2:1","sent_ms":0,"outcome":"success"}]}]}
@@ -23,7 +23,7 @@
 	if err := Story(lines, "q1", &told); err != nil {
 		t.Fatal(err)
 	}
-	want := `      2.5s before: store lost; going on with what is known error="silent"
+	want := `      2.5s before: store unreachable; serving from the last known state error="silent"
 10:00:03.500 node-a: request answered in part
     missing: 1
     request: "q1"
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -319,7 +319,7 @@
 }
 
 // errRevisionRegressed rejects a listing at a lower revision than the one already applied.
-var errRevisionRegressed = eris.New("the store has told an older state than before, without a new era")
+var errRevisionRegressed = eris.New("store revision went back without a new era")
 
 // applyListing applies a full listing, publishes the state, and returns the time.
 func (f *Follower) applyListing(values []store.KeyValue, revision int64) time.Time {
@@ -338,7 +338,7 @@
 		f.state.replace(now, values)
 		return
 	}
-	f.options.Logger.Warn("the store has come back from a copy",
+	f.options.Logger.Warn("store restored from a backup",
 		"era", store.EraOf(revision), "revision", store.SequenceOf(revision),
 		"known_era", store.EraOf(applied), "known_revision", store.SequenceOf(applied))
 	f.state.replaceAfterRestore(now, values)
@@ -438,7 +438,7 @@
 // recordFailure records that the store has failed.
 func (f *Follower) recordFailure(err error) {
 	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging) {
-		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied))
+		f.options.Logger.Info("listing the store again", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied))
 		return
 	}
 	if !f.storeReachable {
@@ -447,7 +447,7 @@
 	f.storeReachable = false
 	now := f.options.Now()
 	f.options.Board.Store.Publish(&blackboard.StoreStatus{Since: now, LastError: err.Error()})
-	f.options.Logger.Warn("store lost; going on with what is known",
+	f.options.Logger.Warn("store unreachable; serving from the last known state",
 		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
 }
 
--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -93,5 +93,5 @@
 		return
 	}
 	s.loggedUnusable[key] = true
-	s.options.Logger.Error("replica's entry refused", "key", key, "error", reason.Error())
+	s.options.Logger.Error("invalid replica entry rejected", "key", key, "error", reason.Error())
 }
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -91,7 +91,7 @@
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("after the retention period (-want +got):\n%s", diff)
 	}
-	if lines := strings.Count(logged.String(), "refused"); lines != 1 {
+	if lines := strings.Count(logged.String(), "invalid replica entry rejected"); lines != 1 {
 		t.Errorf("%d log lines for one key:\n%s", lines, logged.String())
 	}
 	state.apply(start, store.Event{KeyValue: instanceAt(t, 20, "b", 1, topology.ReplicaServing)})
