--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -25,7 +25,7 @@
 )
 
 // retryReserve is the share of the slack that hedges leave to retries. Without it, hedges can
-// use up the budget while many replicas are slow, and requests fail for want of a retry
+// use up the budget while many replicas are slow, and requests fail as no retry is left
 // (docs/ROUNDS.md).
 const retryReserve = 0.2
 
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -191,7 +191,7 @@
 func TestHedgeCoversPausedReplica(t *testing.T) {
 	s := startSystem(t, nil)
 	for range 30 {
-		s.sendComplete() // establishes the usual latency
+		s.sendComplete() // establishes the latency baseline
 	}
 	s.Of(standin.ShardService(1))[0].Pause()
 	for range 5 {
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -43,7 +43,7 @@
 func TestEvacuatedZoneReceivesNoRequests(t *testing.T) {
 	s := startSystemWithLongObjective(t)
 	for range 30 {
-		s.sendComplete() // opens connections to both zones, and establishes the usual latency
+		s.sendComplete() // opens connections to both zones, and establishes the latency baseline
 	}
 	if err := s.Evacuate("a"); err != nil {
 		t.Fatal(err)
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if n.quarantine.Receive(record) && (record.RefuseMilliseconds > 0 || record.Released) {
-		_ = n.announcer.SendNotice(notice) // no longer than when it arrived
+		_ = n.announcer.SendNotice(notice) // it was sent before, so it fits into a datagram
 	}
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -82,7 +82,7 @@
 // it. It contains durations instead of timestamps, as the clocks of nodes differ.
 type Record struct {
 	Identity Identity `msgpack:"i" json:"-"`
-	// CrashedReplicas, Rounds and Blame are the evidence; see decision.Evidence.
+	// CrashedReplicas, Rounds and Blame are the evidence; see decision.CrashEvidence.
 	CrashedReplicas int     `msgpack:"e" json:"ended"`
 	Rounds          int     `msgpack:"m" json:"rounds"`
 	Blame           float64 `msgpack:"b" json:"blame"`
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -232,9 +232,9 @@
 	return acquired
 }
 
-// hedgeDelay returns the delay before a hedge: until the answer is late, or as long as
-// the hedge still has its own late time before the answer is due, but at most half of
-// the remaining time, as the replica of the hedge is not known yet.
+// hedgeDelay returns the delay before a hedge. A hedge is sent once the first attempt is
+// late, or later if that still leaves hedgeLateAfter for the hedge to answer. It is not
+// postponed past half of the remaining time, as its replica is not known yet.
 func hedgeDelay(lateAfter, remaining, hedgeLateAfter time.Duration) time.Duration {
 	return max(lateAfter, min(remaining-hedgeLateAfter, remaining/2))
 }
--- a/internal/query/pause_compensation.go
+++ b/internal/query/pause_compensation.go
@@ -6,8 +6,8 @@
 	// minPause is the shortest pause that is compensated. Readings of a meter differ by
 	// some milliseconds.
 	minPause = 50 * time.Millisecond
-	// minTimeAfterPause is the least time that a run has left after a pause, as far as the
-	// length of the pause makes up for it. In this time the run reads the replies that
+	// minTimeAfterPause is the time left to a run after a pause: the deadline is extended
+	// up to it, but by no more than the pause. In this time the run reads the replies that
 	// arrived during the pause, and replicas that were paused as well can answer. It is well
 	// below the half second by which an answer may exceed the configured timeout.
 	minTimeAfterPause = 250 * time.Millisecond
@@ -24,7 +24,8 @@
 	lastPaused time.Duration
 }
 
-// update takes the process's total paused time and the time since the run's start.
+// update extends excluded after a pause. paused is the process's total paused time, elapsed
+// the time since the run's start.
 func (p *pauseCompensation) update(paused, elapsed, deadline time.Duration) {
 	pause := paused - p.lastPaused
 	if pause < minPause {
--- a/internal/replica/call.go
+++ b/internal/replica/call.go
@@ -49,7 +49,7 @@
 }
 
 // deadlinePassed also compares the wall clock, because a process resuming from
-// a freeze may not have seen its context expire yet.
+// suspension may not have seen its context expire yet.
 func deadlinePassed(p *Pool, ctx context.Context, request backendapi.CallRequest) bool {
 	if ctx.Err() != nil {
 		return true
--- a/internal/replica/cold_limiter.go
+++ b/internal/replica/cold_limiter.go
@@ -19,7 +19,7 @@
 
 // coldLimit returns how many requests per second this node may send to a
 // replica. A cold replica that receives more than it can handle fails, and a
-// zone that comes back cold can fail as a whole.
+// zone whose replicas all restart cold can fail as a whole.
 func (v *view) coldLimit(replica topology.Replica) int {
 	if replica.ColdRate == 0 {
 		return unlimited
--- a/internal/replica/cold_limiter_test.go
+++ b/internal/replica/cold_limiter_test.go
@@ -109,8 +109,8 @@
 }
 
 // The limit of a replica that is already cold must be recomputed when only the
-// set of sharing nodes changes.
-func TestColdLimitFollowsSharingNodes(t *testing.T) {
+// set of nodes sharing its cold rate changes.
+func TestColdLimitFollowsColdRateSharers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool, board := newColdPool(t, 3, &now)
 	criteria := testCriteria()
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -284,7 +284,7 @@
 	return 0
 }
 
-// Holder returns one of the daemons that may connect to a replica, selected by
+// Holder returns one of the daemons that may connect to a replica, selected at
 // random. It reports false if there is none.
 func (g *GroupConnections) Holder(replica int, random uint64) (holder topology.Member, found bool) {
 	allocation := &g.allocations[replica]
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -29,8 +29,8 @@
 	// maxHolderDraws limits the attempts to pick a holder that is usable, not
 	// this daemon and not chosen already.
 	maxHolderDraws = 4
-	// sufficientReplicas is the number of directly connected replicas from
-	// which on a group needs no routes through peers.
+	// sufficientReplicas is the number of directly connected replicas with
+	// which a group needs no routes through peers.
 	sufficientReplicas = 4
 )
 
@@ -87,7 +87,7 @@
 }
 
 // unreachableReplicas returns the indexes of the replicas that this daemon must
-// not connect to, sorted by distance. The order within a distance is rotated by
+// not connect to, sorted by distance. The order within a distance is rotated at
 // random.
 func (p *Pool) unreachableReplicas(connections *GroupConnections, listed []topology.Replica, random uint64) []int {
 	found := make([]int, 0, len(listed))
@@ -151,7 +151,7 @@
 }
 
 // applyForwardedState marks a replica behind a peer as leaving if its reply
-// said so.
+// reports that it is draining.
 func (p *Pool) applyForwardedState(address, incarnation string, draining bool) {
 	if draining && incarnation != "" && p.options.Tracker != nil {
 		p.options.Tracker.MarkLeaving(address, incarnation)
--- a/internal/replica/probe_test.go
+++ b/internal/replica/probe_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// A frozen replica must cost a probe only its timeout and not delay others.
+// An unresponsive replica must cost a probe only its timeout and not delay others.
 func TestProberRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/replica/probers.go
+++ b/internal/replica/probers.go
@@ -10,7 +10,7 @@
 )
 
 // probersPerReplica is the number of daemons that probe each replica. It
-// provides redundancy if one of them is frozen or partitioned.
+// provides redundancy if one of them is suspended or partitioned.
 const probersPerReplica = 2
 
 // probeCandidate is a daemon that may probe a replica.
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -25,8 +25,7 @@
 	// UpstreamReply is the complete reply to a message. It is set on Success,
 	// and on Failed if the replica answered with an error status.
 	UpstreamReply *upstream.Reply
-	// Attribution is set for the outcome Ended, that is, if the replica's process
-	// terminated while running the sub-request. It is 1 divided by the number
+	// Attribution is set for the outcome Crashed. It is 1 divided by the number
 	// of this node's requests that the replica was running.
 	Attribution float64
 	Err         error
--- a/internal/replica/slowdown.go
+++ b/internal/replica/slowdown.go
@@ -15,7 +15,7 @@
 	// slowdownHalfLife is the half-life of the estimate for a replica that gets
 	// no requests, so that it is tried again.
 	slowdownHalfLife = 2 * time.Second
-	// lateRatio is the multiple of the median latency from which on an answer
+	// lateRatio is the multiple of the median latency from which an answer
 	// is late.
 	lateRatio = 2
 )
@@ -69,7 +69,7 @@
 	return math.Exp2(-max(0, float64(elapsed)/float64(halfLife)))
 }
 
-// minExcess is the excess from which on a replica counts as slow. Smaller
+// minExcess is the smallest excess with which a replica counts as slow. Smaller
 // differences are normal and must not cause a farther replica to be preferred.
 const minExcess = 0.5
 
@@ -101,7 +101,7 @@
 // replyReceived records a reply.
 func (s *silenceTimer) replyReceived(age time.Duration) { s.since.Store(int64(age)) }
 
-// duration returns how long the replica has been silent, 0 if nothing is in
+// duration returns how long the replica has not answered, 0 if nothing is in
 // flight.
 func (s *silenceTimer) duration(age time.Duration, inFlight int64) time.Duration {
 	if inFlight == 0 {
--- a/internal/replica/slowdown_test.go
+++ b/internal/replica/slowdown_test.go
@@ -45,19 +45,19 @@
 	var timer silenceTimer
 	ms := time.Millisecond
 	if got := timer.duration(50*ms, 0); got != 0 {
-		t.Errorf("silent for %v without requests in flight, want 0", got)
+		t.Errorf("unanswered for %v without requests in flight, want 0", got)
 	}
 	timer.requestSent(100*ms, 1)
 	timer.requestSent(120*ms, 2) // must not restart the timer
 	if got := timer.duration(150*ms, 2); got != 50*ms {
-		t.Errorf("silent for %v, want 50ms", got)
+		t.Errorf("unanswered for %v, want 50ms", got)
 	}
 	timer.replyReceived(150 * ms)
 	if got := timer.duration(160*ms, 1); got != 10*ms {
-		t.Errorf("silent for %v after an answer, want 10ms", got)
+		t.Errorf("unanswered for %v after an answer, want 10ms", got)
 	}
 	timer.requestSent(500*ms, 1) // first request after an idle period
 	if got := timer.duration(505*ms, 1); got != 5*ms {
-		t.Errorf("silent for %v, want 5ms", got)
+		t.Errorf("unanswered for %v, want 5ms", got)
 	}
 }
