--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -69,9 +69,9 @@
 
 // Quarantine receives the quarantined requests in the store.
 type Quarantine interface {
-	Adopt(identity string, value []byte)
-	// Forgotten is called when a request's entry is gone from the store.
-	Forgotten(identity string)
+	HandleStored(identity string, value []byte)
+	// HandleDeleted is called when a request's entry is gone from the store.
+	HandleDeleted(identity string)
 }
 
 // Options configures a Follower.
@@ -101,8 +101,8 @@
 	// VanishedRetention is how long a replica whose entry is gone may still receive requests if its
 	// group has no other replica.
 	VanishedRetention time.Duration
-	// ColdBound limits the rate of requests that all nodes together send to a cold replica.
-	ColdBound decision.ColdRateLimit
+	// ColdRateLimit limits the rate of requests that all nodes together send to a cold replica.
+	ColdRateLimit decision.ColdRateLimit
 	// Logger and Now are optional. Now must advance while the machine is suspended.
 	Logger *slog.Logger
 	Now    func() time.Time
@@ -177,8 +177,8 @@
 	// needsStoreWatch is true from when a relay no longer had the required history until the store
 	// has delivered it.
 	needsStoreWatch bool
-	// consecutiveSilent counts relays in a row that did not respond.
-	consecutiveSilent int
+	// consecutiveUnresponsive counts relays in a row that did not respond.
+	consecutiveUnresponsive int
 	// suspected delivers suspicions about other nodes.
 	suspected chan []relay.Suspicion
 }
@@ -240,8 +240,8 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) Adopt(string, []byte) {}
-func (noQuarantine) Forgotten(string)     {}
+func (noQuarantine) HandleStored(string, []byte) {}
+func (noQuarantine) HandleDeleted(string)        {}
 
 // Run follows the store until ctx is done, and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
@@ -319,7 +319,7 @@
 }
 
 // errRevisionRegressed rejects a listing at a lower revision than the one already applied.
-var errRevisionRegressed = eris.New("the store has told an older state than before, without a new era")
+var errRevisionRegressed = eris.New("store revision went back without a new era")
 
 // applyListing applies a full listing, publishes the state, and returns the time.
 func (f *Follower) applyListing(values []store.KeyValue, revision int64) time.Time {
@@ -338,7 +338,7 @@
 		f.state.replace(now, values)
 		return
 	}
-	f.options.Logger.Warn("the store has come back from a copy",
+	f.options.Logger.Warn("store restored from a backup",
 		"era", store.EraOf(revision), "revision", store.SequenceOf(revision),
 		"known_era", store.EraOf(applied), "known_revision", store.SequenceOf(applied))
 	f.state.replaceAfterRestore(now, values)
@@ -438,7 +438,7 @@
 // recordFailure records that the store has failed.
 func (f *Follower) recordFailure(err error) {
 	if errors.Is(err, store.ErrCompacted) || errors.Is(err, errWatchLagging) {
-		f.options.Logger.Info("reading the store anew", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied))
+		f.options.Logger.Info("listing the store again", "reason", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied))
 		return
 	}
 	if !f.storeReachable {
@@ -447,7 +447,7 @@
 	f.storeReachable = false
 	now := f.options.Now()
 	f.options.Board.Store.Publish(&blackboard.StoreStatus{Since: now, LastError: err.Error()})
-	f.options.Logger.Warn("store lost; going on with what is known",
+	f.options.Logger.Warn("store unreachable; serving from the last known state",
 		"error", err.Error(), "known_era", store.EraOf(f.staleness.applied), "known_revision", store.SequenceOf(f.staleness.applied), "confirmed_ago", now.Sub(f.staleness.confirmedAt).String())
 }
 
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -212,7 +212,7 @@
 	for _, group := range replicas.Groups {
 		for _, replica := range group {
 			switch replica.State {
-			case topology.ReplicaLeaving, topology.ReplicaMissing:
+			case topology.ReplicaLeaving, topology.ReplicaVanished:
 				system.Leaving = append(system.Leaving, replica)
 			case topology.ReplicaEvacuated:
 				system.Evacuated[replica.Place.Zone]++
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -148,7 +148,7 @@
 	table := newColumnWriter(w, "LEAVING", "GROUP", "ZONE", "ADDRESS")
 	for _, replica := range replicas {
 		state := "draining"
-		if replica.State == topology.ReplicaMissing {
+		if replica.State == topology.ReplicaVanished {
 			state = "vanished"
 		}
 		table.row(state, replica.Group, replica.Place.Zone, replica.Address)
