--- a/internal/backendapi/backendapi.go
+++ b/internal/backendapi/backendapi.go
@@ -1,13 +1,14 @@
-// Package backendapi is the HTTP and JSON interface of a back-end replica, as
-// doorpond uses it and as the stand-in back ends serve it.
+// Package backendapi defines the HTTP and JSON protocol between doorpond and
+// the back-end replicas.
 //
 //	POST /search  SearchRequest -> 200 SearchReply, or a Refusal
 //	POST /call    CallRequest   -> 200 CallReply, or a Refusal
-//	GET  /status  -> 200 Status (may lag or mislead)
+//	GET  /status  -> 200 Status (may be stale or wrong)
 //
-// A Refusal comes with status 429, 503 or 410 and promises that the request
-// did not run. Any other status, and any broken connection after the first
-// byte was written, says nothing about whether it ran.
+// A Refusal is sent with status 429, 503 or 410 and guarantees that the request
+// was not executed. After any other error status, or a connection that breaks
+// once the first byte of the request has been written, it is unknown whether
+// the request was executed.
 package backendapi
 
 import (
@@ -16,14 +17,14 @@
 	"github.com/doorpond/doorpond/client"
 )
 
-// The paths of the interface.
+// Endpoint paths.
 const (
 	SearchPath = "/search"
 	CallPath   = "/call"
 	StatusPath = "/status"
 )
 
-// SearchRequest asks one shard of one index in one snapshot.
+// SearchRequest queries one shard of one index in one snapshot.
 type SearchRequest struct {
 	QueryID  string       `json:"query_id"`
 	Attempt  int          `json:"attempt"`
@@ -35,19 +36,20 @@
 	Card     string       `json:"card,omitempty"`
 	Order    client.Order `json:"order"`
 	Limit    int          `json:"limit"`
-	// TimeoutMilliseconds is the time left; the back end may stop after it.
+	// TimeoutMilliseconds is the remaining time budget; the back end may
+	// abandon the search once it is spent.
 	TimeoutMilliseconds int64 `json:"timeout_ms"`
 }
 
-// Load is what a reply says of its replica at that moment.
+// Load is the load of a replica at the time of its reply.
 type Load struct {
 	Slots    int `json:"slots"`
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 }
 
-// SearchReply echoes what it answers, so that a crossed or late reply can be
-// told from the right one.
+// SearchReply is the result of a SearchRequest. It echoes the request's
+// identifying fields, so that the caller can reject a mismatched or late reply.
 type SearchReply struct {
 	QueryID  string `json:"query_id"`
 	Attempt  int    `json:"attempt"`
@@ -55,32 +57,34 @@
 	Index    string `json:"index"`
 	Shard    int    `json:"shard"`
 	Shards   int    `json:"shards"`
-	// Count is the number of Hits, so that a short reply shows.
+	// Count is the length of Hits, for detecting a truncated list.
 	Count int          `json:"count"`
 	Hits  []client.Hit `json:"hits"`
-	// Total is the number of matches in the shard, Hits or not.
+	// Total is the number of matches in the shard, including those beyond the
+	// limit.
 	Total int  `json:"total"`
 	Load  Load `json:"load"`
-	// Draining is true when the replica is leaving.
+	// Draining is true when the replica is shutting down.
 	Draining bool `json:"draining,omitempty"`
-	// Incarnation names the process that replied.
+	// Incarnation identifies the process that replied; it changes on restart.
 	Incarnation string `json:"incarnation"`
 }
 
-// CallRequest runs an operation that may not be repeated.
+// CallRequest requests a non-idempotent operation.
 type CallRequest struct {
 	Key       string          `json:"key"`
 	Operation string          `json:"operation"`
 	Payload   json.RawMessage `json:"payload,omitempty"`
-	// TimeoutMilliseconds is the time left when the request was written.
+	// TimeoutMilliseconds is the remaining time budget when the request is
+	// sent.
 	TimeoutMilliseconds int64 `json:"timeout_ms"`
-	// NotAfterUnixMilliseconds is the moment after which the back end must
-	// refuse, so that a request written by a process that was frozen does not
-	// run late.
+	// NotAfterUnixMilliseconds is the deadline after which the back end must
+	// refuse the request, so that a request from a sender that was suspended
+	// is not executed late.
 	NotAfterUnixMilliseconds int64 `json:"not_after_unix_ms"`
 }
 
-// CallReply is the result of an operation that ran.
+// CallReply is the result of an executed operation.
 type CallReply struct {
 	Key         string          `json:"key"`
 	Result      json.RawMessage `json:"result"`
@@ -89,10 +93,10 @@
 	Incarnation string          `json:"incarnation"`
 }
 
-// RefusalReason says why a back end did not run a request.
+// RefusalReason is the reason why a back end did not execute a request.
 type RefusalReason string
 
-// The reasons of a Refusal.
+// Refusal reasons.
 const (
 	RefusedShed            RefusalReason = "shed"
 	RefusedDraining        RefusalReason = "draining"
@@ -100,7 +104,7 @@
 	RefusedDeadlinePassed  RefusalReason = "deadline_passed"
 )
 
-// Refusal is the body of status 429, 503 or 410.
+// Refusal is the response body for status 429, 503 and 410.
 type Refusal struct {
 	Reason                 RefusalReason `json:"reason"`
 	NotRun                 bool          `json:"not_run"`
@@ -110,17 +114,17 @@
 	Incarnation            string        `json:"incarnation"`
 }
 
-// State is what a replica says of itself.
+// State is the lifecycle state that a replica reports.
 type State string
 
-// The states in a Status.
+// Replica states.
 const (
 	StateCold     State = "cold"
 	StateServing  State = "serving"
 	StateDraining State = "draining"
 )
 
-// Status is what /status answers.
+// Status is the response body of GET /status.
 type Status struct {
 	Incarnation string   `json:"incarnation"`
 	State       State    `json:"state"`
