--- a/internal/corpus/load.go
+++ b/internal/corpus/load.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	for i := range records {
-		records[i].words = SplitWords(records[i].Text)
+		records[i].words = Tokenize(records[i].Text)
 	}
 	return records, nil
 }
--- a/internal/corpus/match.go
+++ b/internal/corpus/match.go
@@ -13,9 +13,9 @@
 // however it is typed.
 var apostrophes = strings.NewReplacer("'", "", "’", "", "ʼ", "")
 
-// SplitWords splits a text into lower-case words. Everything that is neither
+// Tokenize splits a text into lower-case words. Everything that is neither
 // a letter, a mark nor a digit separates words, Ethiopic punctuation included.
-func SplitWords(text string) []string {
+func Tokenize(text string) []string {
 	plain := strings.ToLower(apostrophes.Replace(text))
 	return strings.FieldsFunc(plain, isSeparator)
 }
@@ -33,7 +33,7 @@
 // NewMatcher makes a Matcher. A card, when set, is matched whole and the
 // phrase is left aside.
 func NewMatcher(phrase, card string) Matcher {
-	return Matcher{phrase: SplitWords(phrase), card: card}
+	return Matcher{phrase: Tokenize(phrase), card: card}
 }
 
 // Match reports whether a record matches, and its rank. A phrase matches
--- a/internal/corpus/record.go
+++ b/internal/corpus/record.go
@@ -39,7 +39,7 @@
 	if r.words != nil {
 		return r.words
 	}
-	return SplitWords(r.Text)
+	return Tokenize(r.Text)
 }
 
 // Hit returns the record as a hit of a rank.
--- a/internal/corpus/search.go
+++ b/internal/corpus/search.go
@@ -23,13 +23,13 @@
 			hits = append(hits, records[i].Hit(rank))
 		}
 	}
-	client.SortHits(hits, OrderOf(query))
+	client.SortHits(hits, EffectiveOrder(query))
 	return Truncate(hits, query.Limit)
 }
 
-// OrderOf returns the query's order, or its default: by time for cards and by
+// EffectiveOrder returns the query's order, or its default: by time for cards and by
 // rank for phrases.
-func OrderOf(query client.Query) client.Order {
+func EffectiveOrder(query client.Query) client.Order {
 	switch {
 	case query.Order != "":
 		return query.Order
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -74,7 +74,7 @@
 		for shard, group := range index.Groups {
 			request := backendapi.SearchRequest{
 				QueryID: "q", Snapshot: snapshot.ID, Index: index.Name, Shard: shard, Shards: len(index.Groups),
-				Phrase: query.Phrase, Card: query.Card, Order: corpus.OrderOf(query), Limit: 100, TimeoutMilliseconds: 60_000,
+				Phrase: query.Phrase, Card: query.Card, Order: corpus.EffectiveOrder(query), Limit: 100, TimeoutMilliseconds: 60_000,
 			}
 			var reply backendapi.SearchReply
 			if status := post(t, "http://"+replicaOf(t, platform, group)+backendapi.SearchPath, request, &reply); status != http.StatusOK {
@@ -83,7 +83,7 @@
 			hits = append(hits, reply.Hits...)
 		}
 	}
-	client.SortHits(hits, corpus.OrderOf(query))
+	client.SortHits(hits, corpus.EffectiveOrder(query))
 	return hits
 }
 
