--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -179,7 +179,7 @@
 	n.registerAbortedRequests(registerer)
 	source := countCalls(n.platform.Store, registerer)
 	n.liveness = liveness.New(liveness.Config{Logger: n.logger})
-	n.processor = processor.New(processor.Options{Processors: n.settings.Limits.Processors(), Logger: n.logger})
+	n.processor = processor.New(processor.Options{CPULimit: n.settings.Limits.Processors(), Logger: n.logger})
 	n.budgets = newBudgets(n.board, func() BoundsSettings { return n.current.Load().Bounds }, time.Now)
 	if registerer != nil {
 		registerer.MustRegister(newBudgetCollector(n.budgets))
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -1,6 +1,6 @@
-// Package processor tells whether this process has used much of the processor
-// time that it is given. A machine with little time left answers late long
-// before it refuses anything.
+// Package processor detects CPU overload of the current process from the share
+// of its CPU limit that it uses. Response times rise well before a node
+// starts to reject requests.
 package processor
 
 import (
@@ -11,53 +11,52 @@
 	"time"
 )
 
-// The constants of a Meter.
 const (
-	// interval between two readings. It is over any burst of a single request.
-	interval = time.Second
-	// overloadedShare of the processor time is where a process counts as overloaded:
-	// requests come in bursts, so that half of the time in use means queues.
-	overloadedShare = 0.5
-	// idleShare is where it no longer does. One more node beside it takes half
-	// of its requests at the most, which must not make it idle again.
-	idleShare = 0.2
+	// sampleInterval is longer than the CPU burst of a single request.
+	sampleInterval = time.Second
+	// overloadThreshold is the share of the CPU limit at which a process becomes
+	// overloaded. Requests arrive in bursts, so they already queue at half the limit.
+	overloadThreshold = 0.5
+	// recoveryThreshold is the share below which the process is no longer overloaded.
+	// It is less than half of overloadThreshold: a node added to share the load
+	// takes up to half of it, which must not end the overload.
+	recoveryThreshold = 0.2
 )
 
-// Options are what a Meter needs.
+// Options configures a Meter.
 type Options struct {
-	// Processors is the processor time that the process may use, in cores; 0 means
-	// that it is not known, and the process never counts as overloaded.
-	Processors float64
-	// Used returns the processor time used since the start; nil means the
-	// operating system's count.
-	Used   func() time.Duration
-	Logger *slog.Logger
+	// CPULimit is the CPU time available to the process, in cores. 0 means that
+	// it is unknown; the process is then never reported as overloaded.
+	CPULimit float64
+	// CPUTime returns the CPU time used since the process started. The default
+	// is the operating system's count.
+	CPUTime func() time.Duration
+	Logger  *slog.Logger
 }
 
-// Meter reads the processor time in use; Run must be running.
+// Meter samples the CPU usage of the process while Run is running.
 type Meter struct {
 	options    Options
 	overloaded atomic.Bool
-	used       time.Duration
+	lastUsed   time.Duration // CPU time at the last sample
 }
 
-// New makes a Meter.
 func New(options Options) *Meter {
-	if options.Used == nil {
-		options.Used = processTime
+	if options.CPUTime == nil {
+		options.CPUTime = processCPUTime
 	}
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
-	return &Meter{options: options, used: options.Used()}
+	return &Meter{options: options, lastUsed: options.CPUTime()}
 }
 
-// Overloaded is true while much of the processor time is in use.
+// Overloaded reports whether the process was overloaded at the last sample.
 func (m *Meter) Overloaded() bool { return m.overloaded.Load() }
 
-// Run reads the count until ctx ends, and returns nil then.
+// Run samples the CPU time until ctx is done, then returns nil.
 func (m *Meter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -65,29 +64,29 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			m.read(now.Sub(last))
+			m.sample(now.Sub(last))
 			last = now
 		}
 	}
 }
 
-// read takes in one reading, some time after the last.
-func (m *Meter) read(since time.Duration) {
-	if m.options.Processors <= 0 {
+// sample updates the overload state from the CPU time used since the last sample.
+func (m *Meter) sample(elapsed time.Duration) {
+	if m.options.CPULimit <= 0 {
 		return
 	}
-	used := m.options.Used()
-	share := float64(used-m.used) / (m.options.Processors * float64(since))
-	m.used = used
-	overloaded := share >= overloadedShare || (m.overloaded.Load() && share >= idleShare)
+	used := m.options.CPUTime()
+	share := float64(used-m.lastUsed) / (m.options.CPULimit * float64(elapsed))
+	m.lastUsed = used
+	overloaded := share >= overloadThreshold || (m.overloaded.Load() && share >= recoveryThreshold)
 	if m.overloaded.Swap(overloaded) != overloaded {
-		m.options.Logger.Info("processor load", "loaded", overloaded, "share", share)
+		m.options.Logger.Info("CPU overload state changed", "loaded", overloaded, "share", share)
 	}
 }
 
-// processTime is the processor time that this process has used, in user and in
-// kernel mode, or 0 where it is not known.
-func processTime() time.Duration {
+// processCPUTime returns the user and system CPU time of this process, or 0 if
+// the operating system does not report it.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
