--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -80,7 +80,7 @@
 	m.lastUsed = used
 	overloaded := share >= overloadThreshold || (m.overloaded.Load() && share >= recoveryThreshold)
 	if m.overloaded.Swap(overloaded) != overloaded {
-		m.options.Logger.Info("CPU overload state changed", "loaded", overloaded, "share", share)
+		m.options.Logger.Info("processor load", "loaded", overloaded, "share", share)
 	}
 }
 
