--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples holds files that show how doorpond is used; the demo reads
-// them too, so that they cannot fall behind.
+// Package examples contains the example configuration files. The demo loads them
+// as well, which keeps them valid.
 package examples
 
 import _ "embed"
 
-// Policies is a table for both kinds of users, as "doorpond apply -f" takes it.
+// Policies is an example policy table in the format of "doorpond apply -f".
 //
 //go:embed policies.yaml
 var Policies []byte
