--- a/cmd/doorpond-edge/main.go
+++ b/cmd/doorpond-edge/main.go
@@ -1,5 +1,5 @@
-// Command doorpond-edge is a node that serves callers who run no process of
-// ours, on the users' platform.
+// Command doorpond-edge runs an edge node, which serves callers that have no
+// local daemon.
 package main
 
 import (
@@ -23,16 +23,17 @@
 	"github.com/doorpond/doorpond/platform"
 )
 
-// collectorPercent keeps the heap small: memory is dear on these machines, and
-// processor time is not (docs/MEASUREMENTS.md).
-const collectorPercent = 50
+// gcPercent is the default GOGC value. It trades CPU time for a smaller
+// heap, because edge nodes are limited by memory.
+const gcPercent = 50
 
-// memoryShare of what the process may use is where the collector works harder.
-const memoryShare = 0.7
+// memoryLimitRatio is the soft memory limit of the Go runtime as a share of the
+// configured memory limit.
+const memoryLimitRatio = 0.7
 
 func main() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	program.Main(command())
 }
@@ -66,7 +67,8 @@
 	}
 }
 
-// explainRequest reads the logs that arguments name and tells of a request.
+// explainRequest writes the timeline of the request arguments[0] from the log
+// files arguments[1:], or from in if there are none.
 func explainRequest(arguments []string, in io.Reader, out io.Writer) error {
 	if len(arguments) == 0 {
 		return &settings.Error{Source: "command line", Reason: "explain takes a REQUEST"}
@@ -85,7 +87,7 @@
 			return eris.Wrap(err, "open the logs")
 		}
 		read, err := explain.Read(file)
-		_ = file.Close() // it was only read
+		_ = file.Close() // opened for reading only
 		if err != nil {
 			return err
 		}
@@ -104,54 +106,54 @@
 		return err
 	}
 	if loaded.Limits.MemoryMegabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(loaded.Limits.MemoryMegabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(loaded.Limits.MemoryMegabytes<<20)))
 	}
-	lines := eventlog.NewWriter(os.Stdout)
-	defer lines.Close()
+	logWriter := eventlog.NewWriter(os.Stdout)
+	defer logWriter.Close()
 	node, err := edge.New(edge.Options{
 		Settings: loaded, Platform: platform.New(loaded),
 		Reload: func() (edge.Settings, error) { return edge.LoadSettings(path) },
-		Logger: slog.New(slog.NewJSONHandler(lines, nil)),
+		Logger: slog.New(slog.NewJSONHandler(logWriter, nil)),
 	})
 	if err != nil {
 		return err
 	}
-	stopping, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	runCtx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go followSettings(stopping, path, node.Reload)
-	return node.Run(stopping)
+	go watchSettings(runCtx, path, node.Reload)
+	return node.Run(runCtx)
 }
 
-// settingsInterval is the time between two looks at the settings file, which
-// may change without a signal.
-const settingsInterval = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes that
+// no SIGHUP announces.
+const settingsPollInterval = 2 * time.Second
 
-// followSettings calls reload after SIGHUP and when the file has changed, until
-// ctx ends.
-func followSettings(ctx context.Context, path string, reload func()) {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	ticker := time.NewTicker(settingsInterval)
+// watchSettings calls reload on SIGHUP and when the modification time of the
+// file changes, until ctx is done.
+func watchSettings(ctx context.Context, path string, reload func()) {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(path)
+	lastModTime := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
+		case <-sighup:
 		case <-ticker.C:
-			if modified(path).Equal(seen) {
+			if modTime(path).Equal(lastModTime) {
 				continue
 			}
 		}
-		seen = modified(path)
+		lastModTime = modTime(path)
 		reload()
 	}
 }
 
-// modified returns when a file was changed last, the zero time if it is not
-// there.
-func modified(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if the file
+// cannot be read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/doorpond-lab/bench.go
+++ b/cmd/doorpond-lab/bench.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	flagBenchShards     = "shards"
-	flagBenchParallel   = "parallel"
-	flagBenchRounds     = "rounds"
-	flagBenchRates      = "rates"
-	flagBenchTarget     = "target"
-	flagBenchSamples    = "samples"
-	flagBenchProtocol   = "protocol"
-	flagBenchService    = "service-time"
-	flagBenchStragglers = "straggler-share"
-	flagBenchProfile    = "profile"
-	flagBenchLength     = "length"
+	flagBenchShards         = "shards"
+	flagBenchParallel       = "parallel"
+	flagBenchRounds         = "rounds"
+	flagBenchRates          = "rates"
+	flagBenchTarget         = "target"
+	flagBenchSamples        = "samples"
+	flagBenchProtocol       = "protocol"
+	flagBenchServiceTime    = "service-time"
+	flagBenchStragglerShare = "straggler-share"
+	flagBenchProfile        = "profile"
+	flagBenchLength         = "length"
 )
 
-// fanoutShards is the number of shards that the users' largest query asks.
-const fanoutShards = 390
+// defaultShards is the default fan-out, that of the largest production query.
+const defaultShards = 390
 
 func benchCommand() *cli.Command {
 	return &cli.Command{
@@ -59,8 +59,8 @@
 				Name: "protocols", Usage: "HTTP/1.1 beside HTTP/2 without TLS under hedging",
 				Flags: benchFlags(
 					&cli.StringFlag{Name: flagBenchRates, Value: "20", Usage: "`RATES` of queries a second"},
-					&cli.DurationFlag{Name: flagBenchService, Value: 2 * time.Millisecond, Usage: "mean service time of the back ends"},
-					&cli.FloatFlag{Name: flagBenchStragglers, Value: 0.02, Usage: "share of requests that take 20 times as long"},
+					&cli.DurationFlag{Name: flagBenchServiceTime, Value: 2 * time.Millisecond, Usage: "mean service time of the back ends"},
+					&cli.FloatFlag{Name: flagBenchStragglerShare, Value: 0.02, Usage: "share of requests that take 20 times as long"},
 				),
 				Action: benchProtocols,
 			},
@@ -68,7 +68,7 @@
 				Name: "added", Usage: "time that a daemon adds to a query of one shard",
 				Flags: []cli.Flag{
 					&cli.IntFlag{Name: flagBenchSamples, Value: 20000, Usage: "queries each way"},
-					&cli.DurationFlag{Name: flagBenchService, Usage: "mean service time of the back end"},
+					&cli.DurationFlag{Name: flagBenchServiceTime, Usage: "mean service time of the back end"},
 				},
 				Action: benchAdded,
 			},
@@ -76,22 +76,23 @@
 	}
 }
 
-func benchFlags(more ...cli.Flag) []cli.Flag {
-	return append(more,
-		&cli.IntFlag{Name: flagBenchShards, Value: fanoutShards, Usage: "shards of a query"},
+func benchFlags(extra ...cli.Flag) []cli.Flag {
+	return append(extra,
+		&cli.IntFlag{Name: flagBenchShards, Value: defaultShards, Usage: "shards of a query"},
 		&cli.DurationFlag{Name: flagBenchLength, Value: 5 * time.Second, Usage: "length of each step"},
 		&cli.StringFlag{Name: flagBenchProtocol, Value: string(replica.ProtocolHTTP1), Usage: "http1 or h2c"},
 	)
 }
 
-// withEnvironment runs a measurement against a platform of its own.
+// withEnvironment starts an emulated platform in a separate process and calls
+// measure with an environment connected to it.
 func withEnvironment(ctx context.Context, command *cli.Command, shards int, protocol replica.Protocol, row policy.Row, measure func(*bench.Environment) error) error {
-	arguments := []string{"--" + flagHollow, strconv.Itoa(shards)}
-	if service := command.Duration(flagBenchService); service > 0 {
-		arguments = append(arguments, "--"+flagHollowService, service.String())
+	arguments := []string{"--" + flagHollowShards, strconv.Itoa(shards)}
+	if service := command.Duration(flagBenchServiceTime); service > 0 {
+		arguments = append(arguments, "--"+flagHollowServiceTime, service.String())
 	}
-	if stragglers := command.Float(flagBenchStragglers); stragglers > 0 {
-		arguments = append(arguments, "--"+flagHollowStragglers, strconv.FormatFloat(stragglers, 'f', -1, 64))
+	if stragglers := command.Float(flagBenchStragglerShare); stragglers > 0 {
+		arguments = append(arguments, "--"+flagHollowStragglerShare, strconv.FormatFloat(stragglers, 'f', -1, 64))
 	}
 	description, stop, err := bench.StartPlatform(ctx, arguments...)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return measure(environment)
 }
 
-func protocolOf(command *cli.Command) (replica.Protocol, error) {
+func parseProtocol(command *cli.Command) (replica.Protocol, error) {
 	protocol := replica.Protocol(command.String(flagBenchProtocol))
 	if protocol != replica.ProtocolHTTP1 && protocol != replica.ProtocolH2C {
 		return "", eris.Errorf("unknown protocol %q", protocol)
@@ -114,19 +115,19 @@
 	return protocol, nil
 }
 
-// unhedgedRow asks each shard once.
-func unhedgedRow() policy.Row {
+// unhedgedPolicy returns a policy without hedged requests.
+func unhedgedPolicy() policy.Row {
 	row := policy.DefaultRow("bench")
 	row.Wait.HedgeQuantile = 0
 	return row
 }
 
 func benchSubRequest(ctx context.Context, command *cli.Command) error {
-	protocol, err := protocolOf(command)
+	protocol, err := parseProtocol(command)
 	if err != nil {
 		return err
 	}
-	return withEnvironment(ctx, command, command.Int(flagBenchShards), protocol, unhedgedRow(), func(environment *bench.Environment) error {
+	return withEnvironment(ctx, command, command.Int(flagBenchShards), protocol, unhedgedPolicy(), func(environment *bench.Environment) error {
 		result, err := environment.MeasureSubRequest(ctx, bench.SubRequestOptions{
 			Profile:     command.String(flagBenchProfile),
 			Concurrency: command.Int(flagBenchParallel), Rounds: command.Int(flagBenchRounds), Length: command.Duration(flagBenchLength),
@@ -139,7 +140,7 @@
 }
 
 func benchFanout(ctx context.Context, command *cli.Command) error {
-	protocol, err := protocolOf(command)
+	protocol, err := parseProtocol(command)
 	if err != nil {
 		return err
 	}
@@ -155,8 +156,8 @@
 	})
 }
 
-// protocolSteps are the same steps with one protocol.
-type protocolSteps struct {
+// protocolResult is the result of the fan-out benchmark for one protocol.
+type protocolResult struct {
 	Protocol replica.Protocol   `json:"protocol"`
 	Hedging  bool               `json:"hedging"`
 	Steps    []bench.FanoutStep `json:"steps"`
@@ -167,13 +168,13 @@
 	if err != nil {
 		return err
 	}
-	var results []protocolSteps
-	for _, row := range []policy.Row{unhedgedRow(), policy.DefaultRow("bench")} {
+	var results []protocolResult
+	for _, row := range []policy.Row{unhedgedPolicy(), policy.DefaultRow("bench")} {
 		for _, protocol := range []replica.Protocol{replica.ProtocolHTTP1, replica.ProtocolH2C} {
 			err := withEnvironment(ctx, command, command.Int(flagBenchShards), protocol, row, func(environment *bench.Environment) error {
 				options := bench.FanoutOptions{Rates: rates, Length: command.Duration(flagBenchLength), Target: time.Minute, Seed: 1}
 				measured := environment.MeasureFanout(ctx, options, func(bench.FanoutStep) {})
-				results = append(results, protocolSteps{protocol, row.Wait.HedgeQuantile > 0, measured.Steps})
+				results = append(results, protocolResult{protocol, row.Wait.HedgeQuantile > 0, measured.Steps})
 				return nil
 			})
 			if err != nil {
@@ -185,7 +186,7 @@
 }
 
 func benchAdded(ctx context.Context, command *cli.Command) error {
-	return withEnvironment(ctx, command, 1, replica.ProtocolHTTP1, unhedgedRow(), func(environment *bench.Environment) error {
+	return withEnvironment(ctx, command, 1, replica.ProtocolHTTP1, unhedgedPolicy(), func(environment *bench.Environment) error {
 		result, err := environment.MeasureAdded(ctx, command.Int(flagBenchSamples))
 		if err != nil {
 			return err
--- a/cmd/doorpond-lab/load.go
+++ b/cmd/doorpond-lab/load.go
@@ -24,7 +24,6 @@
 	flagCallers     = "callers"
 )
 
-// The defaults of a load run.
 const (
 	defaultRate        = 100
 	defaultDuration    = 10 * time.Second
@@ -79,8 +78,8 @@
 	return encoder.Encode(report)
 }
 
-// querySource draws from the records of the corpus searched; a corpus without
-// records, such as the hollow one, is asked for one fixed phrase.
+// querySource returns a source of queries drawn from the records of the corpus,
+// or of one fixed query if the corpus has no records.
 func querySource(command *cli.Command) (load.Source, error) {
 	template := client.Query{Corpus: command.String(flagSearch), Group: command.String(flagGroup)}
 	records, err := corpus.Load(corpusFiles(command.String(flagCorpus)))
@@ -94,8 +93,8 @@
 	return load.Fixed(template), nil
 }
 
-// loadClient keeps enough idle connections that the generator does not
-// measure its own dialling.
+// loadClient returns an HTTP client with one idle connection per concurrent
+// query, so that latencies do not include connection setup.
 func loadClient(concurrency int) *http.Client {
 	transport := &http.Transport{
 		MaxIdleConns:        concurrency,
--- a/cmd/doorpond-lab/main.go
+++ b/cmd/doorpond-lab/main.go
@@ -1,5 +1,5 @@
-// Command doorpond-lab is the emulator and bench: it runs the stand-ins of
-// the platform and drives the daemons against them.
+// Command doorpond-lab runs emulated platform services and tests, simulates and
+// benchmarks daemons and edge nodes against them.
 package main
 
 import (
@@ -12,7 +12,6 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes.
 const (
 	exitOK      = 0
 	exitFailure = 1
--- a/cmd/doorpond-lab/platform.go
+++ b/cmd/doorpond-lab/platform.go
@@ -15,19 +15,18 @@
 )
 
 const (
-	flagCorpus = "corpus"
-	flagSeed   = "seed"
-	flagReady  = "ready-file"
-	flagHollow = "hollow-shards"
+	flagCorpus       = "corpus"
+	flagSeed         = "seed"
+	flagReadyFile    = "ready-file"
+	flagHollowShards = "hollow-shards"
 
-	flagHollowService    = "hollow-service-time"
-	flagHollowStragglers = "hollow-straggler-share"
+	flagHollowServiceTime    = "hollow-service-time"
+	flagHollowStragglerShare = "hollow-straggler-share"
 )
 
-// hollowReplicas is the number of replicas of each hollow shard.
+// hollowReplicas is the number of replicas of each shard of the synthetic corpus.
 const hollowReplicas = 2
 
-// readyFileMode lets only the owner write the ready file.
 const readyFileMode = 0o644
 
 func platformCommand() *cli.Command {
@@ -40,10 +39,10 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagCorpus, Usage: "index the .srt and .csv files under `DIRECTORY` (default: the corpus built in)"},
 			&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of the service times"},
-			&cli.IntFlag{Name: flagHollow, Usage: "also run the corpus \"hollow\" of `NUMBER` shards that answer at once, two replicas each"},
-			&cli.DurationFlag{Name: flagHollowService, Usage: "mean service time of the hollow shards; half of it is constant"},
-			&cli.FloatFlag{Name: flagHollowStragglers, Usage: "share of the hollow shards' requests that take 20 times as long"},
-			&cli.StringFlag{Name: flagReady, Usage: "also write the line of JSON to `FILE`"},
+			&cli.IntFlag{Name: flagHollowShards, Usage: "also run the corpus \"hollow\" of `NUMBER` shards that answer at once, two replicas each"},
+			&cli.DurationFlag{Name: flagHollowServiceTime, Usage: "mean service time of the hollow shards; half of it is constant"},
+			&cli.FloatFlag{Name: flagHollowStragglerShare, Usage: "share of the hollow shards' requests that take 20 times as long"},
+			&cli.StringFlag{Name: flagReadyFile, Usage: "also write the line of JSON to `FILE`"},
 		},
 		Action: runPlatform,
 	}
@@ -52,35 +51,35 @@
 func runPlatform(ctx context.Context, command *cli.Command) error {
 	config := platform.DefaultConfig(corpusFiles(command.String(flagCorpus)))
 	config.Seed = command.Uint64(flagSeed)
-	if shards := command.Int(flagHollow); shards > 0 {
+	if shards := command.Int(flagHollowShards); shards > 0 {
 		config.Deployments = append(config.Deployments, hollowDeployment(command, shards))
 	}
 	running, err := platform.Start(ctx, config)
 	if err != nil {
 		return eris.Wrapf(err, "start the platform with corpus %q", command.String(flagCorpus))
 	}
-	if err := announce(command, running.Describe()); err != nil {
-		_ = running.Close() // the first error is the one to report
+	if err := writeDescription(command, running.Describe()); err != nil {
+		_ = running.Close() // the write error takes precedence
 		return err
 	}
 	<-ctx.Done()
 	return running.Close()
 }
 
-// hollowStragglerFactor is how much longer a straggler takes.
+// hollowStragglerFactor multiplies the service time of a straggler.
 const hollowStragglerFactor = 20
 
 func hollowDeployment(command *cli.Command, shards int) platform.Deployment {
 	deployment := platform.HollowDeployment(shards, hollowReplicas)
-	mean := command.Duration(flagHollowService)
+	mean := command.Duration(flagHollowServiceTime)
 	deployment.Timing = &backend.Timing{
 		Base: mean / 2, MeanExtra: mean / 2,
-		StragglerShare: command.Float(flagHollowStragglers), StragglerFactor: hollowStragglerFactor,
+		StragglerShare: command.Float(flagHollowStragglerShare), StragglerFactor: hollowStragglerFactor,
 	}
 	return deployment
 }
 
-// corpusFiles is a directory, or the corpus built in when none is named.
+// corpusFiles returns the files of directory, or the embedded corpus if it is empty.
 func corpusFiles(directory string) fs.FS {
 	if directory == "" {
 		return testdata.Corpus
@@ -88,13 +87,13 @@
 	return os.DirFS(directory)
 }
 
-func announce(command *cli.Command, description platform.Description) error {
+func writeDescription(command *cli.Command, description platform.Description) error {
 	line, err := json.Marshal(description)
 	if err != nil {
 		return eris.Wrap(err, "encode the description")
 	}
 	line = append(line, '\n')
-	if path := command.String(flagReady); path != "" {
+	if path := command.String(flagReadyFile); path != "" {
 		if err := os.WriteFile(path, line, readyFileMode); err != nil {
 			return eris.Wrap(err, "write the ready file")
 		}
--- a/cmd/doorpond-lab/prove.go
+++ b/cmd/doorpond-lab/prove.go
@@ -21,16 +21,16 @@
 	flagRounds   = "rounds"
 )
 
-// The promises that are proved by real processes.
+// The promises that the prove command tests on real processes.
 const (
 	promisePlannedStop = "planned-stop"
 	promiseAtMostOnce  = "at-most-once"
 	promiseTable       = "table"
 )
 
-var provable = []string{promisePlannedStop, promiseAtMostOnce, promiseTable}
+var promiseNames = []string{promisePlannedStop, promiseAtMostOnce, promiseTable}
 
-// proofDaemons is the number of processes to begin with.
+// proofDaemons is the initial number of daemons in a cluster.
 const proofDaemons = 3
 
 func proveCommand() *cli.Command {
@@ -42,7 +42,7 @@
 			"Example: doorpond-lab prove --promise planned-stop --requests 100000 --stops 12",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagProgram, Usage: "run the doorpondd at `PATH`"},
-			&cli.StringSliceFlag{Name: flagPromise, Usage: "prove only `NAME`: " + strings.Join(provable, ", "), Value: provable},
+			&cli.StringSliceFlag{Name: flagPromise, Usage: "prove only `NAME`: " + strings.Join(promiseNames, ", "), Value: promiseNames},
 			&cli.Int64Flag{Name: flagRequests, Value: 10_000, Usage: "`NUMBER` of requests sent while daemons are stopped"},
 			&cli.IntFlag{Name: flagStops, Value: 4, Usage: "`NUMBER` of daemons stopped"},
 			&cli.IntFlag{Name: flagKeys, Value: 1000, Usage: "`NUMBER` of operations that may not be repeated"},
@@ -66,49 +66,49 @@
 		}
 	}
 	options := proofs.ClusterOptions{Program: program, Directory: directory, Daemons: proofDaemons}
-	broken := false
+	violated := false
 	for _, promise := range command.StringSlice(flagPromise) {
-		held, err := proveOne(ctx, command, promise, options)
+		held, err := provePromise(ctx, command, promise, options)
 		if err != nil {
 			return eris.Wrapf(err, "prove %s", promise)
 		}
-		broken = broken || !held
+		violated = violated || !held
 	}
-	if broken {
+	if violated {
 		return eris.New("a promise was broken")
 	}
 	return nil
 }
 
-// proveOne runs one proof on a cluster of its own and prints its line.
-func proveOne(ctx context.Context, command *cli.Command, promise string, options proofs.ClusterOptions) (held bool, err error) {
+// provePromise tests one promise on a new cluster and prints the result.
+func provePromise(ctx context.Context, command *cli.Command, promise string, options proofs.ClusterOptions) (held bool, err error) {
 	cluster, err := proofs.Start(ctx, options)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = cluster.Close() }()
 	started := time.Now()
-	var line fmt.Stringer
+	var summary fmt.Stringer
 	switch promise {
 	case promisePlannedStop:
-		report, failure := proofs.PlannedStop(ctx, cluster, proofs.PlannedStopOptions{
+		report, runErr := proofs.PlannedStop(ctx, cluster, proofs.PlannedStopOptions{
 			Requests: command.Int64(flagRequests), Stops: command.Int(flagStops), Callers: 40, Pause: time.Millisecond,
 		})
-		line, held, err = report, report.CutOff+report.Failed == 0, failure
+		summary, held, err = report, report.CutOff+report.Failed == 0, runErr
 	case promiseAtMostOnce:
-		report, failure := proofs.AtMostOnce(ctx, cluster, proofs.AtMostOnceOptions{
+		report, runErr := proofs.AtMostOnce(ctx, cluster, proofs.AtMostOnceOptions{
 			Keys: command.Int(flagKeys), Rounds: command.Int(flagRounds), Seed: command.Uint64(flagSeed), Callers: 16, Attempts: 8,
 		})
-		line, held, err = report, len(report.Violations) == 0, failure
+		summary, held, err = report, len(report.Violations) == 0, runErr
 	case promiseTable:
-		report, failure := proofs.Table(ctx, cluster, proofs.TableOptions{Operators: 4, Edits: 20, Rounds: command.Int(flagRounds)})
-		line, held, err = report, len(report.Violations) == 0, failure
+		report, runErr := proofs.Table(ctx, cluster, proofs.TableOptions{Operators: 4, Edits: 20, Rounds: command.Int(flagRounds)})
+		summary, held, err = report, len(report.Violations) == 0, runErr
 	default:
-		return false, eris.Errorf("no promise is called %q; there are %s", promise, strings.Join(provable, ", "))
+		return false, eris.Errorf("no promise is called %q; there are %s", promise, strings.Join(promiseNames, ", "))
 	}
 	if err != nil {
 		return false, err
 	}
-	fmt.Fprintf(command.Root().Writer, "%s: %s; took %s\n", promise, line, time.Since(started).Round(time.Millisecond))
+	fmt.Fprintf(command.Root().Writer, "%s: %s; took %s\n", promise, summary, time.Since(started).Round(time.Millisecond))
 	return held, nil
 }
--- a/cmd/doorpond-lab/simulate.go
+++ b/cmd/doorpond-lab/simulate.go
@@ -23,11 +23,11 @@
 	flagParallel = "parallel"
 )
 
-// manyNodes is the number of daemons over which a simulation leaves out back
-// ends and callers.
-const manyNodes = 100
+// maxFullNodes is the largest number of daemons for which back ends and callers are
+// simulated as well.
+const maxFullNodes = 100
 
-var errPromiseBroken = eris.New("a promise was broken")
+var errPromiseViolated = eris.New("a promise was broken")
 
 func simulateCommand() *cli.Command {
 	return &cli.Command{
@@ -65,7 +65,7 @@
 		return eris.Wrap(err, "print the report")
 	}
 	if report.Failed() {
-		return errPromiseBroken
+		return errPromiseViolated
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 func sweepOptions(command *cli.Command) (system.SweepOptions, error) {
 	nodes := command.Int(flagDaemons)
 	options := system.SweepOptions{
-		Run:      system.Options{Topology: command.String(flagTopology), Nodes: nodes, TableOnly: nodes > manyNodes},
+		Run:      system.Options{Topology: command.String(flagTopology), Nodes: nodes, TableOnly: nodes > maxFullNodes},
 		Parallel: command.Int(flagParallel),
 	}
 	for _, name := range command.StringSlice(flagPromise) {
@@ -92,10 +92,10 @@
 	return options, err
 }
 
-// parseSeeds reads "first-last" or one number.
+// parseSeeds parses a range "first-last" or a single seed.
 func parseSeeds(text string) (first, last uint64, err error) {
-	from, to, ranged := strings.Cut(text, "-")
-	if !ranged {
+	from, to, isRange := strings.Cut(text, "-")
+	if !isRange {
 		to = from
 	}
 	first, err = strconv.ParseUint(from, 10, 64)
@@ -122,12 +122,12 @@
 	if err != nil {
 		return eris.Wrap(err, "simulate")
 	}
-	const readable = 0o644
-	if err := os.WriteFile(command.String(flagTrace), result.Trace, readable); err != nil {
+	const traceFileMode = 0o644
+	if err := os.WriteFile(command.String(flagTrace), result.Trace, traceFileMode); err != nil {
 		return eris.Wrap(err, "write the trace")
 	}
 	if len(result.Violations) > 0 {
-		return eris.Wrap(errPromiseBroken, result.Violations[0].Detail)
+		return eris.Wrap(errPromiseViolated, result.Violations[0].Detail)
 	}
 	return nil
 }
--- a/cmd/doorpond-lab/soak.go
+++ b/cmd/doorpond-lab/soak.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return eris.Wrap(err, "make a directory for the program")
 		}
-		defer func() { _ = os.RemoveAll(directory) }() // only a program is left
+		defer func() { _ = os.RemoveAll(directory) }() // best effort
 		if program, err = process.Build(ctx, directory, "doorpond-edge"); err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 	if command.Bool(flagVerbose) {
 		out = os.Stdout
 	}
-	broken := false
+	violated := false
 	for range command.Int(flagRuns) {
 		report, err := soak.Run(ctx, soak.Config{Seed: seed, Length: command.Duration(flagLength), Nodes: command.Int(flagNodes), Program: program, Out: out})
 		if err != nil {
@@ -69,11 +69,11 @@
 		if err := report.Write(os.Stdout); err != nil {
 			return err
 		}
-		broken = broken || len(report.Findings) > 0
+		violated = violated || len(report.Findings) > 0
 		seed++
 	}
-	if broken {
-		return errPromiseBroken
+	if violated {
+		return errPromiseViolated
 	}
 	return nil
 }
--- a/cmd/doorpond/main.go
+++ b/cmd/doorpond/main.go
@@ -1,4 +1,4 @@
-// Command doorpond is the operators' command line.
+// Command doorpond is the command-line client for operators.
 package main
 
 import (
--- a/cmd/doorpondd/main.go
+++ b/cmd/doorpondd/main.go
@@ -1,4 +1,4 @@
-// Command doorpondd is the daemon that runs beside each caller.
+// Command doorpondd runs the query daemon on the host of a caller.
 package main
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/doorpond/doorpond/internal/settings"
 )
 
-// collectorPercent lets the heap grow to five times what is live between
-// collections. The live heap is small and requests make short-lived garbage:
-// this took 13% of a sub-request's processor time (docs/MEASUREMENTS.md).
-const collectorPercent = 400
+// gcPercent is the default GOGC value. The live heap is small and most
+// allocations are short-lived, so fewer collections save CPU time at little
+// cost in memory.
+const gcPercent = 400
 
-// tuneCollector leaves the choice to the environment where it makes one.
-func tuneCollector() {
+// setGCPercent applies the default unless the environment sets GOGC.
+func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
 func main() {
-	tuneCollector()
+	setGCPercent()
 	program.Main(command())
 }
 
@@ -57,26 +57,26 @@
 	}
 }
 
-// usageError makes a wrong flag a refusal of settings.
+// usageError reports an invalid flag as a settings error, for its exit code.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return &settings.Error{Source: "command line", Reason: err.Error()}
 }
 
-// flags makes one flag for each key of the settings.
+// flags returns the flags of the command, one for each settings key included.
 func flags() []cli.Flag {
-	made := []cli.Flag{
+	result := []cli.Flag{
 		&cli.StringFlag{Name: "config", Usage: "settings `FILE`", Sources: cli.EnvVars("DOORPONDD_CONFIG")},
 		&cli.StringFlag{Name: "ready-file", Usage: "write the addresses as JSON to `FILE` once they are open"},
 	}
 	for _, option := range settings.Options() {
-		made = append(made, &cli.StringFlag{
+		result = append(result, &cli.StringFlag{
 			Name:        settings.FlagName(option.Key),
 			Usage:       option.Help,
 			DefaultText: option.Default,
 			Category:    "settings",
 		})
 	}
-	return made
+	return result
 }
 
 func configCommand() *cli.Command {
@@ -99,14 +99,14 @@
 }
 
 func overrides(command *cli.Command) []settings.Override {
-	var given []settings.Override
+	var result []settings.Override
 	for _, option := range settings.Options() {
 		name := settings.FlagName(option.Key)
 		if command.IsSet(name) {
-			given = append(given, settings.Override{Key: option.Key, Value: command.String(name)})
+			result = append(result, settings.Override{Key: option.Key, Value: command.String(name)})
 		}
 	}
-	return given
+	return result
 }
 
 func run(_ context.Context, command *cli.Command) error {
@@ -121,32 +121,33 @@
 	if err != nil {
 		return err
 	}
-	assembled, err := daemon.New(daemon.Options{Settings: loaded, Logger: logger})
+	instance, err := daemon.New(daemon.Options{Settings: loaded, Logger: logger})
 	if err != nil {
 		return err
 	}
-	if err := announce(command.String("ready-file"), assembled.Addresses()); err != nil {
+	if err := writeReadyFile(command.String("ready-file"), instance.Addresses()); err != nil {
 		return err
 	}
-	stop, hurry := signals()
-	return assembled.Run(stop, hurry)
+	graceful, immediate := shutdownContexts()
+	return instance.Run(graceful, immediate)
 }
 
-func newLogger(chosen settings.Log) (*slog.Logger, error) {
+func newLogger(config settings.Log) (*slog.Logger, error) {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(chosen.Level)); err != nil {
+	if err := level.UnmarshalText([]byte(config.Level)); err != nil {
 		return nil, eris.Wrap(err, "read the log level")
 	}
 	options := &slog.HandlerOptions{Level: level}
-	if chosen.Format == "text" {
+	if config.Format == "text" {
 		return slog.New(slog.NewTextHandler(os.Stderr, options)), nil
 	}
 	return slog.New(slog.NewJSONHandler(os.Stderr, options)), nil
 }
 
-// announce writes the addresses for whoever started the daemon on free ports.
-// The file appears whole.
-func announce(path string, addresses daemon.Addresses) error {
+// writeReadyFile writes the listen addresses as JSON to path, for callers that start
+// the daemon on free ports. It renames a temporary file, so that readers never
+// see a partial one.
+func writeReadyFile(path string, addresses daemon.Addresses) error {
 	if path == "" {
 		return nil
 	}
@@ -154,25 +155,25 @@
 	if err != nil {
 		return eris.Wrap(err, "encode the addresses")
 	}
-	unfinished := path + ".part"
-	if err := os.WriteFile(unfinished, content, 0o644); err != nil {
+	temporary := path + ".part"
+	if err := os.WriteFile(temporary, content, 0o644); err != nil {
 		return eris.Wrap(err, "write the ready file")
 	}
-	return eris.Wrap(os.Rename(unfinished, path), "write the ready file")
+	return eris.Wrap(os.Rename(temporary, path), "write the ready file")
 }
 
-// signals returns a context that ends with the first signal to stop, and one
-// that ends with the second.
-func signals() (stop, hurry context.Context) {
-	stop, cancelStop := context.WithCancel(context.Background())
-	hurry, cancelHurry := context.WithCancel(context.Background())
+// shutdownContexts returns a context that is canceled by the first SIGTERM or SIGINT and
+// one that is canceled by the second.
+func shutdownContexts() (graceful, immediate context.Context) {
+	graceful, cancelGraceful := context.WithCancel(context.Background())
+	immediate, cancelImmediate := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
 	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-received
-		cancelStop()
+		cancelGraceful()
 		<-received
-		cancelHurry()
+		cancelImmediate()
 	}()
-	return stop, hurry
+	return graceful, immediate
 }
