--- a/internal/endtoend/endtoend_test.go
+++ b/internal/endtoend/endtoend_test.go
@@ -1,5 +1,4 @@
-// Package endtoend builds the programs and runs them as separate processes on
-// free ports.
+// Package endtoend tests the programs as separate processes on free ports.
 package endtoend
 
 import (
@@ -28,17 +27,17 @@
 
 const (
 	moduleRoot = "../.."
-	// overall bounds the whole test, however slow the machine is.
-	overall = 3 * time.Minute
-	poll    = 20 * time.Millisecond
+	// waitTimeout limits each wait. It is generous because CI machines can be slow.
+	waitTimeout  = 3 * time.Minute
+	pollInterval = 20 * time.Millisecond
 )
 
-// programs are the paths of the built programs.
-type programs struct {
+// binaries holds the paths of the programs under test.
+type binaries struct {
 	daemon, operator, lab string
 }
 
-func build(t *testing.T) programs {
+func buildBinaries(t *testing.T) binaries {
 	t.Helper()
 	directory := t.TempDir()
 	command := exec.Command("go", "build", "-o", directory, "./cmd/...")
@@ -46,20 +45,20 @@
 	if output, err := command.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, output)
 	}
-	return programs{
+	return binaries{
 		daemon:   filepath.Join(directory, "doorpondd"),
 		operator: filepath.Join(directory, "doorpond"),
 		lab:      filepath.Join(directory, "doorpond-lab"),
 	}
 }
 
-// process is a program that was started by the test.
+// process is a running program and its standard output.
 type process struct {
 	command *exec.Cmd
 	output  io.ReadCloser
 }
 
-func start(t *testing.T, name string, arguments ...string) *process {
+func startProcess(t *testing.T, name string, arguments ...string) *process {
 	t.Helper()
 	command := exec.Command(name, arguments...)
 	command.Stderr = t.Output()
@@ -79,7 +78,7 @@
 	return &process{command: command, output: output}
 }
 
-// stop asks the process to stop and expects exit code 0.
+// stop sends SIGTERM and expects exit code 0.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
@@ -95,9 +94,9 @@
 	MachinesURL string `json:"machines_url"`
 }
 
-func startPlatform(t *testing.T, built programs) platformAddresses {
+func startPlatform(t *testing.T, programs binaries) platformAddresses {
 	t.Helper()
-	started := start(t, built.lab, "platform")
+	started := startProcess(t, programs.lab, "platform")
 	line, err := bufio.NewReader(started.output).ReadBytes('\n')
 	if err != nil {
 		t.Fatalf("read the platform's addresses: %v", err)
@@ -109,39 +108,39 @@
 	return addresses
 }
 
-func startDaemon(t *testing.T, built programs, platform platformAddresses, zone, seed string) (*process, daemon.Addresses) {
+func startDaemon(t *testing.T, programs binaries, platform platformAddresses, zone, seed string) (*process, daemon.Addresses) {
 	t.Helper()
 	ready := filepath.Join(t.TempDir(), "ready.json")
-	started := start(t, built.daemon, "--region", "accra", "--zone", zone,
+	started := startProcess(t, programs.daemon, "--region", "accra", "--zone", zone,
 		"--store-url", platform.StoreURL, "--machines-url", platform.MachinesURL,
 		"--callers-address", "127.0.0.1:0", "--peers-address", "127.0.0.1:0", "--administration-address", "127.0.0.1:0",
 		"--peers-seeds", seed, "--stop-grace", "100ms", "--ready-file", ready)
 	var addresses daemon.Addresses
-	await(t, "the daemon's addresses", func() bool {
+	waitFor(t, "the daemon's addresses", func() bool {
 		content, err := os.ReadFile(ready)
 		return err == nil && json.Unmarshal(content, &addresses) == nil
 	})
 	return started, addresses
 }
 
-// await polls until a condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+// waitFor polls until condition returns true, and fails the test on timeout.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), overall)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("waited in vain for %s", what)
-		case <-time.After(poll):
+			t.Fatalf("timed out waiting for %s", description)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// awaitReady waits until a daemon says that it is ready for queries.
-func awaitReady(t *testing.T, addresses daemon.Addresses) {
+// waitUntilReady waits until the readiness endpoint of a daemon returns 200.
+func waitUntilReady(t *testing.T, addresses daemon.Addresses) {
 	t.Helper()
-	await(t, "the daemon to be ready", func() bool {
+	waitFor(t, "the daemon to be ready", func() bool {
 		response, err := http.Get("http://" + addresses.Administration + "/readyz")
 		if err != nil {
 			return false
@@ -151,10 +150,10 @@
 	})
 }
 
-// operate runs the operators' command line and returns its output.
-func operate(t *testing.T, built programs, addresses daemon.Addresses, arguments ...string) (string, int) {
+// runOperator runs the operator CLI and returns its output and exit code.
+func runOperator(t *testing.T, programs binaries, addresses daemon.Addresses, arguments ...string) (string, int) {
 	t.Helper()
-	command := exec.Command(built.operator, arguments...)
+	command := exec.Command(programs.operator, arguments...)
 	command.Env = append(os.Environ(), "DOORPOND_ADMIN="+addresses.Administration,
 		"DOORPOND_DAEMON="+addresses.Callers, "DOORPOND_AUTHOR=ama")
 	output, err := command.CombinedOutput()
@@ -165,45 +164,45 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-func mustOperate(t *testing.T, built programs, addresses daemon.Addresses, arguments ...string) string {
+func mustRunOperator(t *testing.T, programs binaries, addresses daemon.Addresses, arguments ...string) string {
 	t.Helper()
-	output, code := operate(t, built, addresses, arguments...)
+	output, code := runOperator(t, programs, addresses, arguments...)
 	if code != 0 {
 		t.Fatalf("doorpond %s: exit code %d\n%s", strings.Join(arguments, " "), code, output)
 	}
 	return output
 }
 
-func TestSeparateProcessesServeEditAndStop(t *testing.T) {
-	built := build(t)
-	platform := startPlatform(t, built)
-	first, firstAddresses := startDaemon(t, built, platform, "accra-a", "")
-	second, secondAddresses := startDaemon(t, built, platform, "accra-b", firstAddresses.Peers)
-	await(t, "the daemons to know each other", func() bool {
-		output, code := operate(t, built, firstAddresses, "status")
+func TestDaemonsServeEditedPolicyAndStop(t *testing.T) {
+	programs := buildBinaries(t)
+	platform := startPlatform(t, programs)
+	first, firstAddresses := startDaemon(t, programs, platform, "accra-a", "")
+	second, secondAddresses := startDaemon(t, programs, platform, "accra-b", firstAddresses.Peers)
+	waitFor(t, "the daemons to discover each other", func() bool {
+		output, code := runOperator(t, programs, firstAddresses, "status")
 		return code == 0 && strings.Contains(output, "2 daemons answer")
 	})
-	mustOperate(t, built, firstAddresses, "apply", "-f", filepath.Join(moduleRoot, "examples", "policies.yaml"), "--wait", "30s")
-	awaitReady(t, firstAddresses)
-	awaitReady(t, secondAddresses)
+	mustRunOperator(t, programs, firstAddresses, "apply", "-f", filepath.Join(moduleRoot, "examples", "policies.yaml"), "--wait", "30s")
+	waitUntilReady(t, firstAddresses)
+	waitUntilReady(t, secondAddresses)
 	records, err := corpus.Load(testdata.Corpus)
 	if err != nil {
 		t.Fatal(err)
 	}
 	callers := client.New("http://"+secondAddresses.Callers, nil)
 	revision := checkAnswers(t, callers, records)
-	mustOperate(t, built, firstAddresses, "policy", "set", "thorough", "wait.timeout=3s", "--wait", "30s")
+	mustRunOperator(t, programs, firstAddresses, "policy", "set", "thorough", "wait.timeout=3s", "--wait", "30s")
 	if edited := checkAnswers(t, callers, records); edited != revision+1 {
-		t.Errorf("answers come from table revision %d after an edit of revision %d", edited, revision)
+		t.Errorf("answers use table revision %d after an edit of revision %d", edited, revision)
 	}
-	checkCallRunsOnce(t, built, firstAddresses, secondAddresses)
+	checkCallRunsOnce(t, programs, firstAddresses, secondAddresses)
 	first.stop(t)
 	checkAnswers(t, callers, records)
 	second.stop(t)
 }
 
-// checkAnswers compares answers with a search of the same files and returns
-// the table revision that they used.
+// checkAnswers compares the daemon's answers with a direct search of the corpus
+// and returns the policy table revision of the last answer.
 func checkAnswers(t *testing.T, callers *client.Client, records []corpus.Record) uint64 {
 	t.Helper()
 	var revision uint64
@@ -220,7 +219,7 @@
 		}
 		want := corpus.Search(records, query)
 		if diff := cmp.Diff(want, answer.Hits, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%+v: hits (-files +daemon):\n%s", query, diff)
+			t.Errorf("%+v: hits (-direct +daemon):\n%s", query, diff)
 		}
 		if answer.Coverage.Share != 1 {
 			t.Errorf("%+v: coverage %+v", query, answer.Coverage)
@@ -230,12 +229,14 @@
 	return revision
 }
 
-func checkCallRunsOnce(t *testing.T, built programs, first, second daemon.Addresses) {
+// checkCallRunsOnce sends the same call through both daemons and expects the
+// second to return the stored result.
+func checkCallRunsOnce(t *testing.T, programs binaries, first, second daemon.Addresses) {
 	t.Helper()
 	arguments := []string{"--output", "json", "call", "--group", "clerks", "--key", "refund-1", "--service", "refund", "--operation", "credit"}
 	var results [2]client.CallResult
 	for i, addresses := range []daemon.Addresses{first, second} {
-		output := mustOperate(t, built, addresses, arguments...)
+		output := mustRunOperator(t, programs, addresses, arguments...)
 		if err := json.Unmarshal([]byte(output), &results[i]); err != nil {
 			t.Fatalf("%v in %s", err, output)
 		}
@@ -244,22 +245,22 @@
 		t.Errorf("repeated: %v, then %v", results[0].Repeated, results[1].Repeated)
 	}
 	if diff := cmp.Diff(string(results[0].Result), string(results[1].Result)); diff != "" {
-		t.Errorf("the repeat has another result:\n%s", diff)
+		t.Errorf("result of the repeated call differs (-first +second):\n%s", diff)
 	}
 }
 
-func TestConfigCheckRefusesWithExitCode2(t *testing.T) {
-	built := build(t)
+func TestConfigCheckRejectsUnknownField(t *testing.T) {
+	programs := buildBinaries(t)
 	path := filepath.Join(t.TempDir(), "doorpondd.yaml")
 	if err := os.WriteFile(path, []byte("region: accra\nzone: accra-a\ncolour: red\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	command := exec.Command(built.daemon, "config", "check", path)
+	command := exec.Command(programs.daemon, "config", "check", path)
 	output, err := command.CombinedOutput()
 	if err == nil || command.ProcessState.ExitCode() != 2 {
 		t.Errorf("exit code %d, error %v", command.ProcessState.ExitCode(), err)
 	}
 	if want := path + `:3: colour: unknown field "colour"`; !strings.Contains(string(output), want) {
-		t.Errorf("output %q does not say %q", output, want)
+		t.Errorf("output %q does not contain %q", output, want)
 	}
 }
