--- a/client/client.go
+++ b/client/client.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	queryPath   = "/v1/query"
-	callPath    = "/v1/call"
-	maxAnswer   = 256 << 20
-	jsonContent = "application/json"
+	queryPath       = "/v1/query"
+	callPath        = "/v1/call"
+	maxAnswerBytes  = 256 << 20
+	jsonContentType = "application/json"
 )
 
-// Client sends queries and calls to one daemon. It is safe for concurrent
-// use and repeats nothing by itself.
+// Client sends queries and calls to one daemon. It is safe for concurrent use
+// and never retries a request.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// New makes a Client of the daemon at a base URL such as
-// "http://127.0.0.1:7000". A nil httpClient means http.DefaultClient.
+// New returns a Client for the daemon at baseURL, such as
+// "http://127.0.0.1:7000". If httpClient is nil, it uses http.DefaultClient.
 func New(baseURL string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = http.DefaultClient
 	}
-	return &Client{base: strings.TrimSuffix(baseURL, "/"), http: httpClient}
+	return &Client{baseURL: strings.TrimSuffix(baseURL, "/"), http: httpClient}
 }
 
-// Query searches. An error of the daemon is a *Problem.
+// Query sends a search query. Errors reported by the daemon are of type *Problem.
 func (c *Client) Query(ctx context.Context, query Query) (Answer, error) {
 	var answer Answer
 	err := c.post(ctx, queryPath, query, &answer)
 	return answer, err
 }
 
-// Call runs an operation that may not be repeated. An error of the daemon is a
-// *Problem; any other error says nothing about whether the operation ran, and
-// the same Call may be sent again with the same key.
+// Call runs an operation at most once. Errors reported by the daemon are of type
+// *Problem. After any other error it is unknown whether the operation ran; it is
+// safe to send the same Call again with the same key.
 func (c *Client) Call(ctx context.Context, call Call) (CallResult, error) {
 	var result CallResult
 	err := c.post(ctx, callPath, call, &result)
@@ -54,20 +54,20 @@
 	if err != nil {
 		return fmt.Errorf("encode the request: %w", err)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("make a request to %s: %w", c.base+path, err)
+		return fmt.Errorf("make a request to %s: %w", c.baseURL+path, err)
 	}
-	request.GetBody = nil // no silent replay by the transport
-	request.Header.Set("Content-Type", jsonContent)
+	request.GetBody = nil // prevents the transport from replaying the request
+	request.Header.Set("Content-Type", jsonContentType)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return fmt.Errorf("post to %s: %w", c.base+path, err)
+		return fmt.Errorf("post to %s: %w", c.baseURL+path, err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that matters has been read
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }() // the body has been read
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return fmt.Errorf("read the answer of %s: %w", c.base+path, err)
+		return fmt.Errorf("read the answer of %s: %w", c.baseURL+path, err)
 	}
 	return decodeAnswer(response, content, answer)
 }
--- a/client/merge.go
+++ b/client/merge.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// SortHits sorts hits into the order of answers: the highest rank first, or
-// the earliest time first. Ties go by index and then by ID, so that the order
-// is the same whichever shard answered first.
+// SortHits sorts hits by descending rank or by ascending time. Ties are broken by
+// index and then by ID, so that the order does not depend on which shard answered
+// first.
 func SortHits(hits []Hit, order Order) {
 	slices.SortFunc(hits, func(a, b Hit) int { return CompareHits(&a, &b, order) })
 }
 
-// CompareHits returns a negative number when a comes before b in an order, a
-// positive one when it comes after, and 0 for the same hit.
+// CompareHits returns a negative number if a sorts before b, a positive number if
+// it sorts after b, and 0 if both are the same hit.
 func CompareHits(a, b *Hit, order Order) int {
-	if first := compareMainKey(a, b, order); first != 0 {
-		return first
+	if byPrimaryKey := comparePrimaryKey(a, b, order); byPrimaryKey != 0 {
+		return byPrimaryKey
 	}
 	if byIndex := cmp.Compare(a.Index, b.Index); byIndex != 0 {
 		return byIndex
@@ -24,7 +24,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-func compareMainKey(a, b *Hit, order Order) int {
+func comparePrimaryKey(a, b *Hit, order Order) int {
 	if order == OrderTime {
 		return cmp.Compare(a.TimeMilliseconds, b.TimeMilliseconds)
 	}
--- a/client/merge_test.go
+++ b/client/merge_test.go
@@ -11,7 +11,7 @@
 	early := Hit{ID: "2", Index: "b", TimeMilliseconds: 1, Rank: 1}
 	best := Hit{ID: "3", Index: "c", TimeMilliseconds: 9, Rank: 2}
 	sibling := Hit{ID: "0", Index: "a", TimeMilliseconds: 9, Rank: 1}
-	// other comes after late by its index, though before it by its ID.
+	// other sorts after late by index, although its ID is smaller.
 	other := Hit{ID: "0", Index: "b", TimeMilliseconds: 9, Rank: 1}
 	cases := map[string]struct {
 		order Order
