--- a/internal/policytable/commit.go
+++ b/internal/policytable/commit.go
@@ -29,7 +29,7 @@
 	maxBackoff     = time.Second
 )
 
-// errRegressed indicates that the store holds an older table than the current one
+// errRegressed indicates that the table in the store is older than the active table
 // of this daemon.
 var errRegressed = errors.New("store regressed")
 
@@ -56,10 +56,10 @@
 }
 
 func (e *Editor) checkNotRegressed(current *storedTable) error {
-	accepted, _ := e.register.Current(document.Table)
-	if current.table.Revision < accepted.Revision {
-		detail := fmt.Sprintf("the store holds revision %d, but the current revision is %d; see \"doorpond restore\"",
-			current.table.Revision, accepted.Revision)
+	active, _ := e.register.Current(document.Table)
+	if current.table.Revision < active.Revision {
+		detail := fmt.Sprintf("the store holds revision %d, but revision %d is active; see \"doorpond restore\"",
+			current.table.Revision, active.Revision)
 		return failure.Wrap(errRegressed, failure.StoreRegressed, detail)
 	}
 	return nil
--- a/internal/policytable/editor.go
+++ b/internal/policytable/editor.go
@@ -149,7 +149,7 @@
 	return result.table, policy.Validate(result.table)
 }
 
-// Restore writes the current table of this daemon, as the next revision, to a store
+// Restore writes the active table of this daemon, as the next revision, to a store
 // that holds an older table or none.
 func (e *Editor) Restore(ctx context.Context, author string) (policy.Change, error) {
 	if author == "" {
@@ -163,14 +163,14 @@
 }
 
 func (e *Editor) buildRestore(id, author string, current *storedTable) (*policy.Table, error) {
-	published := e.board.PolicyTable.Load()
-	if published == nil {
-		return nil, failure.New(failure.NoTable, "restore policy table: this daemon has no table")
+	active := e.board.PolicyTable.Load()
+	if active == nil {
+		return nil, failure.New(failure.NoTable, "restore policy table: this daemon has no active table")
 	}
-	if current.table.Revision >= published.Table.Revision {
+	if current.table.Revision >= active.Table.Revision {
 		return nil, failure.New(failure.InvalidRequest, "restore policy table: the store does not hold an older one")
 	}
-	restored := *published.Table
+	restored := *active.Table
 	restored.Revision++
 	restored.LastChange = policy.Change{
 		ID:       id,
