--- a/internal/corpus/cards.go
+++ b/internal/corpus/cards.go
@@ -12,24 +12,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// The columns of a card file, in order; the first line holds these names.
+// Columns of a card file, in the order of cardHeader.
 const (
 	columnCard = iota
 	columnTime
 	columnKind
 	columnAmount
 	columnDescription
-	columns
+	columnCount
 )
 
 var cardHeader = []string{"card", "time", "kind", "amount", "description"}
 
 func readCards(reader io.Reader, name string) ([]Record, error) {
 	rows := csv.NewReader(reader)
-	rows.FieldsPerRecord = columns
+	rows.FieldsPerRecord = columnCount
 	header, err := rows.Read()
 	if err != nil {
-		return nil, eris.Wrap(err, "read the header")
+		return nil, eris.Wrap(err, "read header")
 	}
 	if !slices.Equal(header, cardHeader) {
 		return nil, eris.Errorf("line 1: header %q, want %q", strings.Join(header, ","), strings.Join(cardHeader, ","))
@@ -45,10 +45,10 @@
 			return records, nil
 		}
 		if err != nil {
-			return nil, eris.Wrap(err, "read a row")
+			return nil, eris.Wrap(err, "read row")
 		}
 		line, _ := rows.FieldPos(columnCard)
-		record, err := cardRecord(row, name, line)
+		record, err := parseCardRow(row, name, line)
 		if err != nil {
 			return nil, eris.Wrapf(err, "line %d", line)
 		}
@@ -56,20 +56,20 @@
 	}
 }
 
-func cardRecord(row []string, name string, line int) (Record, error) {
+func parseCardRow(row []string, name string, line int) (Record, error) {
 	if row[columnCard] == "" {
-		return Record{}, eris.New("the card is empty")
+		return Record{}, eris.New("card is empty")
 	}
-	moment, err := time.Parse(time.RFC3339, row[columnTime])
+	timestamp, err := time.Parse(time.RFC3339, row[columnTime])
 	if err != nil {
-		return Record{}, eris.Wrap(err, "parse the time")
+		return Record{}, eris.Wrap(err, "parse time")
 	}
 	return Record{
 		Corpus:           Cards,
 		ID:               recordID(name, line),
-		Index:            strings.TrimSuffix(path.Base(name), extensionCards),
+		Index:            strings.TrimSuffix(path.Base(name), cardExtension),
 		Document:         row[columnCard],
 		Text:             strings.Join(row[columnKind:], " "),
-		TimeMilliseconds: moment.UnixMilli(),
+		TimeMilliseconds: timestamp.UnixMilli(),
 	}, nil
 }
--- a/internal/corpus/corpus_test.go
+++ b/internal/corpus/corpus_test.go
@@ -16,12 +16,12 @@
 	t.Helper()
 	records, err := Load(testdata.Corpus)
 	if err != nil {
-		t.Fatalf("load: %v", err)
+		t.Fatalf("Load: %v", err)
 	}
 	return records
 }
 
-func TestLoadReadsEveryIndex(t *testing.T) {
+func TestLoadReadsAllIndexes(t *testing.T) {
 	records := loadTestdata(t)
 	if diff := cmp.Diff([]string{"cards-coast", "cards-lake", "cards-north"}, Indexes(records, Cards)); diff != "" {
 		t.Errorf("card indexes (-want +got):\n%s", diff)
@@ -37,32 +37,32 @@
 		query client.Query
 		want  []string
 	}{
-		"amharic over its punctuation": {
+		"amharic phrase across punctuation": {
 			client.Query{Corpus: Cues, Phrase: "ዝግጁ ነው ኑ"},
 			[]string{"buna.am.srt:00009"},
 		},
-		"amharic over lines and files": {
+		"amharic phrase across lines in two files": {
 			client.Query{Corpus: Cues, Phrase: "ዝናቡ ገና አላቆመም"},
 			[]string{"buna.am.srt:00005", "menged.am.srt:00006"},
 		},
-		"oromo without its apostrophe": {
+		"oromo phrase without apostrophe": {
 			client.Query{Corpus: Cues, Phrase: "BUNNI QOPHAAEERA"},
 			[]string{"karaa.om.srt:00003", "karaa.om.srt:00011"},
 		},
-		"english over a line break": {
+		"english phrase across line break": {
 			client.Query{Corpus: Cues, Phrase: "rain and now"},
 			[]string{"the-long-bridge.en.srt:00008"},
 		},
-		"words apart do not match": {
+		"non-adjacent words": {
 			client.Query{Corpus: Cues, Phrase: "rain stop"}, nil,
 		},
-		"part of a word does not match": {
+		"partial word": {
 			client.Query{Corpus: Cues, Phrase: "ferr"}, nil,
 		},
-		"an empty phrase matches nothing": {
+		"phrase without words": {
 			client.Query{Corpus: Cues, Phrase: "?!"}, nil,
 		},
-		"another corpus": {
+		"phrase from other corpus": {
 			client.Query{Corpus: Cards, Phrase: "rain and now"}, nil,
 		},
 		"limit": {
@@ -83,26 +83,25 @@
 	}
 }
 
-func TestCardHistorySpansIndexesInOrderOfTime(t *testing.T) {
+func TestSearchSortsCardHistoryByTimeAcrossIndexes(t *testing.T) {
 	hits := Search(loadTestdata(t), client.Query{Corpus: Cards, Card: "AY-1185"})
 	indexes := make(map[string]bool)
 	for i, hit := range hits {
 		indexes[hit.Index] = true
 		if hit.Document != "AY-1185" {
-			t.Errorf("hit of card %s", hit.Document)
+			t.Errorf("hit with document %s, want AY-1185", hit.Document)
 		}
 		if i > 0 && hits[i-1].TimeMilliseconds > hit.TimeMilliseconds {
-			t.Errorf("hit %d is out of order", i)
+			t.Errorf("hit %d is earlier than its predecessor", i)
 		}
 	}
 	if len(indexes) != 3 {
-		t.Errorf("hits come from %v, want three indexes", indexes)
+		t.Errorf("indexes of hits: %v, want 3", indexes)
 	}
 }
 
-// Splitting an index, searching each shard and merging must give the same
-// hits as the search of every record.
-func TestShardsAgreeWithBruteForce(t *testing.T) {
+// Merged hits of all shards must equal those of a brute-force search.
+func TestShardSearchMatchesBruteForce(t *testing.T) {
 	records := loadTestdata(t)
 	rapid.Check(t, func(rt *rapid.T) {
 		shards := rapid.IntRange(1, 9).Draw(rt, "shards")
@@ -132,20 +131,20 @@
 	})
 }
 
-func TestLoadRefusesBadFiles(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	const header = "card,time,kind,amount,description\n"
 	cases := map[string]struct {
 		files map[string]string
 		want  []string
 	}{
-		"wrong header":      {map[string]string{"a.csv": "card,when\n"}, []string{"a.csv", "wrong number of fields"}},
-		"renamed column":    {map[string]string{"a.csv": "card,when,kind,amount,description\n"}, []string{"a.csv", "line 1", "when"}},
-		"bad time":          {map[string]string{"a.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\nA,noon,tap,1,x\n"}, []string{"a.csv", "line 3", "noon"}},
-		"empty card":        {map[string]string{"a.csv": header + ",2026-01-01T00:00:00Z,tap,1,x\n"}, []string{"a.csv", "line 2", "card is empty"}},
-		"missing field":     {map[string]string{"a.csv": header + "A,2026-01-01T00:00:00Z\n"}, []string{"a.csv", "line 2"}},
-		"empty file":        {map[string]string{"a.csv": ""}, []string{"a.csv", "header"}},
-		"two files one ID":  {map[string]string{"a/x.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\n", "b/x.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\n"}, []string{"two files of one name"}},
-		"bad subtitle time": {map[string]string{"c.srt": "1\n00:xx:01,000 --> 00:00:02,000\nHello\n"}, []string{"c.srt"}},
+		"wrong header":     {map[string]string{"a.csv": "card,when\n"}, []string{"a.csv", "wrong number of fields"}},
+		"renamed column":   {map[string]string{"a.csv": "card,when,kind,amount,description\n"}, []string{"a.csv", "line 1", "when"}},
+		"invalid time":     {map[string]string{"a.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\nA,noon,tap,1,x\n"}, []string{"a.csv", "line 3", "noon"}},
+		"empty card":       {map[string]string{"a.csv": header + ",2026-01-01T00:00:00Z,tap,1,x\n"}, []string{"a.csv", "line 2", "card is empty"}},
+		"missing field":    {map[string]string{"a.csv": header + "A,2026-01-01T00:00:00Z\n"}, []string{"a.csv", "line 2"}},
+		"empty file":       {map[string]string{"a.csv": ""}, []string{"a.csv", "header"}},
+		"duplicate ID":     {map[string]string{"a/x.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\n", "b/x.csv": header + "A,2026-01-01T00:00:00Z,tap,1,x\n"}, []string{"duplicate record ID x.csv:00002: two files share a base name"}},
+		"invalid cue time": {map[string]string{"c.srt": "1\n00:xx:01,000 --> 00:00:02,000\nHello\n"}, []string{"c.srt"}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -155,11 +154,11 @@
 			}
 			_, err := Load(files)
 			if err == nil {
-				t.Fatal("no error")
+				t.Fatal("Load succeeded, want error")
 			}
 			for _, part := range test.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("error %q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
--- a/internal/corpus/load.go
+++ b/internal/corpus/load.go
@@ -8,32 +8,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// The extensions of the files that are read; others are left aside.
+// Extensions of the files that Load reads; all others are ignored.
 const (
-	extensionSubtitles = ".srt"
-	extensionCards     = ".csv"
+	subtitleExtension = ".srt"
+	cardExtension     = ".csv"
 )
 
-// Load reads every subtitle and card file under the root of a file system, in
-// the order of their paths. An error names the file and, where known, the
-// line.
+// Load reads all subtitle and card files of a file system in lexical order of
+// their paths. Errors include the file name and, where known, the line number.
 func Load(files fs.FS) ([]Record, error) {
 	var records []Record
 	err := fs.WalkDir(files, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
-		read, err := loadFile(files, name)
+		loaded, err := loadFile(files, name)
 		if err != nil {
 			return eris.Wrapf(err, "load %s", name)
 		}
-		records = append(records, read...)
+		records = append(records, loaded...)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := checkUnique(records); err != nil {
+	if err := checkUniqueIDs(records); err != nil {
 		return nil, err
 	}
 	for i := range records {
@@ -44,7 +43,7 @@
 
 func loadFile(files fs.FS, name string) ([]Record, error) {
 	extension := path.Ext(name)
-	if extension != extensionSubtitles && extension != extensionCards {
+	if extension != subtitleExtension && extension != cardExtension {
 		return nil, nil
 	}
 	file, err := files.Open(name)
@@ -52,19 +51,19 @@
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	if extension == extensionSubtitles {
+	if extension == subtitleExtension {
 		return readSubtitles(file, name)
 	}
 	return readCards(file, name)
 }
 
-func checkUnique(records []Record) error {
+func checkUniqueIDs(records []Record) error {
 	type key struct{ index, id string }
 	seen := make(map[key]bool, len(records))
 	for i := range records {
 		key := key{records[i].Index, records[i].ID}
 		if seen[key] {
-			return eris.Errorf("index %s has two records called %s: two files of one name", key.index, key.id)
+			return eris.Errorf("index %s has duplicate record ID %s: two files share a base name", key.index, key.id)
 		}
 		seen[key] = true
 	}
--- a/internal/corpus/record.go
+++ b/internal/corpus/record.go
@@ -1,11 +1,11 @@
-// Package corpus reads the files that back ends index, splits them over
-// shards, and searches them. The stand-in back ends serve it, and tests use
-// its brute-force Search to check what the daemons answer.
+// Package corpus loads subtitle and card files, partitions their records into
+// shards and searches them. The simulated back ends serve its shards; tests use
+// its brute-force Search as the reference for merged results.
 package corpus
 
 import "github.com/doorpond/doorpond/client"
 
-// The corpora: sets of indexes that are searched together.
+// Names of the corpora. A corpus is a set of indexes searched together.
 const (
 	Cues  = "cues"
 	Cards = "cards"
@@ -15,26 +15,26 @@
 type Record struct {
 	// Corpus is Cues for subtitle files and Cards for card files.
 	Corpus string
-	// ID is the document's file name and the record's position in it, unique
-	// in its index.
+	// ID consists of the file's base name and the record's position in the
+	// file. It is unique within the index.
 	ID string
-	// Index is the parent directory of a subtitle file ("cues" where there is
-	// none), or the name of a card file without its extension.
+	// Index is the parent directory of a subtitle file ("cues" if there is
+	// none) or the base name of a card file without its extension.
 	Index string
-	// Document is the subtitle file's name or the card number. It is the key
-	// by which records are split over shards.
+	// Document is the base name of the subtitle file or the card number. It is
+	// the sharding key.
 	Document string
-	// Text is the cue's lines joined by spaces, or the kind, amount and
-	// description of a card's entry.
+	// Text holds the cue's lines, or the kind, amount and description of the
+	// card entry, joined by spaces.
 	Text string
-	// TimeMilliseconds is the start from the beginning of the file for cues,
-	// and the Unix time for card entries.
+	// TimeMilliseconds is the cue's start offset, or the Unix time of the card
+	// entry.
 	TimeMilliseconds int64
 
 	words []string
 }
 
-// Words returns the words of the text, ready for matching.
+// Words returns the tokenized text.
 func (r *Record) Words() []string {
 	if r.words != nil {
 		return r.words
@@ -42,7 +42,7 @@
 	return Tokenize(r.Text)
 }
 
-// Hit returns the record as a hit of a rank.
+// Hit converts the record to a hit with the given rank.
 func (r *Record) Hit(rank float64) client.Hit {
 	return client.Hit{
 		ID:               r.ID,
--- a/internal/corpus/search.go
+++ b/internal/corpus/search.go
@@ -10,13 +10,13 @@
 // DefaultLimit is the number of hits returned when a query sets no limit.
 const DefaultLimit = 100
 
-// Search looks at every record in turn and returns the hits in the order of
-// answers, at most the query's limit. Corpus and Indexes restrict it when set.
+// Search scans all records and returns the sorted hits, truncated to the
+// query's limit. The query's Corpus and Indexes restrict the scan if set.
 func Search(records []Record, query client.Query) []client.Hit {
 	matcher := NewMatcher(query.Phrase, query.Card)
 	var hits []client.Hit
 	for i := range records {
-		if !wanted(query, &records[i]) {
+		if !inScope(query, &records[i]) {
 			continue
 		}
 		if rank, matched := matcher.Match(&records[i]); matched {
@@ -27,8 +27,8 @@
 	return Truncate(hits, query.Limit)
 }
 
-// EffectiveOrder returns the query's order, or its default: by time for cards and by
-// rank for phrases.
+// EffectiveOrder returns the query's order or, if it is unset, the default: by
+// time for cards and by rank for phrases.
 func EffectiveOrder(query client.Query) client.Order {
 	switch {
 	case query.Order != "":
@@ -40,7 +40,8 @@
 	}
 }
 
-// Truncate keeps the first hits up to a limit; 0 means DefaultLimit.
+// Truncate returns the first limit hits. A limit of zero or less means
+// DefaultLimit.
 func Truncate(hits []client.Hit, limit int) []client.Hit {
 	if limit <= 0 {
 		limit = DefaultLimit
@@ -48,14 +49,14 @@
 	return hits[:min(limit, len(hits))]
 }
 
-func wanted(query client.Query, record *Record) bool {
+func inScope(query client.Query, record *Record) bool {
 	if query.Corpus != "" && query.Corpus != record.Corpus {
 		return false
 	}
 	return len(query.Indexes) == 0 || slices.Contains(query.Indexes, record.Index)
 }
 
-// Partition splits the records of one index over shards by their document.
+// Partition distributes the records of one index over shards by document.
 func Partition(records []Record, index string, shards int) [][]Record {
 	parts := make([][]Record, shards)
 	for i := range records {
@@ -68,7 +69,7 @@
 	return parts
 }
 
-// Indexes returns the names of the indexes of one corpus in ascending order.
+// Indexes returns the sorted names of the indexes of one corpus.
 func Indexes(records []Record, corpusName string) []string {
 	seen := make(map[string]bool)
 	var names []string
--- a/internal/corpus/shard.go
+++ b/internal/corpus/shard.go
@@ -2,14 +2,14 @@
 
 import "github.com/doorpond/doorpond/client"
 
-// Shard is the inverted index of one shard's records. It is immutable.
+// Shard is an immutable inverted index of the records of one shard.
 type Shard struct {
 	records []Record
 	byWord  map[string][]int
 	byCard  map[string][]int
 }
 
-// NewShard indexes records, which must not be changed afterwards.
+// NewShard indexes records. The caller must not modify them afterwards.
 func NewShard(records []Record) *Shard {
 	shard := &Shard{records: records, byWord: make(map[string][]int), byCard: make(map[string][]int)}
 	for position := range records {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Search returns the hits of the shard in the order of answers, at most
-// limit, and the number of all matches.
+// Search returns the sorted hits, truncated to limit, and the total number of
+// matches.
 func (s *Shard) Search(phrase, card string, order client.Order, limit int) (hits []client.Hit, total int) {
 	matcher := NewMatcher(phrase, card)
 	for _, position := range s.candidates(matcher) {
@@ -44,8 +44,8 @@
 	return Truncate(hits, limit), len(hits)
 }
 
-// candidates returns the records of the card, or those that hold the rarest
-// word of the phrase.
+// candidates returns the positions of the card's records, or of those that
+// contain the rarest word of the phrase.
 func (s *Shard) candidates(matcher Matcher) []int {
 	if matcher.card != "" {
 		return s.byCard[matcher.card]
--- a/internal/corpus/subtitles.go
+++ b/internal/corpus/subtitles.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// defaultCueIndex is the index of subtitle files that are in no directory.
+// defaultCueIndex is the index of subtitle files in the root directory.
 const defaultCueIndex = "cues"
 
 func readSubtitles(reader io.Reader, name string) ([]Record, error) {
