--- a/internal/admin/compare.go
+++ b/internal/admin/compare.go
@@ -20,7 +20,7 @@
 const maxPeerSeries = 1024
 
 func (h *handler) compare(w http.ResponseWriter, r *http.Request) {
-	query, err := comparison.ReadQuery(r.URL.Query())
+	query, err := comparison.ParseQuery(r.URL.Query())
 	if err != nil {
 		failure.WriteProblem(w, err)
 		return
@@ -30,7 +30,7 @@
 		failure.WriteProblem(w, err)
 		return
 	}
-	writeJSON(w, comparison.NewLive(query, collected, unreachable))
+	writeJSON(w, comparison.NewClusterReport(query, collected, unreachable))
 }
 
 // checkPoliciesKnown returns an error if a policy is neither in the table nor in the
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -37,7 +37,7 @@
 // DegradedReplica is a replica that receives less than its full share of requests,
 // and the number of daemons that report it.
 type DegradedReplica struct {
-	peer.TroubledReplica
+	peer.DegradedReplica
 	ReportedBy int `json:"seen_by"`
 }
 
@@ -147,18 +147,18 @@
 
 // mergeDegradedReplicas merges the replicas that the daemons report as degraded.
 func mergeDegradedReplicas(nodes []peer.NodeState) []DegradedReplica {
-	counts := make(map[peer.TroubledReplica]int)
+	counts := make(map[peer.DegradedReplica]int)
 	for _, node := range nodes {
-		for _, report := range node.Troubled {
+		for _, report := range node.DegradedReplicas {
 			counts[report]++
 		}
 	}
 	merged := make([]DegradedReplica, 0, len(counts))
 	for report, count := range counts {
-		merged = append(merged, DegradedReplica{TroubledReplica: report, ReportedBy: count})
+		merged = append(merged, DegradedReplica{DegradedReplica: report, ReportedBy: count})
 	}
 	slices.SortFunc(merged, func(a, b DegradedReplica) int {
-		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Trouble, b.Trouble))
+		return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Reason, b.Reason))
 	})
 	return merged
 }
--- a/internal/follower/instances_test.go
+++ b/internal/follower/instances_test.go
@@ -82,7 +82,7 @@
 		state.apply(start, store.Event{KeyValue: unreadable})
 	}
 	state.publish(start)
-	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaMissing, "c": topology.ReplicaServing}
+	want := map[string]topology.ReplicaState{"a": topology.ReplicaServing, "b": topology.ReplicaVanished, "c": topology.ReplicaServing}
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("right after the invalid entries (-want +got):\n%s", diff)
 	}
@@ -91,7 +91,7 @@
 	if diff := cmp.Diff(want, replicaStates(board)); diff != "" {
 		t.Errorf("after the retention period (-want +got):\n%s", diff)
 	}
-	if lines := strings.Count(logged.String(), "refused"); lines != 1 {
+	if lines := strings.Count(logged.String(), "invalid replica entry rejected"); lines != 1 {
 		t.Errorf("%d log lines for one key:\n%s", lines, logged.String())
 	}
 	state.apply(start, store.Event{KeyValue: instanceAt(t, 20, "b", 1, topology.ReplicaServing)})
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -133,7 +133,7 @@
 			n.recorder.Record("old", statistics.Sample{Group: "h", Latency: time.Second, Asked: 1, Failed: true, Attempts: 1})
 		}
 	}
-	var got comparison.Live
+	var got comparison.ClusterReport
 	if status := first.get(t, pathCompare+"?a=fetch&b=old", &got); status != http.StatusOK {
 		t.Fatalf("got status %d, want 200", status)
 	}
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -14,8 +14,8 @@
 	"github.com/doorpond/doorpond/internal/upstream"
 )
 
-func message(change func(*upstream.Message)) *upstream.Message {
-	made := &upstream.Message{
+func message(change func(*upstream.Request)) *upstream.Request {
+	made := &upstream.Request{
 		ID: "a", Caller: netip.MustParseAddr("192.0.2.1"), Method: http.MethodPost, Host: "h", Target: "/p?q=1",
 		Header: http.Header{"Accept": {"*/*"}}, Body: []byte("body"),
 	}
@@ -28,24 +28,24 @@
 // The identity must cover everything that a replica sees of a request, and nothing that differs
 // between tries of the same request.
 func TestIdentity(t *testing.T) {
-	same := map[string]func(*upstream.Message){
-		"request ID":     func(m *upstream.Message) { m.ID = "b" },
-		"caller address": func(m *upstream.Message) { m.Caller = netip.MustParseAddr("192.0.2.2") },
-		"other header":   func(m *upstream.Message) { m.Header = http.Header{"User-Agent": {"x"}} },
+	same := map[string]func(*upstream.Request){
+		"request ID":     func(m *upstream.Request) { m.ID = "b" },
+		"caller address": func(m *upstream.Request) { m.Caller = netip.MustParseAddr("192.0.2.2") },
+		"other header":   func(m *upstream.Request) { m.Header = http.Header{"User-Agent": {"x"}} },
 	}
 	for name, change := range same {
 		if IdentityOf(message(change)) != IdentityOf(message(nil)) {
 			t.Errorf("%s changes the identity", name)
 		}
 	}
-	different := map[string]func(*upstream.Message){
-		"method":      func(m *upstream.Message) { m.Method = http.MethodPut },
-		"host":        func(m *upstream.Message) { m.Host = "i" },
-		"path":        func(m *upstream.Message) { m.Target = "/r?q=1" },
-		"query":       func(m *upstream.Message) { m.Target = "/p?q=2" },
-		"body":        func(m *upstream.Message) { m.Body = []byte("bodz") },
-		"credentials": func(m *upstream.Message) { m.Header = http.Header{"Authorization": {"x"}} },
-		"host and path with the same concatenation": func(m *upstream.Message) {
+	different := map[string]func(*upstream.Request){
+		"method":      func(m *upstream.Request) { m.Method = http.MethodPut },
+		"host":        func(m *upstream.Request) { m.Host = "i" },
+		"path":        func(m *upstream.Request) { m.Target = "/r?q=1" },
+		"query":       func(m *upstream.Request) { m.Target = "/p?q=2" },
+		"body":        func(m *upstream.Request) { m.Body = []byte("bodz") },
+		"credentials": func(m *upstream.Request) { m.Header = http.Header{"Authorization": {"x"}} },
+		"host and path with the same concatenation": func(m *upstream.Request) {
 			m.Host, m.Target = "h/p", "?q=1"
 		},
 	}
@@ -86,14 +86,14 @@
 	return New(config), fakeClock, broadcasts
 }
 
-func quarantine(list *List, request *upstream.Message) {
+func quarantine(list *List, request *upstream.Request) {
 	list.RecordCrash(request, testRoute, "", conclusive)
 	list.Quarantine(request)
 }
 
 // target returns one of several distinct requests.
-func target(n int) *upstream.Message {
-	return message(func(m *upstream.Message) { m.Target = fmt.Sprint("/", n) })
+func target(n int) *upstream.Request {
+	return message(func(m *upstream.Request) { m.Target = fmt.Sprint("/", n) })
 }
 
 // A request passes from suspect to quarantined, back to suspect when the quarantine expires, and is
@@ -212,15 +212,15 @@
 	var list *List
 	quarantine(list, message(nil))
 	list.RecordAnswer(message(nil))
-	list.Adopt("x", nil)
-	list.Forgotten("x")
+	list.HandleStored("x", nil)
+	list.HandleDeleted("x")
 	if list.Receive(Record{}) || list.Release(Identity{}) || list.Lookup(message(nil)) != (Status{}) || len(list.Records()) != 0 {
 		t.Error("a nil list is not empty")
 	}
 }
 
 func BenchmarkLookup(b *testing.B) {
-	asked := message(func(m *upstream.Message) { m.Body = make([]byte, 1024) })
+	asked := message(func(m *upstream.Request) { m.Body = make([]byte, 1024) })
 	b.Run("no suspect", func(b *testing.B) {
 		list := New(Config{})
 		for b.Loop() {
@@ -236,8 +236,8 @@
 	})
 }
 
-// The cause is ambiguous while another request crashed all of the same replicas.
-func TestAmbiguous(t *testing.T) {
+// The cause is disputed while another request crashed all of the same replicas.
+func TestDisputed(t *testing.T) {
 	list, now, _ := newTestList(nil)
 	sender, _, sent := newTestList(nil)
 	for _, canary := range []string{"a/1", "b/2"} {
@@ -245,19 +245,19 @@
 		sender.RecordCrash(target(1), testRoute, canary, suspicious)
 	}
 	list.RecordCrash(message(nil), testRoute, "b/2", conclusive)
-	if list.Ambiguous(message(nil)) {
-		t.Error("ambiguous without another request")
+	if list.Disputed(message(nil)) {
+		t.Error("disputed without another request")
 	}
 	sender.RecordCrash(target(1), testRoute, "b/2", conclusive)
 	for _, record := range *sent {
 		list.Receive(record)
 	}
-	if !list.Ambiguous(message(nil)) {
-		t.Error("not ambiguous with a request that crashed the same replicas")
+	if !list.Disputed(message(nil)) {
+		t.Error("not disputed with a request that crashed the same replicas")
 	}
 	list.RecordCrash(message(nil), testRoute, "c/3", conclusive)
-	if list.Ambiguous(message(nil)) {
-		t.Error("ambiguous with a request that did not crash the last replica")
+	if list.Disputed(message(nil)) {
+		t.Error("disputed with a request that did not crash the last replica")
 	}
 	now.now = now.now.Add(confirmationWindow)
 	if got := list.Lookup(message(nil)); got.RefuseFor != 0 || got.Evidence.Conclusive() || !got.Evidence.Suspicious() {
@@ -296,7 +296,7 @@
 }
 
 func BenchmarkRecordAnswer(b *testing.B) {
-	asked := message(func(m *upstream.Message) { m.Body = make([]byte, 1024) })
+	asked := message(func(m *upstream.Request) { m.Body = make([]byte, 1024) })
 	list := New(Config{})
 	for b.Loop() {
 		list.RecordAnswer(asked)
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -37,7 +37,7 @@
 type Identity [sha256.Size]byte
 
 // IdentityOf returns the identity of a request.
-func IdentityOf(message *upstream.Message) Identity {
+func IdentityOf(message *upstream.Request) Identity {
 	digest := sha256.New()
 	for _, field := range []string{message.Method, message.Host, message.Target, message.Header.Get("Authorization")} {
 		writeField(digest, field)
@@ -82,7 +82,7 @@
 // it. It contains durations instead of timestamps, as the clocks of nodes differ.
 type Record struct {
 	Identity Identity `msgpack:"i" json:"-"`
-	// CrashedReplicas, Rounds and Blame are the evidence; see decision.Evidence.
+	// CrashedReplicas, Rounds and Blame are the evidence; see decision.CrashEvidence.
 	CrashedReplicas int     `msgpack:"e" json:"ended"`
 	Rounds          int     `msgpack:"m" json:"rounds"`
 	Blame           float64 `msgpack:"b" json:"blame"`
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -39,7 +39,7 @@
 
 // ForwardRequest is a request that is forwarded unchanged.
 type ForwardRequest struct {
-	Message *upstream.Message
+	Message *upstream.Request
 	// Route is pinned for the whole request.
 	Route *routing.Route
 	// CallerTimeout is how long the caller waits, from the request's arrival; 0 means
@@ -62,7 +62,7 @@
 // ForwardResult is the result of a ForwardRequest.
 type ForwardResult struct {
 	// Reply is a replica's response; nil for a scattered request.
-	Reply *upstream.Reply
+	Reply *upstream.Response
 	// Records holds the merged records of a scattered request, Signatures those of the
 	// parts included, and MissingShards the number of shards left out.
 	Records       []byte
@@ -135,7 +135,7 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	target := s.targets.ForTarget(groups[0])
+	target := s.controllers.ForTarget(groups[0])
 	ticket, err := target.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
@@ -151,7 +151,7 @@
 }
 
 // Overloaded reports whether this node has recently rejected requests because of load.
-func (s *Service) Overloaded() bool { return s.targets.Overloaded(s.options.Now()) }
+func (s *Service) Overloaded() bool { return s.controllers.Overloaded(s.options.Now()) }
 
 // Statistics returns the statistics of each policy and route over the last window.
 func (s *Service) Statistics(window time.Duration) []statistics.PolicyStatistics {
@@ -206,7 +206,7 @@
 	forward := &forwardRun{request: request, criteria: criteria}
 	forward.run = s.newRun(plan, forward)
 	forward.linger = lingerTimeout
-	forward.checkQuarantined, forward.checkContested, forward.onCrash = forward.isQuarantined, forward.isContested, forward.reportCrash
+	forward.checkQuarantined, forward.checkDisputed, forward.onCrash = forward.isQuarantined, forward.isDisputed, forward.reportCrash
 	return forward
 }
 
@@ -232,9 +232,9 @@
 	return acquired
 }
 
-// hedgeDelay returns the delay before a hedge: until the answer is late, or as long as
-// the hedge still has its own late time before the answer is due, but at most half of
-// the remaining time, as the replica of the hedge is not known yet.
+// hedgeDelay returns the delay before a hedge. A hedge is sent once the first attempt is
+// late, or later if that still leaves hedgeLateAfter for the hedge to answer. It is not
+// postponed past half of the remaining time, as its replica is not known yet.
 func hedgeDelay(lateAfter, remaining, hedgeLateAfter time.Duration) time.Duration {
 	return max(lateAfter, min(remaining-hedgeLateAfter, remaining/2))
 }
@@ -350,7 +350,7 @@
 	s.options.Statistics.Record(route.Name, statistics.Sample{
 		Group: route.Host, Latency: took, Failed: err != nil,
 		Asked: len(current.shards), Answered: current.core.Answered(),
-		Attempts: current.counts.dispatched, Hedges: current.counts.hedges, Cancelled: current.counts.cancelled,
+		Attempts: current.counts.dispatched, Hedges: current.counts.hedges, Cancelled: current.counts.canceled,
 	})
 	s.metrics.observe(took, err)
 	var failed *failure.Error
@@ -360,7 +360,7 @@
 	ticket.Observe(s.options.Now(), current.forwardOutcome(took))
 }
 
-// forwardOutcome returns what the run reports to admission control. A request is strained
+// forwardOutcome returns what the run reports to admission control. A request is congested
 // if half of its shards answered late, or too few first attempts were sent in time. A few
 // slow or unreachable shards are no sign of overload, as the answer does without them.
 func (r *forwardRun) forwardOutcome(took time.Duration) admission.Outcome {
--- a/internal/replica/message_test.go
+++ b/internal/replica/message_test.go
@@ -18,14 +18,14 @@
 // testCodec implements the headers used by the test replicas.
 type testCodec struct{}
 
-func (testCodec) RequestHeader(message *upstream.Message, incarnation string, _ time.Duration) http.Header {
+func (testCodec) RequestHeader(message *upstream.Request, incarnation string, _ time.Duration) http.Header {
 	return http.Header{"Id": {message.ID}, "Process": {incarnation}}
 }
 
-func (testCodec) ReadReply(reply *upstream.Reply) {
+func (testCodec) ReadResponse(reply *upstream.Response) {
 	reply.Signature = reply.Header.Get("Signature")
-	reply.Elsewhere = reply.Status == http.StatusMisdirectedRequest
-	reply.NotRun = reply.Elsewhere || reply.Header.Get("Refused") != ""
+	reply.Misdirected = reply.Status == http.StatusMisdirectedRequest
+	reply.NotExecuted = reply.Misdirected || reply.Header.Get("Refused") != ""
 }
 
 func testCriteria() *SelectionCriteria {
@@ -45,8 +45,8 @@
 	})
 }
 
-func testMessage() *upstream.Message {
-	return &upstream.Message{ID: "m", Method: http.MethodGet, Target: "/", Host: "h"}
+func testMessage() *upstream.Request {
+	return &upstream.Request{ID: "m", Method: http.MethodGet, Target: "/", Host: "h"}
 }
 
 // Tests the outcome of each kind of answer, for a plain request and for a part
@@ -205,7 +205,7 @@
 
 // First attempts must avoid a replica that holds a late request, until it
 // answers.
-func TestAcquireAvoidsSilentReplica(t *testing.T) {
+func TestAcquireAvoidsUnresponsiveReplica(t *testing.T) {
 	f := newPoolFixture(t)
 	near := f.acquire(t)
 	f.now = f.now.Add(30 * time.Millisecond)
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestSilentReplicaIsEjected(t *testing.T) {
+func TestUnresponsiveReplicaIsEjected(t *testing.T) {
 	f := newPoolFixture(t)
 	near := f.pool.current().handles[processID{"near:1", "1"}]
 	for range ejectAfter {
@@ -257,7 +257,7 @@
 	near := f.pool.current().handles[processID{"near:1", "1"}]
 	before := near.limit.Load()
 	near.Begin()
-	err := fmt.Errorf("%w: %w", upstream.ErrBroken, syscall.ECONNRESET)
+	err := fmt.Errorf("%w: %w", upstream.ErrIncomplete, syscall.ECONNRESET)
 	f.pool.recordForward(t.Context(), near, SubrequestResult{Outcome: decision.Failed, Err: err}, f.now, f.criteria)
 	if after := near.limit.Load(); after >= before {
 		t.Errorf("limit %d before, %d after a reset", before, after)
@@ -317,11 +317,11 @@
 	board := f.pool.options.Board
 	listReplicas(board,
 		topology.Replica{Address: "far:1", Place: farPlace},
-		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
+		topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
 	if got := f.acquire(t).Address(); got != "far:1" {
 		t.Errorf("chose %s while another replica is listed", got)
 	}
-	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaMissing})
+	listReplicas(board, topology.Replica{Address: "near:1", Place: nearPlace, State: topology.ReplicaVanished})
 	if got := f.acquire(t).Address(); got != "near:1" {
 		t.Errorf("chose %s", got)
 	}
--- a/internal/simulation/system/daemon.go
+++ b/internal/simulation/system/daemon.go
@@ -100,9 +100,9 @@
 		Self: topology.Member{ID: d.id, PeerAddress: d.slot.address, Place: d.slot.place},
 		Seed: w.engine.Random().Uint64(),
 	})
-	d.register.OnAccept(document.Table, d.world.acceptTable(d.board))
-	d.register.OnAccept(document.Catalogue, w.acceptCatalogue(d.board))
-	d.register.OnAccepted(d.accepted)
+	d.register.AddAcceptor(document.Table, d.world.acceptTable(d.board))
+	d.register.AddAcceptor(document.Catalogue, w.acceptCatalogue(d.board))
+	d.register.Subscribe(d.accepted)
 	d.publishMembers()
 	d.calls = &callService{daemon: d, fence: once.NewFence(d.id), started: d.now()}
 	d.election = document.NewElection(document.ElectionOptions{PerZone: followersPerZone})
@@ -210,7 +210,7 @@
 	switch learned.Record.Kind {
 	case membership.RecordDocument:
 		d.announced(document.Name(learned.Record.Key), learned.Record.Version, learned.From)
-	case membership.RecordStoreMark:
+	case membership.RecordStoreWatermark:
 		d.calls.fence.Merge(once.WatermarkFromVersion(learned.Record.Version))
 	case membership.RecordReplicaLeaving:
 		address, incarnation, _ := strings.Cut(learned.Record.Key, "|")
@@ -332,11 +332,11 @@
 // acceptTable and acceptCatalogue are the daemon's acceptors. With many
 // daemons, each version is decoded once and shared, as it is immutable.
 func (w *World) acceptTable(board *blackboard.Board) func(document.Document) error {
-	return shared(w, &board.PolicyTable, policytable.Publish)
+	return shared(w, &board.PolicyTable, policytable.TableAcceptor)
 }
 
 func (w *World) acceptCatalogue(board *blackboard.Board) func(document.Document) error {
-	return shared(w, &board.Catalogue, policytable.PublishCatalogue)
+	return shared(w, &board.Catalogue, policytable.CatalogueAcceptor)
 }
 
 func shared[T any](w *World, section *blackboard.Section[T], acceptor func(*blackboard.Board) func(document.Document) error) func(document.Document) error {
