--- a/internal/corpus/corpus_test.go
+++ b/internal/corpus/corpus_test.go
@@ -41,7 +41,7 @@
 			client.Query{Corpus: Cues, Phrase: "ዝግጁ ነው ኑ"},
 			[]string{"buna.am.srt:00009"},
 		},
-		"amharic phrase across lines in two files": {
+		"amharic phrase in two files": {
 			client.Query{Corpus: Cues, Phrase: "ዝናቡ ገና አላቆመም"},
 			[]string{"buna.am.srt:00005", "menged.am.srt:00006"},
 		},
