--- a/internal/corpus/record.go
+++ b/internal/corpus/record.go
@@ -1,6 +1,6 @@
 // Package corpus loads subtitle and card files, partitions their records into
-// shards and searches them. The simulated back ends serve its shards; tests use
-// its brute-force Search as the reference for merged results.
+// shards and searches them. The stand-in back ends serve these shards; tests use
+// the brute-force Search as the reference for merged results.
 package corpus
 
 import "github.com/doorpond/doorpond/client"
