--- a/internal/follower/instances.go
+++ b/internal/follower/instances.go
@@ -40,7 +40,7 @@
 }
 
 // isLeaving reports whether the instance of a replica that started at the given time has announced
-// that it leaves. An instance cannot take that back, even if its entry has gone since.
+// that it is leaving. This is final for an instance, even after its entry was deleted.
 func (s *state) isLeaving(key string, startedAt time.Time) bool {
 	if known, found := s.replicas[key]; found {
 		return known.replica.State == topology.ReplicaLeaving && known.replica.StartedAt.Equal(startedAt)
--- a/internal/follower/state.go
+++ b/internal/follower/state.go
@@ -42,8 +42,8 @@
 	suspects          suspects
 	publishedSuspects atomic.Pointer[suspects]
 	activation        activation
-	// leaving and gone are the replicas that announced leaving, or whose entries went, since the
-	// last publication. They are logged with it.
+	// leaving and gone are the replicas that announced leaving, or whose entries were deleted,
+	// since the last publication. They are logged with it.
 	leaving, gone   []topology.Replica
 	replicasChanged bool
 	nodesChanged    bool
--- a/internal/query/run.go
+++ b/internal/query/run.go
@@ -141,8 +141,8 @@
 // elapsed returns the time since the run's start, without compensated pauses.
 func (r *run) elapsed() time.Duration { return r.inbox.Elapsed() - r.pauses.excluded }
 
-// now compensates for the pauses of the process so far and returns the elapsed time. If a pause falls between the readings of the two clocks, both are
-// read again.
+// now compensates for the pauses of the process so far and returns the elapsed time.
+// If a pause falls between the readings of the two clocks, both are read again.
 func (r *run) now() time.Duration {
 	for {
 		paused := r.service.pausedTime()
