--- a/cmd/doorpond-edge/main.go
+++ b/cmd/doorpond-edge/main.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		return explain.Story(lines, arguments[0], out)
+		return explain.WriteTimeline(lines, arguments[0], out)
 	}
 	var lines []explain.Line
 	for _, path := range arguments[1:] {
@@ -91,7 +91,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	return explain.Story(lines, arguments[0], out)
+	return explain.WriteTimeline(lines, arguments[0], out)
 }
 
 func run(ctx context.Context, command *cli.Command) error {
@@ -109,7 +109,7 @@
 	lines := eventlog.NewWriter(os.Stdout)
 	defer lines.Close()
 	node, err := edge.New(edge.Options{
-		Settings: loaded, Platform: platform.Platform(loaded),
+		Settings: loaded, Platform: platform.New(loaded),
 		Reload: func() (edge.Settings, error) { return edge.LoadSettings(path) },
 		Logger: slog.New(slog.NewJSONHandler(lines, nil)),
 	})
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -24,7 +24,7 @@
 
 // connectGossip announces updates to peers and applies those that peers announce.
 func (d *Daemon) connectGossip() {
-	d.register.OnAccepted(func(accepted document.Document) {
+	d.register.Subscribe(func(accepted document.Document) {
 		d.logger.Info("document accepted", "document", accepted.Name, "revision", accepted.Revision)
 		d.node.Announce(membership.Record{
 			Kind: membership.RecordDocument, Key: string(accepted.Name), Version: accepted.Revision,
@@ -42,7 +42,7 @@
 func (d *Daemon) handleRecord(record membership.Record, fromPeerAddress string) {
 	switch record.Kind {
 	case membership.RecordDocument:
-		d.fetcher.Announced(document.Name(record.Key), record.Version, fromPeerAddress)
+		d.fetcher.HandleAnnouncement(document.Name(record.Key), record.Version, fromPeerAddress)
 	case membership.RecordStoreWatermark:
 		d.calls.MergeWatermark(once.WatermarkFromVersion(record.Version))
 	case membership.RecordReplicaLeaving:
@@ -98,7 +98,7 @@
 		if !found {
 			continue
 		}
-		received, err := document.FromBody(name, stored.Value)
+		received, err := document.Parse(name, stored.Value)
 		if err == nil {
 			_, err = d.register.Offer(received)
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,13 +14,13 @@
 {"broken":
 `
 
-func TestStory(t *testing.T) {
+func TestWriteTimeline(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	if err != nil || len(lines) != 5 {
-		t.Fatalf("%d lines, error %v", len(lines), err)
+		t.Fatalf("got %d lines and error %v, want 5 lines", len(lines), err)
 	}
-	var told strings.Builder
-	if err := Story(lines, "q1", &told); err != nil {
+	var output strings.Builder
+	if err := WriteTimeline(lines, "q1", &output); err != nil {
 		t.Fatal(err)
 	}
 	want := `      2.5s before: store unreachable; serving from the last known state error="silent"
@@ -35,18 +35,18 @@
       no hedge: budget
       at 0 ms to 10.0.0.2:1: success
 `
-	if told.String() != want {
-		t.Errorf("story:\n%s\nwant:\n%s", told.String(), want)
+	if output.String() != want {
+		t.Errorf("timeline:\n%s\nwant:\n%s", output.String(), want)
 	}
 }
 
-func TestNoStory(t *testing.T) {
+func TestWriteTimelineUnknownRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told strings.Builder
-	if err := Story(lines, "q9", &told); err == nil || told.Len() > 0 {
-		t.Errorf("error %v, story %q", err, told.String())
+	var output strings.Builder
+	if err := WriteTimeline(lines, "q9", &output); err == nil || output.Len() > 0 {
+		t.Errorf("got error %v and output %q, want an error and no output", err, output.String())
 	}
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return route, query.ForwardResult{}, err
 	}
-	message := &upstream.Message{
+	message := &upstream.Request{
 		ID: id, Caller: callerAddress(r), Method: r.Method, Target: target, Host: r.Host, Header: removeHopByHop(r.Header), Body: body,
 	}
 	answer, err := h.options.Forwarder.Forward(r.Context(), &query.ForwardRequest{Message: message, Route: route, CallerTimeout: timeout, Elapsed: waited})
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -24,7 +24,7 @@
 	Reply *backendapi.SearchReply
 	// UpstreamReply is the complete reply to a message. It is set on Success,
 	// and on Failed if the replica answered with an error status.
-	UpstreamReply *upstream.Reply
+	UpstreamReply *upstream.Response
 	// Attribution is set for the outcome Crashed. It is 1 divided by the number
 	// of this node's requests that the replica was running.
 	Attribution float64
