--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -27,7 +27,7 @@
 			{Name: "fetch", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
 			{Name: "plain", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
 		},
-		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaMissing}},
+		Leaving:   []topology.Replica{{Group: "a", Address: "10.0.0.9:1", State: topology.ReplicaVanished}},
 		Evacuated: map[string]int{"adum": 4}, Cold: 3,
 		Quarantined: []inspect.QuarantinedRequest{{
 			Identity: "5f1c", Nodes: 3, Refusing: 2,
@@ -56,12 +56,12 @@
 		"does not answer: n3 no answer",
 	} {
 		if !hasLine(lines, want) {
-			t.Errorf("no line %q in\n%s", want, out.String())
+			t.Errorf("output has no line %q:\n%s", want, out.String())
 		}
 	}
 }
 
-// hasLine compares words, as columns are padded.
+// hasLine reports whether a line equals want, ignoring column padding.
 func hasLine(lines []string, want string) bool {
 	for _, line := range lines {
 		if strings.Join(strings.Fields(line), " ") == want {
