--- a/internal/daemon/operator_test.go
+++ b/internal/daemon/operator_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("no query counts in output:\n%s", comparison.text)
 	}
 	expectCommand(t, first, operator.ExitOK, "too few", "compare fast careful")
-	expectCommand(t, first, operator.ExitFailure, "there is no policy", "compare fast none")
+	expectCommand(t, first, operator.ExitFailure, `no such policy: "none"`, "compare fast none")
 
 	leaving := running.Backends()[0].Address
 	if err := running.DrainReplica(leaving); err != nil {
