--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -32,7 +32,7 @@
 		ShortTTL: fewTTL, EntryNodes: n.settings.Bounds.EntryNodes(),
 	}
 	if table := n.board.Routes.Load(); table != nil {
-		options.Regions, options.RestrictRegions = table.AllowedRegions(host)
+		options.Regions, options.RestrictRegions = table.HostRegions(host)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -79,7 +79,7 @@
 	Rank                  int     `json:"rank"`
 	Idempotent            bool    `json:"repeatable"`
 	Attempts              int     `json:"attempts"`
-	MinShardRatio         float64 `json:"least_share"`
+	MinShardFraction      float64 `json:"least_share"`
 	TopRecords            int     `json:"top_records"`
 	TimeoutMilliseconds   int64   `json:"timeout_ms"`
 	ObjectiveMilliseconds int64   `json:"objective_ms"`
@@ -229,7 +229,7 @@
 func describeRoute(route *routing.Route) Route {
 	return Route{
 		Name: route.Name, Host: route.Host, PathPrefix: route.PathPrefix, Rank: route.Rank, Idempotent: route.Idempotent,
-		Attempts: route.Policy.Retry.Attempts, MinShardRatio: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
+		Attempts: route.Policy.Retry.Attempts, MinShardFraction: route.Policy.Completeness.Min, TopRecords: route.TopRecords,
 		TimeoutMilliseconds: time.Duration(route.Policy.Wait.Timeout).Milliseconds(), ObjectiveMilliseconds: route.Objective.Milliseconds(),
 		Shards: len(route.Shards), WeightedGroups: route.WeightedGroups, Regions: route.Regions,
 	}
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -41,7 +41,7 @@
 	}))
 	routes := []routing.Route{{
 		Name: "fetch", Host: "h", PathPrefix: "/f/", Objective: time.Second, Rank: 2,
-		Policy:         routing.PolicyRow(routing.RouteSpec{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, MinShardRatio: 0.5}),
+		Policy:         routing.PolicyRow(routing.RouteSpec{Name: "fetch", Timeout: 4 * time.Second, Attempts: 3, MinShardFraction: 0.5}),
 		WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	n.board.Routes.Publish(routing.NewTable(version, routes, nil, routing.Limits{}))
@@ -99,7 +99,7 @@
 		t.Errorf("got %d serving replicas, leaving %+v; want 1, leaving 10.0.0.2:1", got.Replicas, got.Leaving)
 	}
 	want := []Route{{
-		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, MinShardRatio: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
+		Name: "fetch", Host: "h", PathPrefix: "/f/", Rank: 2, Attempts: 3, MinShardFraction: 0.5, TimeoutMilliseconds: 4000, ObjectiveMilliseconds: 1000,
 		WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}},
 	}}
 	if diff := cmp.Diff(want, got.Routes); diff != "" {
--- a/internal/operator/system.go
+++ b/internal/operator/system.go
@@ -114,7 +114,7 @@
 
 func formatTarget(route *inspect.Route) string {
 	if route.Shards > 0 {
-		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.MinShardRatio, route.TopRecords)
+		return fmt.Sprintf("%d shards, at least %.2f, top %d", route.Shards, route.MinShardFraction, route.TopRecords)
 	}
 	parts := make([]string, 0, len(route.WeightedGroups))
 	for _, share := range route.WeightedGroups {
--- a/internal/operator/system_test.go
+++ b/internal/operator/system_test.go
@@ -23,7 +23,7 @@
 		},
 		Unreachable: []comparison.Unreachable{{Member: topology.Member{ID: "n3"}, Reason: "no\x1b answer"}},
 		Routes: []inspect.Route{
-			{Name: "search", Host: "h", Shards: 10, MinShardRatio: 0.89, TopRecords: 20, Regions: []string{"accra", "kumasi"}},
+			{Name: "search", Host: "h", Shards: 10, MinShardFraction: 0.89, TopRecords: 20, Regions: []string{"accra", "kumasi"}},
 			{Name: "fetch", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 3}, {Group: "b", Weight: 1}}},
 			{Name: "plain", Host: "h", WeightedGroups: []routing.WeightedGroup{{Group: "a", Weight: 1}}},
 		},
--- a/internal/query/forward_virtual_test.go
+++ b/internal/query/forward_virtual_test.go
@@ -168,7 +168,7 @@
 
 func newVirtualRoute(board *blackboard.Board, network *virtualNetwork, attempts int) *routing.Route {
 	route := &routing.Route{
-		Name: "r", Policy: routing.PolicyRow(routing.RouteSpec{Name: "r", Timeout: 4 * time.Second, Attempts: attempts, MinShardRatio: 0.89}),
+		Name: "r", Policy: routing.PolicyRow(routing.RouteSpec{Name: "r", Timeout: 4 * time.Second, Attempts: attempts, MinShardFraction: 0.89}),
 		Objective: virtualObjective, Idempotent: true, TopRecords: 5, MinShards: routing.MinShards(0.89, virtualShards),
 	}
 	groups := make(map[string][]topology.Replica)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAllowedRegions(t *testing.T) {
+func TestHostRegions(t *testing.T) {
 	table := NewTable(1, []Route{
 		{Name: "free", Host: "a.example", PathPrefix: "/"},
 		{Name: "one", Host: "a.example", PathPrefix: "/x/", Regions: []string{"r1", "r2"}},
@@ -60,7 +60,7 @@
 		{"A.example:80", []string{"r2"}, true}, {"b.example", []string{}, true}, {"c.example", nil, false}, {"d.example", nil, false},
 	}
 	for _, test := range cases {
-		got, restricted := table.AllowedRegions(test.host)
+		got, restricted := table.HostRegions(test.host)
 		if diff := cmp.Diff(test.want, got); diff != "" || restricted != test.restricted {
 			t.Errorf("%s: restricted %v, regions (-want +got):\n%s", test.host, restricted, diff)
 		}
@@ -163,7 +163,7 @@
 		priority client.Priority
 		attempts int
 	}{
-		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 2, Rank: 0, MinShardRatio: 0.89}, client.PriorityCritical, 2},
+		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 2, Rank: 0, MinShardFraction: 0.89}, client.PriorityCritical, 2},
 		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 0, Rank: 9}, client.PriorityBatch, 1},
 		{RouteSpec{Name: "r", Timeout: time.Second, Attempts: 99, Rank: 2}, client.PriorityNormal, maxAttempts},
 	}
--- a/internal/routing/row.go
+++ b/internal/routing/row.go
@@ -14,8 +14,8 @@
 	Timeout  time.Duration
 	Attempts int
 	Rank     int
-	// MinShardRatio is the minimum fraction of the shards that an answer needs.
-	MinShardRatio float64
+	// MinShardFraction is the minimum fraction of the shards that an answer needs.
+	MinShardFraction float64
 }
 
 // Policy values that are not part of a route's configuration.
@@ -40,7 +40,7 @@
 	row.Replicas = policy.Replicas{ZoneWeight: zoneWeight, RegionWeight: regionWeight, FarWeight: farWeight}
 	row.Wait = policy.Wait{Timeout: policy.Duration(spec.Timeout)}
 	row.Retry.Attempts = min(max(1, spec.Attempts), maxAttempts)
-	row.Completeness = policy.Completeness{Target: 1, Min: spec.MinShardRatio}
+	row.Completeness = policy.Completeness{Target: 1, Min: spec.MinShardFraction}
 	row.Limits.Concurrency = maxConcurrency
 	row.Priority = priorities[min(max(0, spec.Rank), len(priorities)-1)]
 	return &row
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -84,15 +84,15 @@
 	Limits   Limits
 
 	byHost map[string][]*Route
-	// allowedRegions holds the hosts with at least one region-restricted route.
-	allowedRegions map[string][]string
+	// hostRegions holds the hosts with at least one region-restricted route.
+	hostRegions map[string][]string
 }
 
 // NewTable returns a Table that indexes routes by host, longest path prefix first.
 func NewTable(version uint64, routes []Route, services map[string]Service, limits Limits) *Table {
 	table := &Table{Version: version, Routes: routes, Services: services, Limits: limits}
 	table.byHost = make(map[string][]*Route)
-	table.allowedRegions = make(map[string][]string)
+	table.hostRegions = make(map[string][]string)
 	for i := range routes {
 		route := &routes[i]
 		table.byHost[route.Host] = insertByPrefix(table.byHost[route.Host], route)
@@ -106,7 +106,7 @@
 // restrictRegions intersects the allowed regions of a route's host with those of the
 // route.
 func (t *Table) restrictRegions(route *Route) {
-	regions, restricted := t.allowedRegions[route.Host]
+	regions, restricted := t.hostRegions[route.Host]
 	if !restricted {
 		regions = route.Regions
 	}
@@ -116,13 +116,13 @@
 			common = append(common, region)
 		}
 	}
-	t.allowedRegions[route.Host] = common
+	t.hostRegions[route.Host] = common
 }
 
-// AllowedRegions returns the regions that all region-restricted routes of a host allow.
+// HostRegions returns the regions that all region-restricted routes of a host allow.
 // restricted is false if the host has no such route.
-func (t *Table) AllowedRegions(host string) (regions []string, restricted bool) {
-	regions, restricted = t.allowedRegions[canonicalHost(host)]
+func (t *Table) HostRegions(host string) (regions []string, restricted bool) {
+	regions, restricted = t.hostRegions[canonicalHost(host)]
 	return regions, restricted
 }
 
