--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -36,7 +36,7 @@
 		return w.harmReplica(fault, w.replica(fault.Target))
 	case fault.Kind <= ServiceLost:
 		return w.harmService(fault)
-	case fault.Kind <= StoreDeaf:
+	case fault.Kind <= StoreFreezeWatches:
 		defer w.noted(fault.Kind, nil)()
 		if err := w.deployment.Store.SetFaults(storeFaults[fault.Kind]); err != nil {
 			return err
@@ -49,20 +49,20 @@
 		return w.configureSeries(fault.Target)
 	case fault.Kind == Evacuate:
 		return w.evacuate(zones[fault.Target%len(zones)])
-	case fault.Kind == ReplicaLinkDeaden:
+	case fault.Kind == ReplicaLinkSilenceOpen:
 		defer w.noted(fault.Kind, nil)()
-		w.linkOf(fault.Target).Deaden()
+		w.linkOf(fault.Target).SilenceOpen()
 	case fault.Kind == ServiceHang:
 		return w.harmService(fault)
-	case fault.Kind == EndingRequest:
+	case fault.Kind == CrashingRequest:
 		w.sendEnding(ctx, fault)
 	case fault.Kind == StartWithoutStore:
 		return w.startWithoutStore(ctx, fault)
-	case fault.Kind == StoreCopy:
+	case fault.Kind == StoreRestore:
 		return w.restoreStore(fault)
 	case fault.Kind == PauseStop:
 		return w.pauseStop(ctx, fault, w.nodes[fault.Target%len(w.nodes)])
-	case fault.Kind == PauseNews:
+	case fault.Kind == PauseDuringChange:
 		target := w.nodes[fault.Target%len(w.nodes)]
 		defer w.noted(fault.Kind, target)()
 		pause(target, fault.For)
@@ -180,7 +180,7 @@
 		if ctx.Err() == nil {
 			w.note("node " + target.settings.Node + " did not end within twice its grace time")
 		}
-		target.process.End()
+		target.process.Kill()
 	}
 	time.Sleep(restart)
 	return target.process.Start()
--- a/internal/soak/ending.go
+++ b/internal/soak/ending.go
@@ -164,7 +164,7 @@
 }
 
 func (j *judge) judgeEnding(number string, run *endingRun) {
-	j.report.Ended += len(run.ends)
+	j.report.Crashed += len(run.ends)
 	if late := run.late(); late > lateTries {
 		j.found("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.ends), late, knownWithin)
 	}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -48,7 +48,7 @@
 	j.report.Requests++
 	switch {
 	case one.err != nil:
-		j.report.Broken++
+		j.report.Unanswered++
 	case one.response.Status == http.StatusOK:
 		j.report.Served++
 		j.checkAnswer(&one)
@@ -171,7 +171,7 @@
 // end no connection: of whichever node, as a caller asks one for the directory before it sends to
 // another. (Seed 822000: 1.7 of the 2.5 s of c20-92 went by at the directory of a node that stood
 // still in its stop; the node that it was sent to had 0.8 s.)
-func keepsWaiting(one event) bool { return one.kind == PauseStop || one.kind == PauseNews }
+func keepsWaiting(one event) bool { return one.kind == PauseStop || one.kind == PauseDuringChange }
 
 // checkEnd: a request that was passed on gets a final answer in time, also from
 // a node that stops as planned, unless its node was killed or paused.
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -98,7 +98,7 @@
 			seen := plainAnswer("other")
 			seen.id = "r"
 			j.saw(seen)
-		}, `the answer is "answer of fetch to other"`},
+		}, `got response "answer of fetch to other"`},
 		{"a number of shards that was never configured", func(_ *world, j *judge) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Missing = shards + 1
@@ -108,7 +108,7 @@
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r"}, shards-1
 			j.saw(seen)
-		}, "not the greatest records"},
+		}, "does not hold the greatest records"},
 		{"a part twice", func(_ *world, j *judge) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r", "shard-0.r"}, shards-2
@@ -159,7 +159,7 @@
 			arrive(t, w, plainReplica, "r")
 		}, "after it was due to receive nothing"},
 		{"the same beside a fault that hides news", func(w *world, j *judge) {
-			defer w.noted(StoreDeaf, nil)()
+			defer w.noted(StoreFreezeWatches, nil)()
 			w.markNews(news{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
 			arrive(t, w, plainReplica, "r")
 		}, ""},
@@ -259,8 +259,8 @@
 			run.reached[fmt.Sprint("late", try)] = run.ends[2].Add(knownWithin + time.Second)
 		}
 		j.judgeEnding("e1", run)
-		if len(j.report.Findings) != test.want || j.report.Ended != 3 {
-			t.Errorf("%d late tries: findings %v, %d ended", test.late, j.report.Findings, j.report.Ended)
+		if len(j.report.Findings) != test.want || j.report.Crashed != 3 {
+			t.Errorf("%d late tries: findings %v, %d ended", test.late, j.report.Findings, j.report.Crashed)
 		}
 	}
 }
--- a/internal/soak/news.go
+++ b/internal/soak/news.go
@@ -28,12 +28,12 @@
 	until := due.Add(newsWindow)
 	hidden := j.world.met(one.at.Add(-contactTime), until, func(e event) bool {
 		// what a paused node had in hand may go to a leaving replica when the node goes on
-		return e.kind.hidesNews() || one.replica != nil && (e.kind == PauseNews || e.kind == PauseStop)
+		return e.kind.hidesNews() || one.replica != nil && (e.kind == PauseDuringChange || e.kind == PauseStop)
 	})
 	if hidden || j.replaced(one, until) || j.world.stalls.touches(one.at, until) {
 		return
 	}
-	j.report.NewsChecked++
+	j.report.ChangesChecked++
 	if one.replica != nil {
 		j.checkDrained(one.replica, due, until)
 		return
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -35,7 +35,7 @@
 	// Replica kinds are a replica's own: it holds everything, breaks off its
 	// answers, refuses everything, resets a share of what it has run, or ends.
 	ReplicaPause
-	ReplicaSpoil
+	ReplicaAbortResponses
 	ReplicaRefuse
 	ReplicaReset
 	ReplicaCrash
@@ -49,41 +49,41 @@
 	StoreThrottle
 	StoreSlow
 	StoreLostAnswers
-	StoreDeaf
+	StoreFreezeWatches
 	// Configure writes the next configuration, ConfigureSeries some, one soon after the
 	// other; Drain and Vanish let a replica leave, with and without saying so; Evacuate
 	// keeps all work from a zone.
 	Configure
 	ConfigureSeries
 	Drain
-	Vanish
+	Deregister
 	Evacuate
 	// The kinds from here on are drawn apart from those before (see NewPlan).
-	// ReplicaLinkDeaden lets the connections to a replica that are open fall silent for
+	// ReplicaLinkSilenceOpen lets the connections to a replica that are open fall silent for
 	// good; new ones work.
-	ReplicaLinkDeaden
+	ReplicaLinkSilenceOpen
 	// ServiceHang lets all replicas of a service hold a share of what comes for good.
 	ServiceHang
 	// StartWithoutStore kills every second node while the store is out, so that they start
 	// before it is back.
 	StartWithoutStore
-	// EndingRequest sends a request that ends each replica that runs it, again and again,
+	// CrashingRequest sends a request that ends each replica that runs it, again and again,
 	// to nodes by chance. It comes once in each round that may have kinds drawn apart.
-	EndingRequest
-	// StoreCopy lets the store be away and come back from a copy that is some seconds old.
+	CrashingRequest
+	// StoreRestore lets the store be away and come back from a copy that is some seconds old.
 	// It comes once in each such round as well.
-	StoreCopy
+	StoreRestore
 	// The kinds from here on are drawn apart from all before, each once in each round but the
 	// first (see newPlanOfPauses). PauseStop stops a node as planned, and lets it stand still
 	// in its stop; no request may be cut off by that. PauseNews lets a node stand still about
 	// a change of the configuration; when it goes on it may not answer by the one before.
 	PauseStop
-	PauseNews
+	PauseDuringChange
 	kinds
 )
 
 // firstKindApart is the first of the kinds that are drawn apart.
-const firstKindApart = ReplicaLinkDeaden
+const firstKindApart = ReplicaLinkSilenceOpen
 
 var kindNames = [kinds]string{
 	"kill_node", "pause_node", "stop_node", "kill_half", "kill_all_twice", "roll_nodes", "hang_up_node",
@@ -106,12 +106,12 @@
 	switch {
 	case k == HangUpNode:
 		return false
-	case k == StartWithoutStore, k == StoreCopy:
+	case k == StartWithoutStore, k == StoreRestore:
 		return true
 	case k <= StoreLinkSilence:
 		return true
 	default:
-		return k >= StoreOutage && k <= StoreDeaf
+		return k >= StoreOutage && k <= StoreFreezeWatches
 	}
 }
 
@@ -165,7 +165,7 @@
 		}
 		plan = append(plan, pause(PauseStop, begin))
 		if round%calmEvery == calmEvery-1 {
-			plan = append(plan, pause(PauseNews, begin+faultsWithin-longestPause/2))
+			plan = append(plan, pause(PauseDuringChange, begin+faultsWithin-longestPause/2))
 		}
 	}
 	return plan
@@ -186,12 +186,12 @@
 			continue
 		}
 		for range faultsApart {
-			kind := firstKindApart + Kind(random.IntN(int(EndingRequest-firstKindApart)))
+			kind := firstKindApart + Kind(random.IntN(int(CrashingRequest-firstKindApart)))
 			plan = append(plan, newFault(random, time.Duration(round)*roundLength, kind))
 		}
-		ending := Fault{At: time.Duration(round) * roundLength, Kind: EndingRequest, Target: round}
+		ending := Fault{At: time.Duration(round) * roundLength, Kind: CrashingRequest, Target: round}
 		copied := Fault{
-			At: time.Duration(round)*roundLength + faultsWithin/2, For: longestFault / 3, Kind: StoreCopy, Target: round,
+			At: time.Duration(round)*roundLength + faultsWithin/2, For: longestFault / 3, Kind: StoreRestore, Target: round,
 		}
 		plan = append(plan, ending, copied)
 	}
@@ -224,7 +224,7 @@
 			plan = append(plan, newFault(random, begin, kind))
 		}
 		if calm {
-			news := []Kind{Configure, Drain, Vanish, Evacuate}[random.IntN(4)]
+			news := []Kind{Configure, Drain, Deregister, Evacuate}[random.IntN(4)]
 			plan = append(plan, Fault{At: begin + faultsWithin, Kind: news, Target: random.IntN(1 << 16)})
 		}
 	}
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -45,7 +45,7 @@
 	const length = 3 * roundLength
 	apart := 0
 	for _, fault := range NewPlan(25, length) {
-		if fault.Kind >= firstKindApart && fault.Kind < EndingRequest {
+		if fault.Kind >= firstKindApart && fault.Kind < CrashingRequest {
 			apart++
 		}
 	}
--- a/internal/soak/process/process.go
+++ b/internal/soak/process/process.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// End kills the process and waits for it.
-func (p *Process) End() {
+// Kill kills the process and waits for it.
+func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL) // it fails only for one that has ended
 	_ = p.Wait(context.Background())
 }
--- a/internal/soak/process/process_test.go
+++ b/internal/soak/process/process_test.go
@@ -41,7 +41,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p.End()
+	p.Kill()
 }
 
 func TestAProgramThatIsNotThere(t *testing.T) {
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Deaden lets the connections that are open fall silent until they end; new ones are as
+// SilenceOpen lets the connections that are open fall silent until they end; new ones are as
 // the mode says.
-func (p *Proxy) Deaden() {
+func (p *Proxy) SilenceOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.open {
--- a/internal/soak/proxy/proxy_test.go
+++ b/internal/soak/proxy/proxy_test.go
@@ -146,7 +146,7 @@
 	if err := exchange(old, ample); err != nil {
 		t.Fatal(err)
 	}
-	p.Deaden()
+	p.SilenceOpen()
 	if err := exchange(old, brief); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("on a silent connection: %v", err)
 	}
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -29,7 +29,7 @@
 		target.Pause()
 		time.Sleep(fault.For)
 		target.Resume()
-	case ReplicaSpoil:
+	case ReplicaAbortResponses:
 		target.AbortResponses(true)
 		time.Sleep(fault.For)
 		target.AbortResponses(false)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -37,22 +37,22 @@
 type Report struct {
 	Seed     uint64
 	Requests int
-	// Served, Refused, Failed and Broken are how they ended: with success, with a
+	// Served, Refused, Failed and Unanswered are how they ended: with success, with a
 	// refusal that says when to come back, with another failure, and without an
 	// answer.
-	Served, Refused, Failed, Broken int
+	Served, Refused, Failed, Unanswered int
 	// Partial answers lack shards.
 	Partial int
 	Faults  int
-	// NewsChecked counts the changes of the store after which the time for news
+	// ChangesChecked counts the changes of the store after which the time for news
 	// was checked.
-	NewsChecked int
+	ChangesChecked int
 	// Stalled is for how long the machine was too busy to judge times, and Unjudged are the
 	// requests whose end was not judged for that.
 	Stalled  time.Duration
 	Unjudged int
-	// Ended is the number of replicas that requests have ended.
-	Ended int
+	// Crashed is the number of replicas that requests have ended.
+	Crashed int
 	// Findings are the promises that were broken.
 	Findings []string
 	// Directory is where the logs are, if they were kept.
@@ -120,7 +120,7 @@
 // Write prints a report.
 func (r *Report) Write(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "seed %d: %d faults; %d requests: %d served (%d partial), %d refused, %d failed, %d without an answer; news checked %d times; %d replicas ended by requests; stalled for %v, %d requests not judged; %d findings\n",
-		r.Seed, r.Faults, r.Requests, r.Served, r.Partial, r.Refused, r.Failed, r.Broken, r.NewsChecked, r.Ended,
+		r.Seed, r.Faults, r.Requests, r.Served, r.Partial, r.Refused, r.Failed, r.Unanswered, r.ChangesChecked, r.Crashed,
 		r.Stalled.Round(time.Millisecond), r.Unjudged, len(r.Findings))
 	for _, finding := range r.Findings {
 		if err == nil {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -193,7 +193,7 @@
 	for _, one := range w.nodes {
 		if one.process != nil {
 			_ = one.process.Signal(syscall.SIGCONT) // it may be paused
-			one.process.End()
+			one.process.Kill()
 		}
 		one.store.Close()
 		_ = one.log.Close()
@@ -307,11 +307,11 @@
 }
 
 var storeFaults = map[Kind]kv.Faults{
-	StoreOutage:      {Outage: true},
-	StoreThrottle:    {RateLimitPerSecond: 2},
-	StoreSlow:        {LatencyMilliseconds: 300},
-	StoreLostAnswers: {LoseAcknowledgements: 3},
-	StoreDeaf:        {FreezeWatches: true},
+	StoreOutage:        {Outage: true},
+	StoreThrottle:      {RateLimitPerSecond: 2},
+	StoreSlow:          {LatencyMilliseconds: 300},
+	StoreLostAnswers:   {LoseAcknowledgements: 3},
+	StoreFreezeWatches: {FreezeWatches: true},
 }
 
 var linkModes = map[Kind]proxy.Mode{
