--- a/internal/soak/budget.go
+++ b/internal/soak/budget.go
@@ -7,35 +7,35 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// budgetWindow is the length of the windows in which the retry budget of a service holds.
+// budgetWindow is the window over which a service's retry budget is checked.
 const budgetWindow = 10 * time.Second
 
-// serviceLoad is what a service and its callers did, each in the order of time.
+// serviceLoad holds a service's traffic, each list sorted by time.
 type serviceLoad struct {
-	// requests are the times of the requests for the service, repeats those of arrivals
-	// past the first of a request.
+	// requests are the send times of the service's requests; repeats are the
+	// arrivals after the first of each request.
 	requests, repeats []time.Time
 }
 
-// checkBudgets: in each window, the arrivals past the first of each request are
-// within a share of the service's requests and a slack, which are those of the nodes.
-func (j *judge) checkBudgets() {
-	bounds := j.world.nodes[0].settings.Bounds
+// checkBudgets checks that in each window the repeated arrivals stay within the
+// nodes' retry ratio and slack.
+func (j *checker) checkBudgets() {
+	bounds := j.cluster.nodes[0].settings.Bounds
 	for name, load := range j.load() {
 		for _, from := range load.repeats {
-			repeats, requests := within(load.repeats, from), load.mostRequests(from)
+			repeats, requests := within(load.repeats, from), load.maxRequests(from)
 			if allowed := bounds.RetryRatio*float64(requests) + bounds.RetrySlack; float64(repeats) > allowed {
-				j.found("%s received %d arrivals past the first in the %v from %.2f s on, for %d requests; %.0f are allowed",
-					name, repeats, budgetWindow, from.Sub(j.world.began).Seconds(), requests, allowed)
+				j.addFinding("%s received %d arrivals past the first in the %v from %.2f s on, for %d requests; %.0f are allowed",
+					name, repeats, budgetWindow, from.Sub(j.cluster.began).Seconds(), requests, allowed)
 				break
 			}
 		}
 	}
 }
 
-// mostRequests returns the requests in the window from a time on, in the one before, or in
-// the one half a window earlier, whichever has the most.
-func (l *serviceLoad) mostRequests(from time.Time) int {
+// maxRequests returns the highest request count among the window at from, the
+// preceding window, and the one half a window earlier.
+func (l *serviceLoad) maxRequests(from time.Time) int {
 	most := 0
 	for _, earlier := range []time.Duration{0, budgetWindow / 2, budgetWindow} {
 		most = max(most, within(l.requests, from.Add(-earlier)))
@@ -43,15 +43,14 @@
 	return most
 }
 
-// within counts the times of a sorted list in the window from a time on.
+// within counts the times in the window that starts at from.
 func within(times []time.Time, from time.Time) int {
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	last, _ := slices.BinarySearchFunc(times, from.Add(budgetWindow), time.Time.Compare)
 	return last - first
 }
 
-// load gathers each service's requests and repeats.
-func (j *judge) load() map[string]*serviceLoad {
+func (j *checker) load() map[string]*serviceLoad {
 	loads := make(map[string]*serviceLoad)
 	of := func(name string) *serviceLoad {
 		if loads[name] == nil {
@@ -80,11 +79,11 @@
 	return loads
 }
 
-// arrivals returns what arrived at all replicas of each service, in the order of time,
-// also what was meant for another process.
-func (j *judge) arrivals() map[string][]standin.Arrival {
+// arrivals returns each service's arrivals sorted by time, including misdirected
+// ones.
+func (j *checker) arrivals() map[string][]standin.Arrival {
 	arrivals := make(map[string][]standin.Arrival)
-	for _, replica := range j.world.replicas() {
+	for _, replica := range j.cluster.replicas() {
 		arrivals[replica.Service()] = append(arrivals[replica.Service()], replica.ArrivalLog()...)
 	}
 	for _, arrived := range arrivals {
@@ -93,8 +92,8 @@
 	return arrivals
 }
 
-// services returns those that a request was for: where its answer does not tell the number
-// of shards, all of them.
+// services returns the services that the request was for; all shards if the
+// response does not tell their number.
 func (o *observation) services() []string {
 	if !o.path.isScattered() {
 		return []string{standin.PlainService}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -11,32 +11,32 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// The callers.
+// Parameters of the callers.
 const (
 	callerCount = 24
 	// thinkTime is the mean pause of a caller between two requests.
 	thinkTime = 120 * time.Millisecond
-	// callerWait is how long a caller waits for an answer.
+	// callerWait is the deadline that a caller sends with its request.
 	callerWait = 2 * time.Second
-	// patience is how much longer it takes notice of what comes.
-	patience = 500 * time.Millisecond
+	// callerMargin is how long past callerWait a caller accepts a response.
+	callerMargin = 500 * time.Millisecond
 )
 
-// path is what a request asks for.
+// path is the request path.
 type path string
 
 const (
-	scattered path = standin.ScatteredPath
-	plain     path = standin.PlainPath
-	once      path = standin.NonIdempotentPath
-	// bound is scattered too, over the replicas of one region.
-	bound path = standin.RegionalPath
+	scattered     path = standin.ScatteredPath
+	plain         path = standin.PlainPath
+	nonIdempotent path = standin.NonIdempotentPath
+	// regional is scattered over the replicas of one region.
+	regional path = standin.RegionalPath
 )
 
-// isScattered is true for what is answered from many shards.
-func (p path) isScattered() bool { return p == scattered || p == bound }
+// isScattered reports whether the path is answered by many shards.
+func (p path) isScattered() bool { return p == scattered || p == regional }
 
-// observation is one request as its caller saw it.
+// observation is a request as seen by its caller.
 type observation struct {
 	id          string
 	path        path
@@ -45,17 +45,17 @@
 	err         error
 }
 
-// callers send requests until stop.
+// callers send requests until stopped.
 type callers struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-func startCallers(w *world, judge *judge) *callers {
+func startCallers(w *cluster, checker *checker) *callers {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &callers{cancel: cancel}
 	for number := range callerCount {
-		started.running.Go(func() { call(ctx, w, judge, number) })
+		started.running.Go(func() { call(ctx, w, checker, number) })
 	}
 	return started
 }
@@ -65,12 +65,12 @@
 	c.running.Wait()
 }
 
-// freshEvery is one caller in so many that opens a connection for each request. The others
-// use theirs for as long as it lasts, though the directory names other nodes by then.
+// Every freshEvery-th caller opens a connection per request. The others keep
+// theirs even if the directory names other nodes meanwhile.
 const freshEvery = 4
 
-// newClient makes a caller of a zone.
-func newClient(w *world, number int) *standin.Client {
+// newClient returns the client of a caller, which prefers nodes of its zone.
+func newClient(w *cluster, number int) *standin.Client {
 	fresh := number%freshEvery == 0
 	transport := &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: 1}
 	client := &standin.Client{
@@ -84,10 +84,10 @@
 	return client
 }
 
-func call(ctx context.Context, w *world, judge *judge, number int) {
+func call(ctx context.Context, w *cluster, checker *checker, number int) {
 	client := newClient(w, number)
 	for serial := 0; ctx.Err() == nil; serial++ {
-		judge.saw(request(client, fmt.Sprintf("c%d-%d", number, serial), choosePath()))
+		checker.record(request(client, fmt.Sprintf("c%d-%d", number, serial), choosePath()))
 		time.Sleep(time.Duration(rand.Int64N(int64(2 * thinkTime))))
 	}
 }
@@ -97,16 +97,16 @@
 	case 0:
 		return plain
 	case 1:
-		return once
+		return nonIdempotent
 	case 2:
-		return bound
+		return regional
 	default:
 		return scattered
 	}
 }
 
 func request(client *standin.Client, id string, asked path) observation {
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait+patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerWait+callerMargin)
 	defer cancel()
 	seen := observation{id: id, path: asked, sent: time.Now()}
 	seen.response, seen.err = client.Send(ctx, id, string(asked)+"x", callerWait)
--- a/internal/soak/ending.go
+++ b/internal/soak/ending.go
@@ -14,58 +14,58 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// A request that ends replicas.
+// Parameters of requests that crash replicas.
 const (
-	// endingTries of it come, one each endingInterval: some of them later than knownWithin
-	// after three replicas can have ended.
-	endingTries    = 14
-	endingInterval = 700 * time.Millisecond
-	// endedFor is how long a replica is away that has ended.
-	endedFor = 2 * time.Second
-	// lateTries is the number of tries that may reach replicas later than knownWithin after
-	// the third has ended: the time after which nodes that are in touch know what others do.
-	lateTries   = 3
-	knownWithin = 5 * time.Second
-	// endingPrefix begins the identifiers of its tries; its number, a dash and that of the
-	// try follow.
-	endingPrefix = "e"
+	// crashAttempts attempts are sent at crashInterval, long enough that some come
+	// later than quarantineDelay after the third crash.
+	crashAttempts = 14
+	crashInterval = 700 * time.Millisecond
+	// crashDowntime is the time until a crashed replica is replaced.
+	crashDowntime = 2 * time.Second
+	// maxLateAttempts bounds the attempts that may reach replicas later than
+	// quarantineDelay after the third crash, by when connected nodes know of it.
+	maxLateAttempts = 3
+	quarantineDelay = 5 * time.Second
+	// crashPrefix starts the request IDs, followed by the fault's number, a dash and
+	// the attempt's number.
+	crashPrefix = "e"
 )
 
-// sendEnding sends a request that ends replicas, and returns when all are replaced.
-func (w *world) sendEnding(ctx context.Context, fault Fault) {
-	defer w.noted(fault.Kind, nil)()
-	path := fmt.Sprintf("%s%s%d%s", standin.ScatteredPath, endingPrefix, fault.Target, standin.CrashSuffix)
-	for try := range endingTries {
+// sendCrashing sends a crashing request repeatedly and waits until all crashed
+// replicas are replaced.
+func (w *cluster) sendCrashing(ctx context.Context, fault Fault) {
+	defer w.recordFault(fault.Kind, nil)()
+	path := fmt.Sprintf("%s%s%d%s", standin.ScatteredPath, crashPrefix, fault.Target, standin.CrashSuffix)
+	for try := range crashAttempts {
 		client := &standin.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Method: http.MethodPost}
 		client.Pin(w.nodes[rand.IntN(len(w.nodes))].settings.Callers)
 		bounded, cancel := context.WithTimeout(ctx, callerWait)
-		_, _ = client.Send(bounded, fmt.Sprintf("%s%d-%d", endingPrefix, fault.Target, try), path, callerWait) // it earns nothing
+		_, _ = client.Send(bounded, fmt.Sprintf("%s%d-%d", crashPrefix, fault.Target, try), path, callerWait) // the outcome does not matter
 		cancel()
-		time.Sleep(endingInterval)
+		time.Sleep(crashInterval)
 	}
 	w.checkQuarantine(ctx)
 	w.returning.Wait()
 }
 
-// replaceEnding lets nothing listen any more for a replica that ends by a request, and starts
-// another in its place.
-func (w *world) replaceEnding(ended *standin.Replica) {
+// replaceCrashed closes the link of a crashed replica and starts a successor.
+func (w *cluster) replaceCrashed(ended *standin.Replica) {
 	w.markLeaving(ended)
 	w.closeLink(ended)
 	w.returning.Go(func() {
-		time.Sleep(endedFor)
+		time.Sleep(crashDowntime)
 		if err := ended.Deregister(); err != nil {
-			w.note("an ended replica's entry: " + err.Error())
+			w.addNote("an ended replica's entry: " + err.Error())
 			return
 		}
-		if err := w.succeed(ended); err != nil {
-			w.note("an ended replica's successor: " + err.Error())
+		if err := w.startSuccessor(ended); err != nil {
+			w.addNote("an ended replica's successor: " + err.Error())
 		}
 	})
 }
 
-// closeLink ends the proxy before a replica.
-func (w *world) closeLink(replica *standin.Replica) {
+// closeLink closes the proxy of a replica.
+func (w *cluster) closeLink(replica *standin.Replica) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, link := range w.links {
@@ -75,16 +75,16 @@
 	}
 }
 
-// checkQuarantine: no node refuses another request than one that ends replicas.
-func (w *world) checkQuarantine(ctx context.Context) {
+// checkQuarantine checks that nodes quarantine only requests that crash replicas.
+func (w *cluster) checkQuarantine(ctx context.Context) {
 	for _, one := range w.nodes {
 		known, err := readSystem(ctx, one.settings.State)
 		if err != nil {
-			continue // it has just been killed, or is paused
+			continue // the node may be down or paused
 		}
 		for _, request := range known.Quarantined {
 			if request.Refusing > 0 && !strings.HasSuffix(request.Target, standin.CrashSuffix) {
-				w.note(fmt.Sprintf("%d nodes refuse %s, which ends no replica", request.Refusing, request.Target))
+				w.addNote(fmt.Sprintf("%d nodes refuse %s, which ends no replica", request.Refusing, request.Target))
 			}
 		}
 		return
@@ -103,33 +103,33 @@
 	if err != nil {
 		return known, err
 	}
-	defer func() { _ = response.Body.Close() }() // what matters was read
+	defer func() { _ = response.Body.Close() }() // the body was already decoded
 	return known, json.NewDecoder(response.Body).Decode(&known)
 }
 
-// endingRun is what one request that ends replicas did.
-type endingRun struct {
-	ends []time.Time
-	// reached is when each try first came to a replica.
+// crashRun records what one crashing request did.
+type crashRun struct {
+	crashes []time.Time
+	// reached is the time of each attempt's first arrival at a replica.
 	reached map[string]time.Time
 }
 
-// endingRuns gathers them by their number.
-func (j *judge) endingRuns() map[string]*endingRun {
-	runs := make(map[string]*endingRun)
-	of := func(id string) *endingRun {
+// crashRuns returns the runs by request number.
+func (j *checker) crashRuns() map[string]*crashRun {
+	runs := make(map[string]*crashRun)
+	of := func(id string) *crashRun {
 		number, _, _ := strings.Cut(id, "-")
 		if runs[number] == nil {
-			runs[number] = &endingRun{reached: make(map[string]time.Time)}
+			runs[number] = &crashRun{reached: make(map[string]time.Time)}
 		}
 		return runs[number]
 	}
-	for _, replica := range j.world.replicas() {
+	for _, replica := range j.cluster.replicas() {
 		if by, at := replica.CrashedBy(); by != "" {
-			of(by).ends = append(of(by).ends, at)
+			of(by).crashes = append(of(by).crashes, at)
 		}
 		for _, arrival := range replica.ArrivalLog() {
-			if !strings.HasPrefix(arrival.ID, endingPrefix) || arrival.Misdirected {
+			if !strings.HasPrefix(arrival.ID, crashPrefix) || arrival.Misdirected {
 				continue
 			}
 			reached := of(arrival.ID).reached
@@ -141,31 +141,32 @@
 	return runs
 }
 
-// late counts the tries that reached a replica later than knownWithin after the third end.
-func (r *endingRun) late() int {
-	if len(r.ends) < 3 {
+// late counts the attempts that reached a replica later than quarantineDelay
+// after the third crash.
+func (r *crashRun) late() int {
+	if len(r.crashes) < 3 {
 		return 0
 	}
-	slices.SortFunc(r.ends, time.Time.Compare)
+	slices.SortFunc(r.crashes, time.Time.Compare)
 	count := 0
 	for _, at := range r.reached {
-		if at.Sub(r.ends[2]) > knownWithin {
+		if at.Sub(r.crashes[2]) > quarantineDelay {
 			count++
 		}
 	}
 	return count
 }
 
-// checkEnding: a request that ends replicas is not sent to them for long.
-func (j *judge) checkEnding() {
-	for number, run := range j.endingRuns() {
-		j.judgeEnding(number, run)
+// checkCrashRuns checks that crashing requests are soon quarantined.
+func (j *checker) checkCrashRuns() {
+	for number, run := range j.crashRuns() {
+		j.checkCrashRun(number, run)
 	}
 }
 
-func (j *judge) judgeEnding(number string, run *endingRun) {
-	j.report.Crashed += len(run.ends)
-	if late := run.late(); late > lateTries {
-		j.found("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.ends), late, knownWithin)
+func (j *checker) checkCrashRun(number string, run *crashRun) {
+	j.report.Crashed += len(run.crashes)
+	if late := run.late(); late > maxLateAttempts {
+		j.addFinding("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.crashes), late, quarantineDelay)
 	}
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -12,36 +12,37 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// mostFindings bounds the findings that are told one by one.
-const mostFindings = 20
+// maxFindings bounds the findings that are reported individually.
+const maxFindings = 20
 
-// judge checks the promises by what callers and back ends see.
-type judge struct {
-	world *world
+// checker checks the system's guarantees by what callers and back ends observe.
+type checker struct {
+	cluster *cluster
 
-	mu       sync.Mutex
-	report   Report
-	seen     []observation
-	calmFrom time.Time
+	mu          sync.Mutex
+	report      Report
+	seen        []observation
+	healthyFrom time.Time
 }
 
-func newJudge(w *world) *judge { return &judge{world: w} }
+func newChecker(w *cluster) *checker { return &checker{cluster: w} }
 
-func (j *judge) found(format string, arguments ...any) {
-	if len(j.report.Findings) < mostFindings {
+func (j *checker) addFinding(format string, arguments ...any) {
+	if len(j.report.Findings) < maxFindings {
 		j.report.Findings = append(j.report.Findings, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// expectCalm says from when on all requests must be served whole.
-func (j *judge) expectCalm(from time.Time) {
+// expectHealthyFrom sets the time from which all requests must get a complete
+// answer.
+func (j *checker) expectHealthyFrom(from time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calmFrom = from
+	j.healthyFrom = from
 }
 
-// saw takes in one request.
-func (j *judge) saw(one observation) {
+// record adds one observed request.
+func (j *checker) record(one observation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.seen = append(j.seen, one)
@@ -63,11 +64,12 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// checkAnswer checks that a success is the whole answer to its own request.
-func (j *judge) checkAnswer(one *observation) {
+// checkAnswer checks that a successful response is the complete answer to its
+// own request.
+func (j *checker) checkAnswer(one *observation) {
 	if !one.path.isScattered() {
 		if err := standin.CheckPlain(one.id, one.response); err != nil {
-			j.found("%s: %v", one.id, err)
+			j.addFinding("%s: %v", one.id, err)
 		}
 		return
 	}
@@ -75,51 +77,51 @@
 		j.report.Partial++
 	}
 	count := len(one.response.Parts) + one.response.Missing
-	j.world.mu.Lock()
-	allowed := j.world.allowed[count]
-	j.world.mu.Unlock()
+	j.cluster.mu.Lock()
+	allowed := j.cluster.allowed[count]
+	j.cluster.mu.Unlock()
 	if !allowed {
-		j.found("%s: %d shards, which no configuration names", one.id, count)
+		j.addFinding("%s: %d shards, which no configuration names", one.id, count)
 	}
 	if err := standin.CheckScattered(one.id, count, one.response); err != nil {
-		j.found("%s: %v", one.id, err)
+		j.addFinding("%s: %v", one.id, err)
 	}
 }
 
-// conclude checks what needs the whole run, and returns the report.
-func (j *judge) conclude() Report {
+// finish runs the checks that need the whole run, and returns the report.
+func (j *checker) finish() Report {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	ran := j.ranByID()
-	j.report.Stalled = j.world.stalls.reach()
+	j.report.Stalled = j.cluster.stalls.affectedTime()
 	for i := range j.seen {
 		j.checkRuns(&j.seen[i], ran[j.seen[i].id])
-		if j.world.stalls.touches(j.seen[i].sent, j.seen[i].ended) {
+		if j.cluster.stalls.overlaps(j.seen[i].sent, j.seen[i].ended) {
 			j.report.Unjudged++
 			continue
 		}
 		j.checkEnd(&j.seen[i], ran[j.seen[i].id])
-		j.checkCalm(&j.seen[i])
+		j.checkHealthy(&j.seen[i])
 	}
 	j.checkRegions()
-	for _, one := range j.world.news {
-		j.checkNews(one)
+	for _, one := range j.cluster.changes {
+		j.checkChange(one)
 	}
 	j.checkBudgets()
-	j.checkEnding()
-	for _, one := range j.world.nodes {
+	j.checkCrashRuns()
+	for _, one := range j.cluster.nodes {
 		for _, failure := range one.process.Failures() {
-			j.found("node %s: %v", one.settings.Node, failure)
+			j.addFinding("node %s: %v", one.settings.Node, failure)
 		}
 	}
-	j.report.Findings = append(j.report.Findings, j.world.notes...)
+	j.report.Findings = append(j.report.Findings, j.cluster.notes...)
 	return j.report
 }
 
-// ranByID counts how often each request ran, over all replicas and shards.
-func (j *judge) ranByID() map[string]int {
+// ranByID counts the executions of each request over all replicas.
+func (j *checker) ranByID() map[string]int {
 	ran := make(map[string]int)
-	for _, replica := range j.world.replicas() {
+	for _, replica := range j.cluster.replicas() {
 		for _, arrival := range replica.ArrivalLog() {
 			if replica.Executions(arrival.ID) > 0 {
 				ran[arrival.ID] += replica.Executions(arrival.ID)
@@ -129,74 +131,73 @@
 	return ran
 }
 
-// checkRegions: a request that is bound to a region reaches no replica elsewhere.
-func (j *judge) checkRegions() {
-	isBound := make(map[string]bool)
+// checkRegions checks that regional requests reach no replica of another region.
+func (j *checker) checkRegions() {
+	isRegional := make(map[string]bool)
 	for i := range j.seen {
-		isBound[j.seen[i].id] = j.seen[i].path == bound
+		isRegional[j.seen[i].id] = j.seen[i].path == regional
 	}
-	for _, replica := range j.world.replicas() {
-		if replica.Region() == j.world.deployment.AllowedRegion() {
+	for _, replica := range j.cluster.replicas() {
+		if replica.Region() == j.cluster.deployment.AllowedRegion() {
 			continue
 		}
 		for _, arrival := range replica.ArrivalLog() {
-			if isBound[arrival.ID] && !arrival.Misdirected {
-				j.found("%s is bound to %s and reached a replica in %s", arrival.ID, j.world.deployment.AllowedRegion(), replica.Region())
+			if isRegional[arrival.ID] && !arrival.Misdirected {
+				j.addFinding("%s is bound to %s and reached a replica in %s", arrival.ID, j.cluster.deployment.AllowedRegion(), replica.Region())
 			}
 		}
 	}
 }
 
-// checkRuns: a request that may not be repeated runs at most once, and not at
-// all when it was refused.
-func (j *judge) checkRuns(one *observation, ran int) {
-	if one.path != once {
+// checkRuns checks that a non-idempotent request is executed at most once, and
+// not at all if it was refused.
+func (j *checker) checkRuns(one *observation, ran int) {
+	if one.path != nonIdempotent {
 		return
 	}
 	if ran > 1 {
-		j.found("%s ran %d times", one.id, ran)
+		j.addFinding("%s ran %d times", one.id, ran)
 	}
 	if one.err == nil && refusal(one.response.Status) && ran > 0 {
-		j.found("%s was refused with %d and ran", one.id, one.response.Status)
+		j.addFinding("%s was refused with %d and ran", one.id, one.response.Status)
 	}
 }
 
-// endsConnections is true for the faults that may end a caller's connection to
-// the node, or keep it waiting.
+// endsConnections selects faults that may break a caller's connection to the
+// node at address, or stall it.
 func endsConnections(address string) func(event) bool {
-	return func(one event) bool { return one.befell(address, KillNode, PauseNode) }
+	return func(one event) bool { return one.affected(address, KillNode, PauseNode) }
 }
 
-// keepsWaiting is true for the faults that may keep a caller waiting beyond its own patience, and
-// end no connection: of whichever node, as a caller asks one for the directory before it sends to
-// another. (Seed 822000: 1.7 of the 2.5 s of c20-92 went by at the directory of a node that stood
-// still in its stop; the node that it was sent to had 0.8 s.)
+// keepsWaiting selects faults that may delay a caller past its timeout without
+// breaking connections. They count for all nodes, as a caller may ask one node's
+// directory before it sends to another.
 func keepsWaiting(one event) bool { return one.kind == PauseStop || one.kind == PauseDuringChange }
 
-// checkEnd: a request that was passed on gets a final answer in time, also from
-// a node that stops as planned, unless its node was killed or paused.
-func (j *judge) checkEnd(one *observation, ran int) {
+// checkEnd checks that a forwarded request gets a response in time, also from a
+// node that stops gracefully, unless the node was killed or paused.
+func (j *checker) checkEnd(one *observation, ran int) {
 	if one.err == nil || ran == 0 {
 		return
 	}
-	if j.world.met(one.sent.Add(-time.Second), one.ended, endsConnections(one.response.Node)) {
+	if j.cluster.overlapsFault(one.sent.Add(-time.Second), one.ended, endsConnections(one.response.Node)) {
 		return
 	}
 	gaveUp := errors.Is(one.err, context.DeadlineExceeded)
-	if gaveUp && j.world.met(one.sent.Add(-time.Second), one.ended, keepsWaiting) {
+	if gaveUp && j.cluster.overlapsFault(one.sent.Add(-time.Second), one.ended, keepsWaiting) {
 		return
 	}
-	j.found("%s (%s) was passed on by %s at %.2f s and got no answer: %v",
-		one.id, strings.Trim(string(one.path), "/"), one.response.Node, one.sent.Sub(j.world.began).Seconds(), one.err)
+	j.addFinding("%s (%s) was passed on by %s at %.2f s and got no answer: %v",
+		one.id, strings.Trim(string(one.path), "/"), one.response.Node, one.sent.Sub(j.cluster.began).Seconds(), one.err)
 }
 
-// checkCalm: some time after the last fault, every request is served whole.
-func (j *judge) checkCalm(one *observation) {
-	if j.calmFrom.IsZero() || one.sent.Before(j.calmFrom) {
+// checkHealthy checks that after recovery every request gets a complete answer.
+func (j *checker) checkHealthy(one *observation) {
+	if j.healthyFrom.IsZero() || one.sent.Before(j.healthyFrom) {
 		return
 	}
 	whole := one.err == nil && one.response.Status == http.StatusOK && one.response.Missing == 0
 	if !whole {
-		j.found("%s in the calm at the end: status %d, %d shards missing, error %v", one.id, one.response.Status, one.response.Missing, one.err)
+		j.addFinding("%s in the calm at the end: status %d, %d shards missing, error %v", one.id, one.response.Status, one.response.Missing, one.err)
 	}
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -14,11 +14,11 @@
 
 const nodeAddress = "127.0.0.1:1"
 
-// newTestWorld is a world without processes: one node's name, and real
-// replicas, to which a test sends what nodes would.
-func newTestWorld(t *testing.T) *world {
+// newTestCluster returns a cluster without node processes but with real replicas,
+// to which tests send requests.
+func newTestCluster(t *testing.T) *cluster {
 	t.Helper()
-	w := &world{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}}
+	w := &cluster{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}}
 	var err error
 	w.deployment, err = standin.Start(standin.Options{Zones: zones, Shards: shards, Advertise: w.link})
 	if err != nil {
@@ -37,19 +37,19 @@
 	return w
 }
 
-// arrive lets a request arrive at a replica, through its proxy.
-func arrive(t *testing.T, w *world, replica int, id string) {
+// sendArrival sends a request to a replica through its proxy.
+func sendArrival(t *testing.T, w *cluster, replica int, id string) {
 	t.Helper()
 	sendTo(t, w, replica, id, "")
 }
 
-// misdirect lets a request arrive that is meant for another process.
-func misdirect(t *testing.T, w *world, replica int, id string) {
+// sendMisdirected sends a request addressed to another process.
+func sendMisdirected(t *testing.T, w *cluster, replica int, id string) {
 	t.Helper()
 	sendTo(t, w, replica, id, "another")
 }
 
-func sendTo(t *testing.T, w *world, replica int, id, process string) {
+func sendTo(t *testing.T, w *cluster, replica int, id, process string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+w.links[replica].Addr().String()+"/x", nil)
 	if err != nil {
@@ -66,7 +66,7 @@
 	_ = response.Body.Close()
 }
 
-// plainReplica is the number of the first replica of the plain service.
+// plainReplica is the index of the plain service's first replica.
 const plainReplica = shards * 3
 
 func answered(id string, asked path, status int) observation {
@@ -85,129 +85,128 @@
 	return seen
 }
 
-// TestFindings: each promise that is broken is found, and what may happen is
-// not.
-func TestFindings(t *testing.T) {
+// TestCheckerFindings checks that each violation is found, and nothing else.
+func TestCheckerFindings(t *testing.T) {
 	cases := []struct {
 		name   string
-		happen func(w *world, j *judge)
+		happen func(w *cluster, j *checker)
 		want   string // a part of the one finding; empty means none
 	}{
-		{"a right answer", func(_ *world, j *judge) { j.saw(plainAnswer("r")) }, ""},
-		{"another request's answer", func(_ *world, j *judge) {
+		{"a right answer", func(_ *cluster, j *checker) { j.record(plainAnswer("r")) }, ""},
+		{"another request's answer", func(_ *cluster, j *checker) {
 			seen := plainAnswer("other")
 			seen.id = "r"
-			j.saw(seen)
+			j.record(seen)
 		}, `got response "answer of fetch to other"`},
-		{"a number of shards that was never configured", func(_ *world, j *judge) {
+		{"a number of shards that was never configured", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Missing = shards + 1
-			j.saw(seen)
+			j.record(seen)
 		}, "which no configuration names"},
-		{"records that are not those of the parts", func(_ *world, j *judge) {
+		{"records that are not those of the parts", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r"}, shards-1
-			j.saw(seen)
+			j.record(seen)
 		}, "does not hold the greatest records"},
-		{"a part twice", func(_ *world, j *judge) {
+		{"a part twice", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r", "shard-0.r"}, shards-2
-			j.saw(seen)
+			j.record(seen)
 		}, "part \"shard-0.r\""},
-		{"a request that may not be repeated runs twice", func(w *world, j *judge) {
-			arrive(t, w, plainReplica, "r")
-			arrive(t, w, plainReplica+1, "r")
-			j.saw(answered("r", once, http.StatusBadGateway))
+		{"a request that may not be repeated runs twice", func(w *cluster, j *checker) {
+			sendArrival(t, w, plainReplica, "r")
+			sendArrival(t, w, plainReplica+1, "r")
+			j.record(answered("r", nonIdempotent, http.StatusBadGateway))
 		}, "ran 2 times"},
-		{"a bound request reaches a replica of its region", func(w *world, j *judge) {
-			arrive(t, w, 0, "r")
-			j.saw(answered("r", bound, http.StatusBadGateway))
+		{"a bound request reaches a replica of its region", func(w *cluster, j *checker) {
+			sendArrival(t, w, 0, "r")
+			j.record(answered("r", regional, http.StatusBadGateway))
 		}, ""},
-		{"a bound request reaches a replica elsewhere", func(w *world, j *judge) {
-			arrive(t, w, 1, "r")
-			j.saw(answered("r", bound, http.StatusBadGateway))
+		{"a bound request reaches a replica elsewhere", func(w *cluster, j *checker) {
+			sendArrival(t, w, 1, "r")
+			j.record(answered("r", regional, http.StatusBadGateway))
 		}, "is bound to region-a"},
-		{"a request was refused and ran", func(w *world, j *judge) {
-			arrive(t, w, plainReplica, "r")
-			j.saw(answered("r", once, http.StatusServiceUnavailable))
+		{"a request was refused and ran", func(w *cluster, j *checker) {
+			sendArrival(t, w, plainReplica, "r")
+			j.record(answered("r", nonIdempotent, http.StatusServiceUnavailable))
 		}, "was refused with 503 and ran"},
-		{"a request that was passed on has no answer", func(w *world, j *judge) {
-			arrive(t, w, plainReplica, "r")
-			j.saw(broken("r", plain))
+		{"a request that was passed on has no answer", func(w *cluster, j *checker) {
+			sendArrival(t, w, plainReplica, "r")
+			j.record(broken("r", plain))
 		}, "got no answer"},
-		{"the same from a node that is stopped as planned", func(w *world, j *judge) {
-			defer w.noted(StopNode, w.nodes[0])()
-			arrive(t, w, plainReplica, "r")
-			j.saw(broken("r", plain))
+		{"the same from a node that is stopped as planned", func(w *cluster, j *checker) {
+			defer w.recordFault(StopNode, w.nodes[0])()
+			sendArrival(t, w, plainReplica, "r")
+			j.record(broken("r", plain))
 		}, "got no answer"},
-		{"the same from a node that was killed", func(w *world, j *judge) {
-			defer w.noted(KillNode, w.nodes[0])()
-			arrive(t, w, plainReplica, "r")
-			j.saw(broken("r", plain))
+		{"the same from a node that was killed", func(w *cluster, j *checker) {
+			defer w.recordFault(KillNode, w.nodes[0])()
+			sendArrival(t, w, plainReplica, "r")
+			j.record(broken("r", plain))
 		}, ""},
-		{"a request that was not passed on has no answer", func(_ *world, j *judge) { j.saw(broken("r", plain)) }, ""},
-		{"a failure in the calm", func(_ *world, j *judge) {
-			j.expectCalm(time.Now().Add(-time.Second))
-			j.saw(answered("r", plain, http.StatusBadGateway))
+		{"a request that was not passed on has no answer", func(_ *cluster, j *checker) { j.record(broken("r", plain)) }, ""},
+		{"a failure in the calm", func(_ *cluster, j *checker) {
+			j.expectHealthyFrom(time.Now().Add(-time.Second))
+			j.record(answered("r", plain, http.StatusBadGateway))
 		}, "in the calm"},
-		{"a failure before the calm", func(_ *world, j *judge) {
-			j.expectCalm(time.Now().Add(time.Second))
-			j.saw(answered("r", plain, http.StatusBadGateway))
+		{"a failure before the calm", func(_ *cluster, j *checker) {
+			j.expectHealthyFrom(time.Now().Add(time.Second))
+			j.record(answered("r", plain, http.StatusBadGateway))
 		}, ""},
-		{"a leaving replica receives a request after its time", func(w *world, j *judge) {
-			w.markNews(news{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
-			arrive(t, w, plainReplica, "r")
+		{"a leaving replica receives a request after its time", func(w *cluster, j *checker) {
+			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
+			sendArrival(t, w, plainReplica, "r")
 		}, "after it was due to receive nothing"},
-		{"the same beside a fault that hides news", func(w *world, j *judge) {
-			defer w.noted(StoreFreezeWatches, nil)()
-			w.markNews(news{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
-			arrive(t, w, plainReplica, "r")
+		{"the same beside a fault that hides news", func(w *cluster, j *checker) {
+			defer w.recordFault(StoreFreezeWatches, nil)()
+			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
+			sendArrival(t, w, plainReplica, "r")
 		}, ""},
-		{"a configuration is not in force in time", func(w *world, j *judge) {
-			w.markNews(news{at: time.Now().Add(-applyTime - time.Second), shards: 2})
+		{"a configuration is not in force in time", func(w *cluster, j *checker) {
+			w.recordChange(storeChange{at: time.Now().Add(-applyTime - time.Second), shards: 2})
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Missing = shards
-			j.saw(seen)
+			j.record(seen)
 		}, "after a configuration of 2 was due"},
-		{"the same beside a stall of the machine", func(w *world, j *judge) {
-			w.stalls.probed(time.Now().Add(-time.Second), time.Now())
-			j.expectCalm(time.Now().Add(-time.Second))
-			j.saw(answered("r", plain, http.StatusBadGateway))
+		{"the same beside a stall of the machine", func(w *cluster, j *checker) {
+			w.stalls.recordProbe(time.Now().Add(-time.Second), time.Now())
+			j.expectHealthyFrom(time.Now().Add(-time.Second))
+			j.record(answered("r", plain, http.StatusBadGateway))
 		}, ""},
-		{"a request that may not be repeated runs twice beside a stall", func(w *world, j *judge) {
-			w.stalls.probed(time.Now().Add(-time.Second), time.Now())
-			arrive(t, w, plainReplica, "r")
-			arrive(t, w, plainReplica+1, "r")
-			j.saw(answered("r", once, http.StatusBadGateway))
+		{"a request that may not be repeated runs twice beside a stall", func(w *cluster, j *checker) {
+			w.stalls.recordProbe(time.Now().Add(-time.Second), time.Now())
+			sendArrival(t, w, plainReplica, "r")
+			sendArrival(t, w, plainReplica+1, "r")
+			j.record(answered("r", nonIdempotent, http.StatusBadGateway))
 		}, "ran 2 times"},
-		{"more retries than the budget has", func(w *world, j *judge) {
+		{"more retries than the budget has", func(w *cluster, j *checker) {
 			for range int(w.nodes[0].settings.Bounds.RetrySlack) + 2 {
-				arrive(t, w, plainReplica, "r")
+				sendArrival(t, w, plainReplica, "r")
 			}
 		}, "arrivals past the first"},
-		{"as many retries as the budget has", func(w *world, j *judge) {
+		{"as many retries as the budget has", func(w *cluster, j *checker) {
 			for range int(w.nodes[0].settings.Bounds.RetrySlack) + 1 {
-				arrive(t, w, plainReplica, "r")
+				sendArrival(t, w, plainReplica, "r")
 			}
 		}, ""},
-		{"requests for another process beyond the budget", func(w *world, j *judge) {
+		{"requests for another process beyond the budget", func(w *cluster, j *checker) {
 			for i := range int(w.nodes[0].settings.Bounds.RetrySlack) + 1 {
 				id := fmt.Sprint("r", i)
-				arrive(t, w, plainReplica, id)
-				misdirect(t, w, plainReplica+1, id)
+				sendArrival(t, w, plainReplica, id)
+				sendMisdirected(t, w, plainReplica+1, id)
 			}
 		}, "arrivals past the first"},
-		{"a request for another process at a leaving replica", func(w *world, j *judge) {
-			w.markNews(news{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
-			misdirect(t, w, plainReplica, "r")
+		{"a request for another process at a leaving replica", func(w *cluster, j *checker) {
+			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
+			sendMisdirected(t, w, plainReplica, "r")
 		}, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			w := newTestWorld(t)
-			j := newJudge(w)
+			w := newTestCluster(t)
+			j := newChecker(w)
 			test.happen(w, j)
-			report := j.conclude()
+			report := j.finish()
 			switch {
 			case test.want == "" && len(report.Findings) > 0:
 				t.Errorf("findings %q", report.Findings)
@@ -218,18 +217,18 @@
 	}
 }
 
-func TestAnEndByItselfIsFound(t *testing.T) {
-	w := newTestWorld(t)
+func TestCheckerReportsUnexpectedExit(t *testing.T) {
+	w := newTestCluster(t)
 	if err := w.nodes[0].startOnce(t); err != nil {
 		t.Fatal(err)
 	}
-	report := newJudge(w).conclude()
+	report := newChecker(w).finish()
 	if len(report.Findings) != 1 || !strings.Contains(report.Findings[0], "ended by itself") {
 		t.Errorf("findings %q", report.Findings)
 	}
 }
 
-// startOnce runs a program that ends at once.
+// startOnce runs a program that exits at once.
 func (n *node) startOnce(t *testing.T) error {
 	n.process = process.New(process.Config{Program: "true"})
 	if err := n.process.Start(); err != nil {
@@ -238,35 +237,33 @@
 	return n.process.Wait(t.Context())
 }
 
-// TestLateTriesOfAnEndingRequestAreFound: those that reach a replica later than nodes know
-// of the third end, and only when there are too many.
-func TestLateTriesOfAnEndingRequestAreFound(t *testing.T) {
-	for _, test := range []struct{ late, want int }{{lateTries, 0}, {lateTries + 1, 1}} {
-		w := newTestWorld(t)
-		j := newJudge(w)
+func TestCheckerReportsLateCrashAttempts(t *testing.T) {
+	for _, test := range []struct{ late, want int }{{maxLateAttempts, 0}, {maxLateAttempts + 1, 1}} {
+		w := newTestCluster(t)
+		j := newChecker(w)
 		for replica := range 3 {
-			sendPath(t, w, replica, fmt.Sprintf("%s1-%d", endingPrefix, replica), "/x"+standin.CrashSuffix)
+			sendPath(t, w, replica, fmt.Sprintf("%s1-%d", crashPrefix, replica), "/x"+standin.CrashSuffix)
 		}
 		third := w.replicas()[2]
 		if by, _ := third.CrashedBy(); by == "" {
 			t.Fatal("no replica has ended")
 		}
-		run := j.endingRuns()[endingPrefix+"1"]
-		if run == nil || len(run.ends) != 3 || run.late() != 0 {
+		run := j.crashRuns()[crashPrefix+"1"]
+		if run == nil || len(run.crashes) != 3 || run.late() != 0 {
 			t.Fatalf("the run: %+v", run)
 		}
 		for try := range test.late {
-			run.reached[fmt.Sprint("late", try)] = run.ends[2].Add(knownWithin + time.Second)
+			run.reached[fmt.Sprint("late", try)] = run.crashes[2].Add(quarantineDelay + time.Second)
 		}
-		j.judgeEnding("e1", run)
+		j.checkCrashRun("e1", run)
 		if len(j.report.Findings) != test.want || j.report.Crashed != 3 {
 			t.Errorf("%d late tries: findings %v, %d ended", test.late, j.report.Findings, j.report.Crashed)
 		}
 	}
 }
 
-// sendPath sends a request to a replica, which may end by it.
-func sendPath(t *testing.T, w *world, replica int, id, path string) {
+// sendPath sends a request that may crash the replica.
+func sendPath(t *testing.T, w *cluster, replica int, id, path string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+w.links[replica].Addr().String()+path, nil)
 	if err != nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -5,85 +5,85 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind uint8
 
 // The kinds of fault.
 const (
-	// KillNode, PauseNode, StopNode and HangUpNode send signals to a node; a
-	// killed or stopped one is started again.
+	// KillNode, PauseNode, StopNode and HangUpNode signal a node; a killed or
+	// stopped node is restarted.
 	KillNode Kind = iota
 	PauseNode
 	StopNode
-	// KillHalf kills every second node at the same moment, KillAllTwice all of them, and
-	// once more as soon as they are back. RollNodes stops all, one soon after the other.
+	// KillHalf kills every second node at once. KillAllTwice kills all nodes, and
+	// again after the restart. RollNodes stops the nodes in quick succession.
 	KillHalf
 	KillAllTwice
 	RollNodes
 	HangUpNode
-	// StoreLink kinds harm the connections of one node to the store.
+	// StoreLink kinds disturb one node's connections to the store.
 	StoreLinkDelay
 	StoreLinkReset
 	StoreLinkHoldRequests
 	StoreLinkHoldReplies
 	StoreLinkSilence
-	// ReplicaLink kinds harm the connections of all nodes to one replica.
+	// ReplicaLink kinds disturb all nodes' connections to one replica.
 	ReplicaLinkDelay
 	ReplicaLinkReset
 	ReplicaLinkHoldReplies
 	ReplicaLinkSilence
-	// Replica kinds are a replica's own: it holds everything, breaks off its
-	// answers, refuses everything, resets a share of what it has run, or ends.
+	// Replica kinds act on one replica: it pauses, aborts its responses, refuses
+	// all requests, resets a share of the requests it has executed, or crashes.
 	ReplicaPause
 	ReplicaAbortResponses
 	ReplicaRefuse
 	ReplicaReset
 	ReplicaCrash
-	// Service kinds are those of all replicas of a service: they reset or reject a share
-	// of what comes, or end, and a replica of another service gets one of their addresses.
+	// Service kinds act on all replicas of a service: they reset or reject a share
+	// of the requests, or crash and have one address reused by another service.
 	ServiceReset
 	ServiceReject
 	ServiceLost
-	// Store kinds are the store's own, for all nodes.
+	// Store kinds act on the store itself, for all nodes.
 	StoreOutage
 	StoreThrottle
 	StoreSlow
 	StoreLostAnswers
 	StoreFreezeWatches
-	// Configure writes the next configuration, ConfigureSeries some, one soon after the
-	// other; Drain and Vanish let a replica leave, with and without saying so; Evacuate
-	// keeps all work from a zone.
+	// Configure writes a configuration, ConfigureSeries several in quick
+	// succession. Drain and Deregister remove a replica, with and without draining
+	// it first. Evacuate keeps all traffic from a zone.
 	Configure
 	ConfigureSeries
 	Drain
 	Deregister
 	Evacuate
-	// The kinds from here on are drawn apart from those before (see NewPlan).
-	// ReplicaLinkSilenceOpen lets the connections to a replica that are open fall silent for
-	// good; new ones work.
+	// The kinds from here on are drawn from a separate sequence (see NewPlan).
+	// ReplicaLinkSilenceOpen silences the open connections to a replica for good;
+	// new connections work.
 	ReplicaLinkSilenceOpen
-	// ServiceHang lets all replicas of a service hold a share of what comes for good.
+	// ServiceHang makes all replicas of a service hang a share of the requests.
 	ServiceHang
-	// StartWithoutStore kills every second node while the store is out, so that they start
-	// before it is back.
+	// StartWithoutStore kills every second node during a store outage, so that the
+	// nodes restart before the store is back.
 	StartWithoutStore
-	// CrashingRequest sends a request that ends each replica that runs it, again and again,
-	// to nodes by chance. It comes once in each round that may have kinds drawn apart.
+	// CrashingRequest repeatedly sends random nodes a request that crashes each
+	// replica that executes it, once in each round with supplementary faults.
 	CrashingRequest
-	// StoreRestore lets the store be away and come back from a copy that is some seconds old.
-	// It comes once in each such round as well.
+	// StoreRestore takes the store down and restores it from a backup, once in
+	// each round with supplementary faults.
 	StoreRestore
-	// The kinds from here on are drawn apart from all before, each once in each round but the
-	// first (see newPlanOfPauses). PauseStop stops a node as planned, and lets it stand still
-	// in its stop; no request may be cut off by that. PauseNews lets a node stand still about
-	// a change of the configuration; when it goes on it may not answer by the one before.
+	// The kinds from here on are drawn from a third sequence (see newPausePlan).
+	// PauseStop pauses a node during its graceful stop, which must not cut off a
+	// request. PauseDuringChange pauses a node around a configuration change; once
+	// resumed, it must not answer by the old configuration.
 	PauseStop
 	PauseDuringChange
 	kinds
 )
 
-// firstKindApart is the first of the kinds that are drawn apart.
-const firstKindApart = ReplicaLinkSilenceOpen
+// firstSupplementaryKind is the first kind drawn by newSupplementaryPlan.
+const firstSupplementaryKind = ReplicaLinkSilenceOpen
 
 var kindNames = [kinds]string{
 	"kill_node", "pause_node", "stop_node", "kill_half", "kill_all_twice", "roll_nodes", "hang_up_node",
@@ -97,12 +97,11 @@
 	"ending_request", "store_copy", "pause_stop", "pause_news",
 }
 
-// String returns the name of a kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// hidesNews tells whether a kind may keep nodes from hearing what is new in the
-// store, so that the times for news do not hold meanwhile.
-func (k Kind) hidesNews() bool {
+// delaysStoreUpdates reports whether faults of the kind may keep store updates
+// from nodes, which suspends the propagation deadlines.
+func (k Kind) delaysStoreUpdates() bool {
 	switch {
 	case k == HangUpNode:
 		return false
@@ -115,78 +114,77 @@
 	}
 }
 
-// Fault is one event of a plan.
+// Fault is one scheduled fault of a plan.
 type Fault struct {
-	// At counts from the start of the run, For is how long it lasts.
+	// At is the offset from the start of the run, For the duration.
 	At, For time.Duration
 	Kind    Kind
-	// Target chooses the node or the replica, by the remainder.
+	// Target selects the node or replica, modulo their number.
 	Target int
 }
 
-// The rounds of a plan. Each has its faults, and ends with a calm in which all
-// must be well again.
+// A plan consists of rounds, each with faults at its start and time to recover.
 const (
 	roundLength  = 12 * time.Second
 	faultsWithin = 3 * time.Second
 	longestFault = 3 * time.Second
-	mostFaults   = 8
-	// calmEvery is one round in so many in which nothing hides news, so that the
-	// times for news are checked.
-	calmEvery = 3
+	maxFaults    = 8
+	// In every updateCheckInterval-th round no fault delays store updates, so that
+	// propagation deadlines can be checked.
+	updateCheckInterval = 3
 )
 
-// NewPlan draws the faults of a run. The same seed gives the same plan. Kinds that were
-// added later are drawn apart and come besides, so that the seeds that failed once keep
-// the faults that they failed by.
+// NewPlan returns the faults of a run, which the seed determines. Kinds added
+// later use random sequences of their own, so that the faults of known failing
+// seeds stay the same.
 func NewPlan(seed uint64, length time.Duration) []Fault {
-	plan := append(newPlan(seed, length), newPlanApart(seed, length)...)
-	return append(plan, newPlanOfPauses(seed, length)...)
+	plan := append(newPlan(seed, length), newSupplementaryPlan(seed, length)...)
+	return append(plan, newPausePlan(seed, length)...)
 }
 
-// The pauses of PauseStop and PauseNews: from such that no detector of pauses could tell from a
-// busy machine up to such that go beyond every time-out of a caller.
+// The pauses of PauseStop and PauseDuringChange range from those that look like
+// a busy machine to those that exceed all caller timeouts.
 const (
 	shortestPause = 200 * time.Millisecond
 	longestPause  = 2 * time.Second
 )
 
-// newPlanOfPauses draws the pauses that a node must bear without harm. Those about a change come
-// where the time for news is checked.
-func newPlanOfPauses(seed uint64, length time.Duration) []Fault {
+// newPausePlan draws the faults PauseStop and PauseDuringChange, the latter only
+// in rounds that check propagation deadlines.
+func newPausePlan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(^seed, seed))
 	var plan []Fault
 	for round := 1; time.Duration(round+1)*roundLength <= length; round++ {
-		begin := time.Duration(round) * roundLength
+		startClock := time.Duration(round) * roundLength
 		pause := func(kind Kind, from time.Duration) Fault {
 			at := from + time.Duration(random.Int64N(int64(faultsWithin)))
 			lasting := shortestPause + time.Duration(random.Int64N(int64(longestPause-shortestPause)))
 			return Fault{At: at, For: lasting, Kind: kind, Target: random.IntN(1 << 16)}
 		}
-		plan = append(plan, pause(PauseStop, begin))
-		if round%calmEvery == calmEvery-1 {
-			plan = append(plan, pause(PauseDuringChange, begin+faultsWithin-longestPause/2))
+		plan = append(plan, pause(PauseStop, startClock))
+		if round%updateCheckInterval == updateCheckInterval-1 {
+			plan = append(plan, pause(PauseDuringChange, startClock+faultsWithin-longestPause/2))
 		}
 	}
 	return plan
 }
 
-// faultsApart is the number of faults of the kinds that are drawn apart, in each round that
-// has any.
-const faultsApart = 2
+// supplementaryFaults is the number of randomly chosen supplementary faults in
+// each round that has any.
+const supplementaryFaults = 2
 
-// newPlanApart draws faults of the kinds that are drawn apart. The first round has none, as
-// seeds that failed in it do not when a replica hangs beside; those in which news are
-// checked have none either.
-func newPlanApart(seed uint64, length time.Duration) []Fault {
+// newSupplementaryPlan draws faults of the supplementary kinds. The first round
+// has none, to keep the known failing seeds as they were, nor do the rounds
+// that check propagation deadlines.
+func newSupplementaryPlan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, ^seed))
 	var plan []Fault
 	for round := 1; time.Duration(round+1)*roundLength <= length; round++ {
-		if round%calmEvery == calmEvery-1 {
+		if round%updateCheckInterval == updateCheckInterval-1 {
 			continue
 		}
-		for range faultsApart {
-			kind := firstKindApart + Kind(random.IntN(int(CrashingRequest-firstKindApart)))
+		for range supplementaryFaults {
+			kind := firstSupplementaryKind + Kind(random.IntN(int(CrashingRequest-firstSupplementaryKind)))
 			plan = append(plan, newFault(random, time.Duration(round)*roundLength, kind))
 		}
 		ending := Fault{At: time.Duration(round) * roundLength, Kind: CrashingRequest, Target: round}
@@ -198,10 +196,10 @@
 	return plan
 }
 
-// newFault draws the times and the target of a fault in the round that begins then.
-func newFault(random *rand.Rand, begin time.Duration, kind Kind) Fault {
+// newFault draws a fault's times and target in the round that starts at begin.
+func newFault(random *rand.Rand, startClock time.Duration, kind Kind) Fault {
 	return Fault{
-		At:   begin + time.Duration(random.Int64N(int64(faultsWithin))),
+		At:   startClock + time.Duration(random.Int64N(int64(faultsWithin))),
 		For:  longestFault/3 + time.Duration(random.Int64N(int64(longestFault*2/3))),
 		Kind: kind, Target: random.IntN(1 << 16),
 	}
@@ -211,21 +209,21 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	var plan []Fault
 	for round := 0; ; round++ {
-		begin := time.Duration(round) * roundLength
-		if begin+roundLength > length {
+		startClock := time.Duration(round) * roundLength
+		if startClock+roundLength > length {
 			return plan
 		}
-		calm := round%calmEvery == calmEvery-1
-		for range 1 + random.IntN(mostFaults) {
-			kind := Kind(random.IntN(int(firstKindApart)))
-			for calm && kind.hidesNews() {
-				kind = Kind(random.IntN(int(firstKindApart)))
+		checksUpdates := round%updateCheckInterval == updateCheckInterval-1
+		for range 1 + random.IntN(maxFaults) {
+			kind := Kind(random.IntN(int(firstSupplementaryKind)))
+			for checksUpdates && kind.delaysStoreUpdates() {
+				kind = Kind(random.IntN(int(firstSupplementaryKind)))
 			}
-			plan = append(plan, newFault(random, begin, kind))
+			plan = append(plan, newFault(random, startClock, kind))
 		}
-		if calm {
-			news := []Kind{Configure, Drain, Deregister, Evacuate}[random.IntN(4)]
-			plan = append(plan, Fault{At: begin + faultsWithin, Kind: news, Target: random.IntN(1 << 16)})
+		if checksUpdates {
+			change := []Kind{Configure, Drain, Deregister, Evacuate}[random.IntN(4)]
+			plan = append(plan, Fault{At: startClock + faultsWithin, Kind: change, Target: random.IntN(1 << 16)})
 		}
 	}
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -8,17 +8,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestAPlanFollowsFromItsSeed(t *testing.T) {
+func TestNewPlanDeterministic(t *testing.T) {
 	const length = 2 * time.Minute
 	if diff := cmp.Diff(NewPlan(7, length), NewPlan(7, length)); diff != "" {
-		t.Errorf("the same seed gives another plan:\n%s", diff)
+		t.Errorf("plans of the same seed differ:\n%s", diff)
 	}
 	if cmp.Equal(NewPlan(7, length), NewPlan(8, length)) {
-		t.Error("another seed gives the same plan")
+		t.Error("plans of different seeds are equal")
 	}
 }
 
-func TestPlansHaveEachKindAndCalmRounds(t *testing.T) {
+func TestNewPlanCoversAllKinds(t *testing.T) {
 	const length = 5 * roundLength
 	seen := make(map[Kind]int)
 	for seed := range uint64(200) {
@@ -28,7 +28,7 @@
 				t.Fatalf("seed %d: a fault ends at %v", seed, fault.At+fault.For)
 			}
 			round := int(fault.At / roundLength)
-			if round%calmEvery == calmEvery-1 && fault.Kind.hidesNews() {
+			if round%updateCheckInterval == updateCheckInterval-1 && fault.Kind.delaysStoreUpdates() {
 				t.Fatalf("seed %d: %v in the calm round %d", seed, fault.Kind, round)
 			}
 		}
@@ -40,16 +40,16 @@
 	}
 }
 
-// TestKindsDrawnApartChangeNoOther: the faults of a seed stay as they were when it failed.
-func TestKindsDrawnApartChangeNoOther(t *testing.T) {
+// TestNewPlanKeepsEarlierDraws guards the faults of known failing seeds.
+func TestNewPlanKeepsEarlierDraws(t *testing.T) {
 	const length = 3 * roundLength
 	apart := 0
 	for _, fault := range NewPlan(25, length) {
-		if fault.Kind >= firstKindApart && fault.Kind < CrashingRequest {
+		if fault.Kind >= firstSupplementaryKind && fault.Kind < CrashingRequest {
 			apart++
 		}
 	}
-	if apart != faultsApart {
+	if apart != supplementaryFaults {
 		t.Errorf("%d faults are drawn apart in the one round that may have them", apart)
 	}
 	before := []string{}
--- a/internal/soak/ports.go
+++ b/internal/soak/ports.go
@@ -8,10 +8,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// The ports of nodes are drawn from below those that the system gives to outgoing
-// connections, which might take one while its node is away. They come in blocks, whose
-// first port is held for as long as a world lasts, so that no other world on the machine
-// takes one of the others.
+// Node ports lie below the ephemeral range, so that outgoing connections do not
+// take the port of a stopped node. They are claimed in blocks by listening on
+// each block's first port, which keeps other clusters on the machine off them.
 const (
 	firstPort = 16_000
 	lastPort  = 32_000
@@ -19,15 +18,13 @@
 	blocks    = (lastPort - firstPort) / blockSize
 )
 
-// ports hands out free ports, each once, as those of a node that is away are free too. Its
-// zero value is ready.
+// ports allocates ports, each at most once. The zero value is ready to use.
 type ports struct {
 	claims    []net.Listener
 	next, end int
 }
 
-// freeAddress returns an address that was free a moment ago. It must stay the
-// same over restarts, as callers know it.
+// freeAddress returns an unused address, which stays the same over restarts.
 func (p *ports) freeAddress() (string, error) {
 	for {
 		if p.next == p.end {
@@ -43,7 +40,7 @@
 	}
 }
 
-// claim takes a block that no world holds.
+// claim reserves a block that no other cluster holds.
 func (p *ports) claim() error {
 	first := rand.IntN(blocks)
 	for i := range blocks {
@@ -56,12 +53,12 @@
 		p.next, p.end = start+1, start+blockSize
 		return nil
 	}
-	return eris.New("no block of ports is free")
+	return eris.New("no free port block")
 }
 
 func (p *ports) close() {
 	for _, held := range p.claims {
-		_ = held.Close() // nothing was sent there
+		_ = held.Close() // closing fails only if already closed
 	}
 }
 
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestWorldsShareNoPort: a port is handed out once, also while nobody listens there, and
-// also beside another world.
-func TestWorldsShareNoPort(t *testing.T) {
+// TestPortsDisjoint checks that no port is handed out twice, even if unused, and
+// not by two allocators.
+func TestPortsDisjoint(t *testing.T) {
 	seen := make(map[string]bool)
 	var worlds [3]ports
 	for i := range worlds {
--- a/internal/soak/process/process.go
+++ b/internal/soak/process/process.go
@@ -1,5 +1,4 @@
-// Package process runs one node as a process of its own, and ends, pauses and
-// wakes it by signals. It ends no process but those that it has started.
+// Package process runs a node as a child process and controls it by signals.
 package process
 
 import (
@@ -14,37 +13,37 @@
 	"github.com/rotisserie/eris"
 )
 
-// Config is what a Process is made of.
+// Config configures a Process.
 type Config struct {
-	// Program and Args are what is run.
+	// Program and Args are the command line.
 	Program string
 	Args    []string
-	// Log takes what the process writes, of all its lives.
+	// Log receives the output of all runs.
 	Log *os.File
 }
 
-// Process is one program that is started again and again.
+// Process is a program that can be restarted.
 type Process struct {
 	config Config
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// expected is true once the process was told to end.
+	// expected is true once the process was told to exit.
 	expected bool
 	failures []error
 }
 
-// New makes a Process that does not run yet.
+// New returns a Process that is not started.
 func New(config Config) *Process { return &Process{config: config} }
 
-// Start begins a life of the process.
+// Start starts the process.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	command := exec.Command(p.config.Program, p.config.Args...)
 	command.Stdout, command.Stderr = p.config.Log, p.config.Log
-	// the process ends with the one that has started it, also when that is killed
+	// kill the process when its parent dies
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return eris.Wrapf(err, "start %s", p.config.Program)
@@ -74,7 +73,7 @@
 	return eris.Wrapf(p.command.Process.Signal(number), "send %s", number)
 }
 
-// Wait waits until the process has ended, or ctx is over.
+// Wait waits until the process has exited or ctx is done.
 func (p *Process) Wait(ctx context.Context) error {
 	p.mu.Lock()
 	exited := p.exited
@@ -83,17 +82,17 @@
 	case <-exited:
 		return nil
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "wait for a process to end")
+		return eris.Wrap(ctx.Err(), "wait for process exit")
 	}
 }
 
-// Kill kills the process and waits for it.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
-	_ = p.Signal(syscall.SIGKILL) // it fails only for one that has ended
+	_ = p.Signal(syscall.SIGKILL) // fails only if the process has exited
 	_ = p.Wait(context.Background())
 }
 
-// Failures returns how often the process ended by itself.
+// Failures returns an error for each unexpected exit.
 func (p *Process) Failures() []error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +100,7 @@
 }
 
 // Build compiles a command of this module into a directory and returns the
-// program's path.
+// binary's path.
 func Build(ctx context.Context, directory, command string) (string, error) {
 	program := directory + "/" + command
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "github.com/doorpond/doorpond/cmd/"+command)
--- a/internal/soak/process/process_test.go
+++ b/internal/soak/process/process_test.go
@@ -15,7 +15,7 @@
 	return p
 }
 
-func TestAnEndThatWasAskedForIsNoFailure(t *testing.T) {
+func TestSignaledExitIsNoFailure(t *testing.T) {
 	for _, number := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		p := start(t, "60")
 		if err := p.Signal(number); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAnEndByItselfIsAFailure(t *testing.T) {
+func TestUnexpectedExitIsFailure(t *testing.T) {
 	p := start(t, "0")
 	if err := p.Wait(t.Context()); err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	p.Kill()
 }
 
-func TestAProgramThatIsNotThere(t *testing.T) {
+func TestStartMissingProgram(t *testing.T) {
 	if err := New(Config{Program: "./nowhere"}).Start(); err == nil {
 		t.Error("no error")
 	}
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -1,5 +1,4 @@
-// Package proxy is a loopback TCP proxy that misbehaves when it is told to. It
-// stands between two processes and harms what passes, without either's help.
+// Package proxy is a loopback TCP proxy that injects network faults.
 package proxy
 
 import (
@@ -12,42 +11,41 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mode is what a Proxy does with connections.
+// Mode is the fault that a Proxy injects.
 type Mode uint8
 
 // The modes.
 const (
-	// Pass passes everything on.
+	// Pass forwards everything.
 	Pass Mode = iota
-	// Delay passes each piece on after Config.Delay.
+	// Delay forwards each chunk after Config.Delay.
 	Delay
-	// Reset resets all connections, also new ones.
+	// Reset resets open and new connections.
 	Reset
-	// HoldRequests and HoldReplies pass nothing on in one direction.
+	// HoldRequests and HoldReplies hold back one direction.
 	HoldRequests
 	HoldReplies
-	// Silence takes connections and passes nothing on.
+	// Silence accepts connections and holds back both directions.
 	Silence
 )
 
 var modeNames = [...]string{"pass", "delay", "reset", "hold_requests", "hold_replies", "silence"}
 
-// String returns the name of a mode.
 func (m Mode) String() string { return modeNames[m] }
 
-// holds tells whether a mode passes nothing on in a direction.
-func (m Mode) holds(up bool) bool {
+// blocks reports whether the mode holds back a direction.
+func (m Mode) blocks(up bool) bool {
 	return m == Silence || (up && m == HoldRequests) || (!up && m == HoldReplies)
 }
 
-// Config is what a Proxy is made of.
+// Config configures a Proxy.
 type Config struct {
 	Target netip.AddrPort
-	// Delay is for how long mode Delay holds each piece.
+	// Delay is the delay of each chunk in mode Delay.
 	Delay time.Duration
 }
 
-// Proxy passes connections on to one target.
+// Proxy forwards connections to one target.
 type Proxy struct {
 	config   Config
 	listener net.Listener
@@ -56,29 +54,29 @@
 	mode   Mode
 	change chan struct{} // closed when the mode changes
 	open   map[*net.TCPConn]struct{}
-	// deadened are those of open that pass nothing on any more.
-	deadened map[*net.TCPConn]struct{}
+	// silenced are the open connections that no longer forward anything.
+	silenced map[*net.TCPConn]struct{}
 	closed   bool
 }
 
-// New starts a proxy on a free port of the loopback.
+// New starts a proxy on a free loopback port.
 func New(config Config) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for a proxy")
+		return nil, eris.Wrap(err, "start proxy listener")
 	}
 	p := &Proxy{
 		config: config, listener: listener,
-		change: make(chan struct{}), open: make(map[*net.TCPConn]struct{}), deadened: make(map[*net.TCPConn]struct{}),
+		change: make(chan struct{}), open: make(map[*net.TCPConn]struct{}), silenced: make(map[*net.TCPConn]struct{}),
 	}
 	go p.accept()
 	return p, nil
 }
 
-// Addr returns where the proxy listens.
+// Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() netip.AddrPort { return p.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-// Set changes the mode, also of the connections that are open.
+// Set changes the mode of open and new connections.
 func (p *Proxy) Set(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,18 +88,17 @@
 	}
 }
 
-// SilenceOpen lets the connections that are open fall silent until they end; new ones are as
-// the mode says.
+// SilenceOpen drops all further data on the open connections. New connections
+// follow the mode.
 func (p *Proxy) SilenceOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.open {
-		p.deadened[conn] = struct{}{}
+		p.silenced[conn] = struct{}{}
 	}
 }
 
-// SetTarget changes where new connections are passed on to, as when an address is given to
-// another process.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,9 +111,9 @@
 	return p.config.Target
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // nothing can be done about a failure
+	_ = p.listener.Close() // there is no recovery from a failure
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -125,13 +122,13 @@
 	p.resetAll()
 }
 
-// resetAll must be called with the mutex held.
+// resetAll resets the open connections. The caller holds p.mu.
 func (p *Proxy) resetAll() {
 	for conn := range p.open {
 		reset(conn)
 	}
 	clear(p.open)
-	clear(p.deadened)
+	clear(p.silenced)
 }
 
 func reset(conn *net.TCPConn) {
@@ -164,12 +161,12 @@
 	both.Go(func() { p.copy(up, down, true) })
 	both.Go(func() { p.copy(down, up, false) })
 	both.Wait()
-	p.forget(down, up)
+	p.untrack(down, up)
 	_ = down.Close()
 	_ = up.Close()
 }
 
-// track returns false when connections are to be reset.
+// track registers connections; it returns false if they must be reset.
 func (p *Proxy) track(conns ...*net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,33 +179,32 @@
 	return true
 }
 
-func (p *Proxy) forget(conns ...*net.TCPConn) {
+func (p *Proxy) untrack(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
 		delete(p.open, conn)
-		delete(p.deadened, conn)
+		delete(p.silenced, conn)
 	}
 }
 
-// pieceBytes bounds what is passed on at once.
-const pieceBytes = 16 << 10
+const bufferSize = 16 << 10
 
-// copy passes one direction on until either end is over. A reset is passed on
-// as a reset, so that it does not look like a clean end.
+// copy forwards one direction until either side closes. It forwards a reset as a
+// reset, so that it does not look like a clean close.
 func (p *Proxy) copy(to, from *net.TCPConn, up bool) {
-	piece := make([]byte, pieceBytes)
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(piece)
-		if err == nil && p.isDeadened(from) {
+		n, err := from.Read(buffer)
+		if err == nil && p.isSilenced(from) {
 			continue
 		}
-		if !p.await(up) {
+		if !p.awaitPass(up) {
 			reset(to)
 			return
 		}
 		if n > 0 {
-			if _, failure := to.Write(piece[:n]); failure != nil {
+			if _, failure := to.Write(buffer[:n]); failure != nil {
 				reset(from)
 				return
 			}
@@ -224,16 +220,16 @@
 	}
 }
 
-func (p *Proxy) isDeadened(conn *net.TCPConn) bool {
+func (p *Proxy) isSilenced(conn *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, found := p.deadened[conn]
+	_, found := p.silenced[conn]
 	return found
 }
 
-// await waits until a piece may be passed on; it returns false once the proxy
-// is closed.
-func (p *Proxy) await(up bool) bool {
+// awaitPass waits until data may be forwarded; it returns false once the proxy is
+// closed.
+func (p *Proxy) awaitPass(up bool) bool {
 	for {
 		p.mu.Lock()
 		mode, change, closed := p.mode, p.change, p.closed
@@ -244,7 +240,7 @@
 		case mode == Delay:
 			time.Sleep(p.config.Delay)
 			return true
-		case !mode.holds(up):
+		case !mode.blocks(up):
 			return true
 		}
 		<-change
--- a/internal/soak/proxy/proxy_test.go
+++ b/internal/soak/proxy/proxy_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// echo starts a server that sends back what it reads, and a proxy before it.
+// echo starts an echo server and a proxy in front of it.
 func echo(t *testing.T, delay time.Duration) *Proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return conn
 }
 
-// exchange sends a byte and waits some time for it to come back.
+// exchange sends a byte and waits for its echo.
 func exchange(conn net.Conn, wait time.Duration) error {
 	_ = conn.SetDeadline(time.Now().Add(wait))
 	if _, err := conn.Write([]byte("x")); err != nil {
@@ -59,26 +59,25 @@
 	return err
 }
 
-// attempt opens a connection and exchanges a byte on it. A reset of a new connection is
-// seen by either: the kernel may tell of it before the dial has returned.
+// attempt exchanges a byte on a new connection. A reset may already fail the dial.
 func attempt(p *Proxy) error {
 	conn, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	return exchange(conn, ample)
+	return exchange(conn, longWait)
 }
 
 const (
-	ample = 10 * time.Second
-	brief = 100 * time.Millisecond
+	longWait  = 10 * time.Second
+	shortWait = 100 * time.Millisecond
 )
 
 func TestPass(t *testing.T) {
 	conn := dial(t, echo(t, 0))
 	for range 3 {
-		if err := exchange(conn, ample); err != nil {
+		if err := exchange(conn, longWait); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -93,7 +92,7 @@
 	conn := dial(t, p)
 	p.Set(Delay)
 	begun := time.Now()
-	if err := exchange(conn, ample); err != nil {
+	if err := exchange(conn, longWait); err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(begun); took < 100*time.Millisecond {
@@ -104,34 +103,33 @@
 func TestResetEndsOpenAndNewConnections(t *testing.T) {
 	p := echo(t, 0)
 	conn := dial(t, p)
-	if err := exchange(conn, ample); err != nil {
+	if err := exchange(conn, longWait); err != nil {
 		t.Fatal(err)
 	}
 	p.Set(Reset)
-	if err := exchange(conn, ample); err == nil {
+	if err := exchange(conn, longWait); err == nil {
 		t.Error("an open connection goes on")
 	}
 	if err := attempt(p); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("a new connection is not reset: %v", err)
 	}
 	p.Set(Pass)
-	if err := exchange(dial(t, p), ample); err != nil {
+	if err := exchange(dial(t, p), longWait); err != nil {
 		t.Errorf("after the end of the fault: %v", err)
 	}
 }
 
-// TestWhatIsHeldComesLater: what a cut holds up is passed on at its end.
-func TestWhatIsHeldComesLater(t *testing.T) {
+func TestHeldBytesDeliveredAfterPass(t *testing.T) {
 	for _, mode := range []Mode{HoldRequests, HoldReplies, Silence} {
 		t.Run(mode.String(), func(t *testing.T) {
 			p := echo(t, 0)
 			conn := dial(t, p)
 			p.Set(mode)
-			if err := exchange(conn, brief); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if err := exchange(conn, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("not held: %v", err)
 			}
 			p.Set(Pass)
-			_ = conn.SetDeadline(time.Now().Add(ample))
+			_ = conn.SetDeadline(time.Now().Add(longWait))
 			if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 				t.Errorf("what was held is lost: %v", err)
 			}
@@ -139,21 +137,20 @@
 	}
 }
 
-// TestDeadenedConnectionsStaySilent, while new ones work.
-func TestDeadenedConnectionsStaySilent(t *testing.T) {
+func TestSilenceOpenKeepsConnectionsSilent(t *testing.T) {
 	p := echo(t, 0)
 	old := dial(t, p)
-	if err := exchange(old, ample); err != nil {
+	if err := exchange(old, longWait); err != nil {
 		t.Fatal(err)
 	}
 	p.SilenceOpen()
-	if err := exchange(old, brief); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := exchange(old, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("on a silent connection: %v", err)
 	}
-	if err := exchange(dial(t, p), ample); err != nil {
+	if err := exchange(dial(t, p), longWait); err != nil {
 		t.Errorf("on a new connection: %v", err)
 	}
-	if err := exchange(old, brief); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := exchange(old, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("later: %v", err)
 	}
 }
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -8,8 +8,8 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// replica returns one that is not leaving.
-func (w *world) replica(target int) *standin.Replica {
+// replica selects a replica that is not leaving.
+func (w *cluster) replica(target int) *standin.Replica {
 	all := w.replicas()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,8 +22,8 @@
 	return all[0]
 }
 
-func (w *world) harmReplica(fault Fault, target *standin.Replica) error {
-	defer w.noted(fault.Kind, nil)()
+func (w *cluster) degradeReplica(fault Fault, target *standin.Replica) error {
+	defer w.recordFault(fault.Kind, nil)()
 	switch fault.Kind {
 	case ReplicaPause:
 		target.Pause()
@@ -38,7 +38,7 @@
 		time.Sleep(fault.For)
 		target.Refuse(false)
 	case ReplicaReset:
-		target.Reset(lostShare)
+		target.Reset(failedShare)
 		time.Sleep(fault.For)
 		target.Reset(0)
 	default:
@@ -48,51 +48,51 @@
 		if err := target.Deregister(); err != nil {
 			return err
 		}
-		return w.succeed(target)
+		return w.startSuccessor(target)
 	}
 	return nil
 }
 
-// lostShare is the share of requests that a replica resets or rejects: more than the retry
-// budget could make good.
-const lostShare = 0.6
+// failedShare is the share of requests that a replica resets or rejects: more
+// than the retry budget can make up for.
+const failedShare = 0.6
 
-// hungShare is the share of requests that a replica holds: the slots of the others are left
-// to those that it serves.
+// hungShare is the share of requests that a replica hangs. The other requests
+// need the remaining slots.
 const hungShare = 0.3
 
-// serviceLengths is how many times longer the faults of a whole service are than others:
-// long enough for repeats outside the budget to exceed it at the callers' rate.
-const serviceLengths = 2
+// serviceFaultFactor prolongs faults of a whole service, so that retries outside
+// the budget would exceed it.
+const serviceFaultFactor = 2
 
-// harmService lets a fault befall all replicas of a service.
-func (w *world) harmService(fault Fault) error {
-	defer w.noted(fault.Kind, nil)()
-	fault.For *= serviceLengths
+// degradeService injects a fault into all replicas of a service.
+func (w *cluster) degradeService(fault Fault) error {
+	defer w.recordFault(fault.Kind, nil)()
+	fault.For *= serviceFaultFactor
 	shard := fault.Target % shards
 	if fault.Kind == ServiceLost {
 		return w.loseService(fault.For, standin.ShardService(shard), standin.ShardService((shard+1)%shards))
 	}
-	set, share := (*standin.Replica).Reset, lostShare
+	set, share := (*standin.Replica).Reset, failedShare
 	switch fault.Kind {
 	case ServiceReject:
 		set = (*standin.Replica).Reject
 	case ServiceHang:
 		set, share = (*standin.Replica).Hang, hungShare
 	}
-	harmed := w.serving(standin.ShardService(shard))
-	for _, replica := range harmed {
+	degraded := w.serving(standin.ShardService(shard))
+	for _, replica := range degraded {
 		set(replica, share)
 	}
 	time.Sleep(fault.For)
-	for _, replica := range harmed {
+	for _, replica := range degraded {
 		set(replica, 0)
 	}
 	return nil
 }
 
 // serving returns the replicas of a service that are not leaving.
-func (w *world) serving(service string) []*standin.Replica {
+func (w *cluster) serving(service string) []*standin.Replica {
 	all := w.replicas()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,12 +102,12 @@
 	})
 }
 
-// addressReuse is how long the address of a replica that has ended is not used.
+// addressReuse is the time until the address of a stopped replica is reused.
 const addressReuse = 500 * time.Millisecond
 
-// loseService ends all replicas of a service, without a word to the store. A replica of
-// another service gets the address of one of them; successors come when the fault ends.
-func (w *world) loseService(length time.Duration, service, other string) error {
+// loseService stops all replicas of a service without deregistering them. A
+// replica of another service reuses one address; successors start at the end.
+func (w *cluster) loseService(length time.Duration, service, other string) error {
 	lost, others := w.serving(service), w.serving(other)
 	for _, replica := range lost {
 		w.markLeaving(replica)
@@ -124,15 +124,15 @@
 		if err := replica.Deregister(); err != nil {
 			return err
 		}
-		if err := w.succeed(replica); err != nil {
+		if err := w.startSuccessor(replica); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reuseAddress starts a replica like another one at the address of one that has ended.
-func (w *world) reuseAddress(gone, like *standin.Replica) error {
+// reuseAddress starts a replica of like's service at the address of gone.
+func (w *cluster) reuseAddress(gone, like *standin.Replica) error {
 	w.fleet.Lock()
 	defer w.fleet.Unlock()
 	_, err := w.deployment.ReplaceAt(like, func(listening netip.AddrPort) (netip.AddrPort, error) {
@@ -146,34 +146,34 @@
 	return err
 }
 
-// replicas returns all that there are and have been.
-func (w *world) replicas() []*standin.Replica {
+// replicas returns all current and former replicas.
+func (w *cluster) replicas() []*standin.Replica {
 	w.fleet.Lock()
 	defer w.fleet.Unlock()
 	return slices.Clone(w.deployment.Replicas)
 }
 
-func (w *world) markLeaving(target *standin.Replica) {
+func (w *cluster) markLeaving(target *standin.Replica) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving[target] = time.Now()
 }
 
-func (w *world) succeed(gone *standin.Replica) error {
+func (w *cluster) startSuccessor(gone *standin.Replica) error {
 	w.fleet.Lock()
 	defer w.fleet.Unlock()
 	_, err := w.deployment.Replace(gone)
 	return err
 }
 
-// leave lets a replica go: a successor comes first, and the replica serves on
-// for a while after the store has taken its word.
-func (w *world) leave(fault Fault, target *standin.Replica) error {
+// removeReplica starts a successor, then drains or deregisters the replica,
+// which keeps serving.
+func (w *cluster) removeReplica(fault Fault, target *standin.Replica) error {
 	w.markLeaving(target)
-	if err := w.succeed(target); err != nil {
+	if err := w.startSuccessor(target); err != nil {
 		return err
 	}
-	end := w.noted(fault.Kind, nil)
+	end := w.recordFault(fault.Kind, nil)
 	var err error
 	if fault.Kind == Drain {
 		err = target.Drain()
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	w.markNews(news{at: time.Now(), replica: target})
+	w.recordChange(storeChange{at: time.Now(), replica: target})
 	end()
 	time.Sleep(2 * drainTime)
 	if fault.Kind == Drain {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,8 +1,7 @@
-// Package soak runs the real nodes as separate processes on one machine, lets
-// faults befall them from outside, and checks the promises meanwhile by what
-// callers and back ends see. The faults of a run follow from its seed; the
-// timing of processes does not, so that a seed that failed once is run again
-// and again as a regression case.
+// Package soak runs real nodes as separate processes on one machine, injects
+// faults from outside, and checks the system's guarantees by what callers and
+// back ends observe. The seed determines a run's faults but not the timing of
+// its processes, so seeds that once failed are rerun as regression cases.
 package soak
 
 import (
@@ -18,48 +17,46 @@
 	"github.com/doorpond/doorpond/internal/soak/process"
 )
 
-// Config is what a run is made of.
+// Config configures a run.
 type Config struct {
 	Seed   uint64
 	Length time.Duration
-	// Nodes is the number of nodes; 0 means nine.
+	// Nodes is the number of nodes; 0 selects defaultNodes.
 	Nodes int
-	// Program is the node's program; empty means to build it.
+	// Program is the path of the node's binary; it is built if empty.
 	Program string
-	// Directory keeps settings and logs; empty means a temporary one that is
-	// removed when nothing failed.
+	// Directory holds settings and logs. If empty, a temporary directory is used
+	// and removed when there are no findings.
 	Directory string
-	// Out takes a line for each fault; nil means none.
+	// Out receives a line for each fault, unless it is nil.
 	Out io.Writer
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Requests int
-	// Served, Refused, Failed and Unanswered are how they ended: with success, with a
-	// refusal that says when to come back, with another failure, and without an
-	// answer.
+	// Served, Refused, Failed and Unanswered count requests by outcome: success,
+	// 429 or 503, another status, and no response.
 	Served, Refused, Failed, Unanswered int
-	// Partial answers lack shards.
+	// Partial counts successful answers that lack shards.
 	Partial int
 	Faults  int
-	// ChangesChecked counts the changes of the store after which the time for news
-	// was checked.
+	// ChangesChecked counts the store changes whose propagation time was checked.
 	ChangesChecked int
-	// Stalled is for how long the machine was too busy to judge times, and Unjudged are the
-	// requests whose end was not judged for that.
+	// Stalled is the time in which the machine was too busy to check deadlines;
+	// Unjudged counts the requests whose outcome was not checked for that reason.
 	Stalled  time.Duration
 	Unjudged int
-	// Crashed is the number of replicas that requests have ended.
+	// Crashed is the number of replicas that requests crashed.
 	Crashed int
-	// Findings are the promises that were broken.
+	// Findings describe the violated guarantees.
 	Findings []string
-	// Directory is where the logs are, if they were kept.
+	// Directory holds the logs, if they were kept.
 	Directory string
 }
 
-// Run plays one run.
+// Run executes one soak run.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if config.Nodes == 0 {
 		config.Nodes = defaultNodes
@@ -68,7 +65,7 @@
 	if temporary {
 		directory, err := os.MkdirTemp("", "doorpond-soak")
 		if err != nil {
-			return Report{}, eris.Wrap(err, "make a directory for logs")
+			return Report{}, eris.Wrap(err, "create log directory")
 		}
 		config.Directory = directory
 	}
@@ -79,16 +76,16 @@
 		}
 		config.Program = program
 	}
-	report, err := play(ctx, config)
+	report, err := run(ctx, config)
 	if err == nil && temporary && len(report.Findings) == 0 {
-		return report, eris.Wrap(os.RemoveAll(config.Directory), "remove the logs")
+		return report, eris.Wrap(os.RemoveAll(config.Directory), "remove log directory")
 	}
 	report.Directory = config.Directory
 	return report, err
 }
 
-func play(ctx context.Context, config Config) (Report, error) {
-	w, err := newWorld(config)
+func run(ctx context.Context, config Config) (Report, error) {
+	w, err := newCluster(config)
 	if err != nil {
 		return Report{}, err
 	}
@@ -97,27 +94,27 @@
 		return Report{}, err
 	}
 	plan := NewPlan(config.Seed, config.Length)
-	judge := newJudge(w)
+	checker := newChecker(w)
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go w.stalls.watch(watching)
-	callers := startCallers(w, judge)
-	w.begin()
-	if err := w.befall(ctx, plan, config.Out); err != nil {
+	callers := startCallers(w, checker)
+	w.startClock()
+	if err := w.runPlan(ctx, plan, config.Out); err != nil {
 		callers.stop()
 		return Report{}, err
 	}
-	judge.expectCalm(w.awaitCalm(ctx))
+	checker.expectHealthyFrom(w.awaitRecovery(ctx))
 	callers.stop()
-	report := judge.conclude()
+	report := checker.finish()
 	report.Seed, report.Faults = config.Seed, len(plan)
-	if report.Stalled > time.Duration(mostStalled*float64(time.Since(w.began))) {
-		return report, eris.Errorf("the machine was too busy for %v of the run: no verdict", report.Stalled.Round(time.Second))
+	if report.Stalled > time.Duration(maxStalledShare*float64(time.Since(w.began))) {
+		return report, eris.Errorf("run is invalid: the machine was stalled for %v", report.Stalled.Round(time.Second))
 	}
 	return report, nil
 }
 
-// Write prints a report.
+// Write prints the report.
 func (r *Report) Write(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "seed %d: %d faults; %d requests: %d served (%d partial), %d refused, %d failed, %d without an answer; news checked %d times; %d replicas ended by requests; stalled for %v, %d requests not judged; %d findings\n",
 		r.Seed, r.Faults, r.Requests, r.Served, r.Partial, r.Refused, r.Failed, r.Unanswered, r.ChangesChecked, r.Crashed,
@@ -130,5 +127,5 @@
 	if err == nil && r.Directory != "" && len(r.Findings) > 0 {
 		_, err = fmt.Fprintln(out, "  logs:", filepath.Join(r.Directory, "*.log"))
 	}
-	return eris.Wrap(err, "print the report")
+	return eris.Wrap(err, "write report")
 }
--- a/internal/soak/stall_test.go
+++ b/internal/soak/stall_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestStalls(t *testing.T) {
-	var watch stallWatch
+func TestStallDetector(t *testing.T) {
+	var watch stallDetector
 	began := time.Now()
 	at := func(after time.Duration) time.Time { return began.Add(after) }
-	watch.probed(at(0), at(stallProbe+stallLength/2)) // in time
-	watch.probed(at(time.Second), at(2*time.Second))
-	watch.probed(at(3*time.Second), at(4*time.Second))
+	watch.recordProbe(at(0), at(stallProbe+stallLength/2)) // in time
+	watch.recordProbe(at(time.Second), at(2*time.Second))
+	watch.recordProbe(at(3*time.Second), at(4*time.Second))
 	for _, test := range []struct {
 		from, until time.Duration
 		want        bool
@@ -19,13 +19,13 @@
 		{0, time.Second, false},
 		{500 * time.Millisecond, 1500 * time.Millisecond, true},
 		{5 * time.Second, 5500 * time.Millisecond, true},
-		{4*time.Second + stallReach, 10 * time.Second, false},
+		{4*time.Second + stallEffect, 10 * time.Second, false},
 	} {
-		if got := watch.touches(at(test.from), at(test.until)); got != test.want {
+		if got := watch.overlaps(at(test.from), at(test.until)); got != test.want {
 			t.Errorf("from %v to %v: %v", test.from, test.until, got)
 		}
 	}
-	if got, want := watch.reach(), 3*time.Second+stallReach; got != want {
+	if got, want := watch.affectedTime(), 3*time.Second+stallEffect; got != want {
 		t.Errorf("stalls reach over %v, want %v", got, want)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -23,88 +23,88 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// The shape of the world. Of the three nodes of each zone, callers are led to
-// two; the third watches one of them in place of the store.
+// Parameters of the cluster. Callers are directed to two of the three nodes of
+// each zone; the third watches one of them instead of the store.
 const (
-	shards  = 4
-	work    = 5 * time.Millisecond
-	grace   = 3 * time.Second
-	restart = 500 * time.Millisecond
-	linkLag = 60 * time.Millisecond
-	// defaultNodes are three in each zone.
+	shards         = 4
+	processingTime = 5 * time.Millisecond
+	gracePeriod    = 3 * time.Second
+	restartDelay   = 500 * time.Millisecond
+	linkLag        = 60 * time.Millisecond
+	// defaultNodes is three nodes per zone.
 	defaultNodes = 9
 	settingsMode = 0o600
 )
 
 var zones = []string{"a", "b", "c"}
 
-// node is one node of the system, its process and its way to the store.
+// node is a node process with its settings and its link to the store.
 type node struct {
 	process  *process.Process
 	store    *proxy.Proxy
 	settings edge.Settings
 	path     string
 	log      *os.File
-	// restarting is held while the process is ended and started again.
+	// restarting is held while the process is stopped and restarted.
 	restarting sync.Mutex
 }
 
-// world is everything that runs.
-type world struct {
+// cluster holds the nodes, the stand-in back ends and the recorded events.
+type cluster struct {
 	deployment *standin.Deployment
 	nodes      []*node
 	ports      ports
-	stalls     stallWatch
+	stalls     stallDetector
 	began      time.Time
 
-	// returning counts the replicas that have ended by a request and are not replaced yet.
+	// returning counts the crashed replicas that are not yet replaced.
 	returning sync.WaitGroup
 
-	// fleet guards the deployment's replicas, configuring its configuration, evacuating
-	// its evacuated zone.
+	// fleet guards the deployment's replicas, configuring its configuration, and
+	// evacuating its evacuated zone.
 	fleet, configuring, evacuating sync.Mutex
-	// shards is the number of shards of the newest configuration; configuring guards it.
+	// shards is the newest configuration's shard count, guarded by configuring.
 	shards int
 
 	mu sync.Mutex
-	// links are the proxies before the replicas, in the replicas' order.
+	// links are the replicas' proxies, in the order of the replicas.
 	links   []*proxy.Proxy
 	leaving map[*standin.Replica]time.Time
 	events  []event
-	news    []news
-	// allowed are the numbers of shards that any configuration has named.
+	changes []storeChange
+	// allowed holds the shard counts of all configurations written so far.
 	allowed map[int]bool
 	notes   []string
 }
 
-// news is a change of the store that all nodes must act on in time: another
-// number of shards, or a replica that leaves or stands in an evacuated zone.
-type news struct {
+// storeChange is a store change that nodes must act on in time: a new shard count,
+// or a replica that leaves or is in an evacuated zone.
+type storeChange struct {
 	at      time.Time
 	shards  int
 	replica *standin.Replica // nil for a number of shards
 }
 
-func (w *world) markNews(one news) {
+func (w *cluster) recordChange(one storeChange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.news = append(w.news, one)
+	w.changes = append(w.changes, one)
 }
 
-func (w *world) allow(shardCount int) {
+func (w *cluster) allowShardCount(shardCount int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.allowed[shardCount] = true
 }
 
-// note records a finding of the world's own.
-func (w *world) note(finding string) {
+// addNote records a finding made outside the checker.
+func (w *cluster) addNote(finding string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.notes = append(w.notes, finding)
 }
 
-// event is a fault that befell the world.
+// event is an injected fault.
 type event struct {
 	kind  Kind
 	node  *node // nil for other targets
@@ -112,17 +112,18 @@
 	until time.Time
 }
 
-// befell tells whether the event is of one of some kinds and befell the node of an address.
-func (e event) befell(address string, kinds ...Kind) bool {
+// affected reports whether the event is of one of kinds and hit the node at
+// address.
+func (e event) affected(address string, kinds ...Kind) bool {
 	return e.node != nil && e.node.settings.Callers == address && slices.Contains(kinds, e.kind)
 }
 
-func newWorld(config Config) (*world, error) {
-	w := &world{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}, shards: shards}
+func newCluster(config Config) (*cluster, error) {
+	w := &cluster{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}, shards: shards}
 	var err error
-	w.deployment, err = standin.Start(standin.Options{Zones: zones, Shards: shards, ProcessingTime: work, Advertise: w.link, OnCrash: w.replaceEnding})
+	w.deployment, err = standin.Start(standin.Options{Zones: zones, Shards: shards, ProcessingTime: processingTime, Advertise: w.link, OnCrash: w.replaceCrashed})
 	if err != nil {
-		return nil, eris.Wrap(err, "start the stand-ins")
+		return nil, eris.Wrap(err, "start stand-in services")
 	}
 	for i := range config.Nodes {
 		started, err := w.startNode(config, i)
@@ -135,8 +136,8 @@
 	return w, nil
 }
 
-// link puts a proxy before a replica.
-func (w *world) link(listening netip.AddrPort) (netip.AddrPort, error) {
+// link starts a proxy for a replica.
+func (w *cluster) link(listening netip.AddrPort) (netip.AddrPort, error) {
 	made, err := proxy.New(proxy.Config{Target: listening, Delay: linkLag})
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -147,17 +148,17 @@
 	return made.Addr(), nil
 }
 
-func (w *world) startNode(config Config, number int) (*node, error) {
+func (w *cluster) startNode(config Config, number int) (*node, error) {
 	target, err := netip.ParseAddrPort(w.deployment.StoreURL()[len("http://"):])
 	if err != nil {
-		return nil, eris.Wrap(err, "read the store's address")
+		return nil, eris.Wrap(err, "parse store address")
 	}
 	started := &node{settings: w.deployment.NodeSettings(fmt.Sprintf("n%d", number), zones[number%len(zones)])}
 	if started.store, err = proxy.New(proxy.Config{Target: target, Delay: linkLag}); err != nil {
 		return nil, err
 	}
 	started.settings.Store.URL = "http://" + started.store.Addr().String()
-	started.settings.Bounds.Grace = grace
+	started.settings.Bounds.Grace = gracePeriod
 	started.settings.Limits.ProcessorShare = 1
 	for _, address := range []*string{
 		&started.settings.Callers, &started.settings.Readiness, &started.settings.Directory,
@@ -173,7 +174,7 @@
 	}
 	started.log, err = os.Create(filepath.Join(config.Directory, started.settings.Node+".log"))
 	if err != nil {
-		return nil, eris.Wrap(err, "make a log")
+		return nil, eris.Wrap(err, "create log file")
 	}
 	started.process = process.New(process.Config{
 		Program: config.Program, Args: []string{"--config", started.path}, Log: started.log,
@@ -189,7 +190,7 @@
 	return eris.Wrap(os.WriteFile(n.path, content, settingsMode), "write settings")
 }
 
-func (w *world) close() {
+func (w *cluster) close() {
 	for _, one := range w.nodes {
 		if one.process != nil {
 			_ = one.process.Signal(syscall.SIGCONT) // it may be paused
@@ -208,12 +209,12 @@
 // readyWait bounds the start of all nodes.
 const readyWait = 30 * time.Second
 
-func (w *world) awaitReady(ctx context.Context) error {
+func (w *cluster) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyWait)
 	for _, one := range w.nodes {
 		for !one.ready() {
 			if ctx.Err() != nil || time.Now().After(deadline) {
-				return eris.Errorf("node %s is not ready in time", one.settings.Node)
+				return eris.Errorf("node %s was not ready in time", one.settings.Node)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -230,11 +231,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// begin starts the clock of the plan.
-func (w *world) begin() { w.began = time.Now() }
+// startClock sets the time to which the plan's offsets refer.
+func (w *cluster) startClock() { w.began = time.Now() }
 
-// befall lets the faults of a plan come, and waits for the last one's end.
-func (w *world) befall(ctx context.Context, plan []Fault, out io.Writer) error {
+// runPlan injects the faults of a plan and waits until all are over.
+func (w *cluster) runPlan(ctx context.Context, plan []Fault, out io.Writer) error {
 	var running sync.WaitGroup
 	defer running.Wait()
 	failures := make(chan error, len(plan))
@@ -264,8 +265,9 @@
 	}
 }
 
-// noted records a fault from now on, and returns what ends it.
-func (w *world) noted(kind Kind, target *node) (end func()) {
+// recordFault records the start of a fault and returns a function that records
+// its end.
+func (w *cluster) recordFault(kind Kind, target *node) (end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := len(w.events)
@@ -277,8 +279,8 @@
 	}
 }
 
-// met tells whether any fault that matters was there in a span of time.
-func (w *world) met(from, until time.Time, matters func(event) bool) bool {
+// overlapsFault reports whether a matching fault overlapped a time span.
+func (w *cluster) overlapsFault(from, until time.Time, matters func(event) bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, one := range w.events {
@@ -290,18 +292,18 @@
 	return false
 }
 
-// calmLength is how long all must be well at the end of a run.
-const calmLength = 4 * time.Second
+// healthyLength is the length of the fault-free phase checked at the end.
+const healthyLength = 4 * time.Second
 
-// settleTime is how long after the last fault all must be well again.
+// settleTime is the time to recover after the last fault.
 const settleTime = 8 * time.Second
 
-// awaitCalm lets the system settle, and returns when it must have.
-func (w *world) awaitCalm(ctx context.Context) time.Time {
+// awaitRecovery waits for the end of the fault-free phase and returns its start.
+func (w *cluster) awaitRecovery(ctx context.Context) time.Time {
 	settled := time.Now().Add(settleTime)
 	select {
 	case <-ctx.Done():
-	case <-time.After(settleTime + calmLength):
+	case <-time.After(settleTime + healthyLength):
 	}
 	return settled
 }
