--- a/internal/soak/copy.go
+++ b/internal/soak/copy.go
@@ -23,14 +23,14 @@
 // nodes are in contact with the store.
 func (w *cluster) restoreStore(fault Fault) error {
 	end := w.recordFault(fault.Kind, nil)
-	copied := w.deployment.Store.Memory.Revision()
+	revision := w.deployment.Store.Memory.Revision()
 	time.Sleep(backupAge)
 	before := w.deployment.Store.RangeCalls()
 	if err := w.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
 	time.Sleep(fault.For)
-	if err := w.restoreRevision(copied); err != nil {
+	if err := w.restoreRevision(revision); err != nil {
 		return err
 	}
 	end()
@@ -46,12 +46,12 @@
 
 // restoreRevision resets the store to a revision and publishes the later entries
 // again; no other writes happen in between.
-func (w *cluster) restoreRevision(copied int64) error {
+func (w *cluster) restoreRevision(revision int64) error {
 	w.configuring.Lock()
 	defer w.configuring.Unlock()
 	w.fleet.Lock()
 	defer w.fleet.Unlock()
-	if err := w.deployment.RestoreStore(copied); err != nil {
+	if err := w.deployment.RestoreStore(revision); err != nil {
 		return err
 	}
 	if err := w.deployment.Store.SetFaults(kv.Faults{}); err != nil {
--- a/internal/soak/ending.go
+++ b/internal/soak/ending.go
@@ -110,46 +110,46 @@
 // crashRun records what one crashing request did.
 type crashRun struct {
 	crashes []time.Time
-	// reached is the time of each attempt's first arrival at a replica.
-	reached map[string]time.Time
+	// firstArrivals is the time of each attempt's first arrival at a replica.
+	firstArrivals map[string]time.Time
 }
 
 // crashRuns returns the runs by request number.
 func (j *checker) crashRuns() map[string]*crashRun {
 	runs := make(map[string]*crashRun)
-	of := func(id string) *crashRun {
+	runOf := func(id string) *crashRun {
 		number, _, _ := strings.Cut(id, "-")
 		if runs[number] == nil {
-			runs[number] = &crashRun{reached: make(map[string]time.Time)}
+			runs[number] = &crashRun{firstArrivals: make(map[string]time.Time)}
 		}
 		return runs[number]
 	}
 	for _, replica := range j.cluster.replicas() {
 		if by, at := replica.CrashedBy(); by != "" {
-			of(by).crashes = append(of(by).crashes, at)
+			runOf(by).crashes = append(runOf(by).crashes, at)
 		}
 		for _, arrival := range replica.ArrivalLog() {
 			if !strings.HasPrefix(arrival.ID, crashPrefix) || arrival.Misdirected {
 				continue
 			}
-			reached := of(arrival.ID).reached
-			if first, known := reached[arrival.ID]; !known || arrival.At.Before(first) {
-				reached[arrival.ID] = arrival.At
+			firstArrivals := runOf(arrival.ID).firstArrivals
+			if first, known := firstArrivals[arrival.ID]; !known || arrival.At.Before(first) {
+				firstArrivals[arrival.ID] = arrival.At
 			}
 		}
 	}
 	return runs
 }
 
-// late counts the attempts that reached a replica later than quarantineDelay
+// lateAttempts counts the attempts that reached a replica later than quarantineDelay
 // after the third crash.
-func (r *crashRun) late() int {
+func (r *crashRun) lateAttempts() int {
 	if len(r.crashes) < 3 {
 		return 0
 	}
 	slices.SortFunc(r.crashes, time.Time.Compare)
 	count := 0
-	for _, at := range r.reached {
+	for _, at := range r.firstArrivals {
 		if at.Sub(r.crashes[2]) > quarantineDelay {
 			count++
 		}
@@ -166,7 +166,7 @@
 
 func (j *checker) checkCrashRun(number string, run *crashRun) {
 	j.report.Crashed += len(run.crashes)
-	if late := run.late(); late > maxLateAttempts {
-		j.addFinding("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.crashes), late, quarantineDelay)
+	if lateAttempts := run.lateAttempts(); lateAttempts > maxLateAttempts {
+		j.addFinding("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.crashes), lateAttempts, quarantineDelay)
 	}
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -81,7 +81,7 @@
 
 func broken(id string, asked path) observation {
 	seen := answered(id, asked, 0)
-	seen.err = errors.New("the connection ended")
+	seen.err = errors.New("connection closed")
 	return seen
 }
 
@@ -90,113 +90,113 @@
 	cases := []struct {
 		name   string
 		happen func(w *cluster, j *checker)
-		want   string // a part of the one finding; empty means none
+		want   string // substring of the only finding; empty if none is expected
 	}{
-		{"a right answer", func(_ *cluster, j *checker) { j.record(plainAnswer("r")) }, ""},
-		{"another request's answer", func(_ *cluster, j *checker) {
+		{"matching answer", func(_ *cluster, j *checker) { j.record(plainAnswer("r")) }, ""},
+		{"answer of another request", func(_ *cluster, j *checker) {
 			seen := plainAnswer("other")
 			seen.id = "r"
 			j.record(seen)
 		}, `got response "answer of fetch to other"`},
-		{"a number of shards that was never configured", func(_ *cluster, j *checker) {
+		{"shard count never configured", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Missing = shards + 1
 			j.record(seen)
 		}, "which no configuration names"},
-		{"records that are not those of the parts", func(_ *cluster, j *checker) {
+		{"records not from the parts", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r"}, shards-1
 			j.record(seen)
 		}, "does not hold the greatest records"},
-		{"a part twice", func(_ *cluster, j *checker) {
+		{"duplicate part", func(_ *cluster, j *checker) {
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Parts, seen.response.Missing = []string{"shard-0.r", "shard-0.r"}, shards-2
 			j.record(seen)
 		}, "part \"shard-0.r\""},
-		{"a request that may not be repeated runs twice", func(w *cluster, j *checker) {
+		{"non-idempotent request executed twice", func(w *cluster, j *checker) {
 			sendArrival(t, w, plainReplica, "r")
 			sendArrival(t, w, plainReplica+1, "r")
 			j.record(answered("r", nonIdempotent, http.StatusBadGateway))
 		}, "ran 2 times"},
-		{"a bound request reaches a replica of its region", func(w *cluster, j *checker) {
+		{"regional request inside its region", func(w *cluster, j *checker) {
 			sendArrival(t, w, 0, "r")
 			j.record(answered("r", regional, http.StatusBadGateway))
 		}, ""},
-		{"a bound request reaches a replica elsewhere", func(w *cluster, j *checker) {
+		{"regional request outside its region", func(w *cluster, j *checker) {
 			sendArrival(t, w, 1, "r")
 			j.record(answered("r", regional, http.StatusBadGateway))
 		}, "is bound to region-a"},
-		{"a request was refused and ran", func(w *cluster, j *checker) {
+		{"refused request executed", func(w *cluster, j *checker) {
 			sendArrival(t, w, plainReplica, "r")
 			j.record(answered("r", nonIdempotent, http.StatusServiceUnavailable))
 		}, "was refused with 503 and ran"},
-		{"a request that was passed on has no answer", func(w *cluster, j *checker) {
+		{"forwarded request without response", func(w *cluster, j *checker) {
 			sendArrival(t, w, plainReplica, "r")
 			j.record(broken("r", plain))
 		}, "got no answer"},
-		{"the same from a node that is stopped as planned", func(w *cluster, j *checker) {
+		{"forwarded request without response, node stopped", func(w *cluster, j *checker) {
 			defer w.recordFault(StopNode, w.nodes[0])()
 			sendArrival(t, w, plainReplica, "r")
 			j.record(broken("r", plain))
 		}, "got no answer"},
-		{"the same from a node that was killed", func(w *cluster, j *checker) {
+		{"forwarded request without response, node killed", func(w *cluster, j *checker) {
 			defer w.recordFault(KillNode, w.nodes[0])()
 			sendArrival(t, w, plainReplica, "r")
 			j.record(broken("r", plain))
 		}, ""},
-		{"a request that was not passed on has no answer", func(_ *cluster, j *checker) { j.record(broken("r", plain)) }, ""},
-		{"a failure in the calm", func(_ *cluster, j *checker) {
+		{"unforwarded request without response", func(_ *cluster, j *checker) { j.record(broken("r", plain)) }, ""},
+		{"failure after recovery", func(_ *cluster, j *checker) {
 			j.expectHealthyFrom(time.Now().Add(-time.Second))
 			j.record(answered("r", plain, http.StatusBadGateway))
 		}, "in the calm"},
-		{"a failure before the calm", func(_ *cluster, j *checker) {
+		{"failure before recovery", func(_ *cluster, j *checker) {
 			j.expectHealthyFrom(time.Now().Add(time.Second))
 			j.record(answered("r", plain, http.StatusBadGateway))
 		}, ""},
-		{"a leaving replica receives a request after its time", func(w *cluster, j *checker) {
+		{"request to drained replica", func(w *cluster, j *checker) {
 			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
 			sendArrival(t, w, plainReplica, "r")
 		}, "after it was due to receive nothing"},
-		{"the same beside a fault that hides news", func(w *cluster, j *checker) {
+		{"request to drained replica, store updates delayed", func(w *cluster, j *checker) {
 			defer w.recordFault(StoreFreezeWatches, nil)()
 			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
 			sendArrival(t, w, plainReplica, "r")
 		}, ""},
-		{"a configuration is not in force in time", func(w *cluster, j *checker) {
+		{"configuration applied late", func(w *cluster, j *checker) {
 			w.recordChange(storeChange{at: time.Now().Add(-applyTime - time.Second), shards: 2})
 			seen := answered("r", scattered, http.StatusOK)
 			seen.response.Missing = shards
 			j.record(seen)
 		}, "after a configuration of 2 was due"},
-		{"the same beside a stall of the machine", func(w *cluster, j *checker) {
+		{"failure after recovery, machine stalled", func(w *cluster, j *checker) {
 			w.stalls.recordProbe(time.Now().Add(-time.Second), time.Now())
 			j.expectHealthyFrom(time.Now().Add(-time.Second))
 			j.record(answered("r", plain, http.StatusBadGateway))
 		}, ""},
-		{"a request that may not be repeated runs twice beside a stall", func(w *cluster, j *checker) {
+		{"non-idempotent request executed twice, machine stalled", func(w *cluster, j *checker) {
 			w.stalls.recordProbe(time.Now().Add(-time.Second), time.Now())
 			sendArrival(t, w, plainReplica, "r")
 			sendArrival(t, w, plainReplica+1, "r")
 			j.record(answered("r", nonIdempotent, http.StatusBadGateway))
 		}, "ran 2 times"},
-		{"more retries than the budget has", func(w *cluster, j *checker) {
+		{"retries beyond the budget", func(w *cluster, j *checker) {
 			for range int(w.nodes[0].settings.Bounds.RetrySlack) + 2 {
 				sendArrival(t, w, plainReplica, "r")
 			}
 		}, "arrivals past the first"},
-		{"as many retries as the budget has", func(w *cluster, j *checker) {
+		{"retries within the budget", func(w *cluster, j *checker) {
 			for range int(w.nodes[0].settings.Bounds.RetrySlack) + 1 {
 				sendArrival(t, w, plainReplica, "r")
 			}
 		}, ""},
-		{"requests for another process beyond the budget", func(w *cluster, j *checker) {
+		{"misdirected retries beyond the budget", func(w *cluster, j *checker) {
 			for i := range int(w.nodes[0].settings.Bounds.RetrySlack) + 1 {
 				id := fmt.Sprint("r", i)
 				sendArrival(t, w, plainReplica, id)
 				sendMisdirected(t, w, plainReplica+1, id)
 			}
 		}, "arrivals past the first"},
-		{"a request for another process at a leaving replica", func(w *cluster, j *checker) {
+		{"misdirected request to drained replica", func(w *cluster, j *checker) {
 			w.recordChange(storeChange{at: time.Now().Add(-drainTime), replica: w.deployment.Replicas[plainReplica]})
 			sendMisdirected(t, w, plainReplica, "r")
 		}, ""},
@@ -238,7 +238,7 @@
 }
 
 func TestCheckerReportsLateCrashAttempts(t *testing.T) {
-	for _, test := range []struct{ late, want int }{{maxLateAttempts, 0}, {maxLateAttempts + 1, 1}} {
+	for _, test := range []struct{ lateAttempts, want int }{{maxLateAttempts, 0}, {maxLateAttempts + 1, 1}} {
 		w := newTestCluster(t)
 		j := newChecker(w)
 		for replica := range 3 {
@@ -246,18 +246,18 @@
 		}
 		third := w.replicas()[2]
 		if by, _ := third.CrashedBy(); by == "" {
-			t.Fatal("no replica has ended")
+			t.Fatal("replica did not crash")
 		}
 		run := j.crashRuns()[crashPrefix+"1"]
-		if run == nil || len(run.crashes) != 3 || run.late() != 0 {
-			t.Fatalf("the run: %+v", run)
+		if run == nil || len(run.crashes) != 3 || run.lateAttempts() != 0 {
+			t.Fatalf("unexpected crash run %+v", run)
 		}
-		for try := range test.late {
-			run.reached[fmt.Sprint("late", try)] = run.crashes[2].Add(quarantineDelay + time.Second)
+		for try := range test.lateAttempts {
+			run.firstArrivals[fmt.Sprint("late", try)] = run.crashes[2].Add(quarantineDelay + time.Second)
 		}
 		j.checkCrashRun("e1", run)
 		if len(j.report.Findings) != test.want || j.report.Crashed != 3 {
-			t.Errorf("%d late tries: findings %v, %d ended", test.late, j.report.Findings, j.report.Crashed)
+			t.Errorf("%d late attempts: findings %v, %d crashed replicas", test.lateAttempts, j.report.Findings, j.report.Crashed)
 		}
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -187,11 +187,11 @@
 			kind := firstSupplementaryKind + Kind(random.IntN(int(CrashingRequest-firstSupplementaryKind)))
 			plan = append(plan, newFault(random, time.Duration(round)*roundLength, kind))
 		}
-		ending := Fault{At: time.Duration(round) * roundLength, Kind: CrashingRequest, Target: round}
-		copied := Fault{
+		crashing := Fault{At: time.Duration(round) * roundLength, Kind: CrashingRequest, Target: round}
+		restored := Fault{
 			At: time.Duration(round)*roundLength + faultsWithin/2, For: longestFault / 3, Kind: StoreRestore, Target: round,
 		}
-		plan = append(plan, ending, copied)
+		plan = append(plan, crashing, restored)
 	}
 	return plan
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -25,17 +25,17 @@
 		for _, fault := range NewPlan(seed, length) {
 			seen[fault.Kind]++
 			if fault.At+fault.For > length {
-				t.Fatalf("seed %d: a fault ends at %v", seed, fault.At+fault.For)
+				t.Fatalf("seed %d: a fault ends at %v, after the run", seed, fault.At+fault.For)
 			}
 			round := int(fault.At / roundLength)
 			if round%updateCheckInterval == updateCheckInterval-1 && fault.Kind.delaysStoreUpdates() {
-				t.Fatalf("seed %d: %v in the calm round %d", seed, fault.Kind, round)
+				t.Fatalf("seed %d: %v in round %d, which checks store updates", seed, fault.Kind, round)
 			}
 		}
 	}
 	for kind := range kinds {
 		if seen[kind] == 0 {
-			t.Errorf("no plan has %v", kind)
+			t.Errorf("no plan contains %v", kind)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 		}
 	}
 	if apart != supplementaryFaults {
-		t.Errorf("%d faults are drawn apart in the one round that may have them", apart)
+		t.Errorf("got %d supplementary faults in the only round that has any", apart)
 	}
 	before := []string{}
 	for _, fault := range newPlan(7103, roundLength) {
@@ -58,6 +58,6 @@
 	}
 	want := []string{"service_lost at 1979", "configure at 100"}
 	if diff := cmp.Diff(want, before); diff != "" {
-		t.Errorf("the faults of a seed that failed (-want +got):\n%s", diff)
+		t.Errorf("faults of a known failing seed (-want +got):\n%s", diff)
 	}
 }
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -6,16 +6,16 @@
 // not by two allocators.
 func TestPortsDisjoint(t *testing.T) {
 	seen := make(map[string]bool)
-	var worlds [3]ports
-	for i := range worlds {
-		defer worlds[i].close()
+	var allocators [3]ports
+	for i := range allocators {
+		defer allocators[i].close()
 		for range 2 * blockSize {
-			address, err := worlds[i].freeAddress()
+			address, err := allocators[i].freeAddress()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if seen[address] {
-				t.Fatalf("%s was handed out twice", address)
+				t.Fatalf("%s was allocated twice", address)
 			}
 			seen[address] = true
 		}
--- a/internal/soak/process/process_test.go
+++ b/internal/soak/process/process_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if got := p.Failures(); len(got) != 1 {
-		t.Errorf("failures %v", got)
+		t.Errorf("got failures %v, want one", got)
 	}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -46,6 +46,6 @@
 
 func TestStartMissingProgram(t *testing.T) {
 	if err := New(Config{Program: "./nowhere"}).Start(); err == nil {
-		t.Error("no error")
+		t.Error("starting a missing program succeeded")
 	}
 }
--- a/internal/soak/proxy/proxy_test.go
+++ b/internal/soak/proxy/proxy_test.go
@@ -83,7 +83,7 @@
 	}
 	_ = conn.(*net.TCPConn).CloseWrite()
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("a clean end is passed on as %v", err)
+		t.Errorf("clean close was forwarded as %v", err)
 	}
 }
 
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(begun); took < 100*time.Millisecond {
-		t.Errorf("there and back in %v", took)
+		t.Errorf("round trip took only %v", took)
 	}
 }
 
@@ -108,14 +108,14 @@
 	}
 	p.Set(Reset)
 	if err := exchange(conn, longWait); err == nil {
-		t.Error("an open connection goes on")
+		t.Error("open connection still works")
 	}
 	if err := attempt(p); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("a new connection is not reset: %v", err)
+		t.Errorf("new connection was not reset: %v", err)
 	}
 	p.Set(Pass)
 	if err := exchange(dial(t, p), longWait); err != nil {
-		t.Errorf("after the end of the fault: %v", err)
+		t.Errorf("new connection after the fault: %v", err)
 	}
 }
 
@@ -126,12 +126,12 @@
 			conn := dial(t, p)
 			p.Set(mode)
 			if err := exchange(conn, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("not held: %v", err)
+				t.Fatalf("data was not held back: %v", err)
 			}
 			p.Set(Pass)
 			_ = conn.SetDeadline(time.Now().Add(longWait))
 			if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-				t.Errorf("what was held is lost: %v", err)
+				t.Errorf("held data was lost: %v", err)
 			}
 		})
 	}
@@ -145,12 +145,12 @@
 	}
 	p.SilenceOpen()
 	if err := exchange(old, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("on a silent connection: %v", err)
+		t.Errorf("silenced connection: %v", err)
 	}
 	if err := exchange(dial(t, p), longWait); err != nil {
-		t.Errorf("on a new connection: %v", err)
+		t.Errorf("new connection: %v", err)
 	}
 	if err := exchange(old, shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("later: %v", err)
+		t.Errorf("silenced connection after a new one: %v", err)
 	}
 }
--- a/internal/soak/stall_test.go
+++ b/internal/soak/stall_test.go
@@ -9,7 +9,7 @@
 	var watch stallDetector
 	began := time.Now()
 	at := func(after time.Duration) time.Time { return began.Add(after) }
-	watch.recordProbe(at(0), at(stallProbe+stallLength/2)) // in time
+	watch.recordProbe(at(0), at(stallProbe+stallLength/2)) // not a stall
 	watch.recordProbe(at(time.Second), at(2*time.Second))
 	watch.recordProbe(at(3*time.Second), at(4*time.Second))
 	for _, test := range []struct {
@@ -22,10 +22,10 @@
 		{4*time.Second + stallEffect, 10 * time.Second, false},
 	} {
 		if got := watch.overlaps(at(test.from), at(test.until)); got != test.want {
-			t.Errorf("from %v to %v: %v", test.from, test.until, got)
+			t.Errorf("overlaps(%v, %v) = %v", test.from, test.until, got)
 		}
 	}
 	if got, want := watch.affectedTime(), 3*time.Second+stallEffect; got != want {
-		t.Errorf("stalls reach over %v, want %v", got, want)
+		t.Errorf("affected time %v, want %v", got, want)
 	}
 }
