--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -12,62 +12,62 @@
 )
 
 // apply injects one fault and returns when it is over.
-func (w *cluster) apply(ctx context.Context, fault Fault) error {
+func (c *cluster) apply(ctx context.Context, fault Fault) error {
 	switch {
 	case fault.Kind == KillHalf:
-		return w.kill(ctx, w.everySecond(fault.Target))
+		return c.kill(ctx, c.everySecond(fault.Target))
 	case fault.Kind == KillAllTwice:
-		if err := w.kill(ctx, w.nodes); err != nil {
+		if err := c.kill(ctx, c.nodes); err != nil {
 			return err
 		}
-		return w.kill(ctx, w.nodes)
+		return c.kill(ctx, c.nodes)
 	case fault.Kind == RollNodes:
-		return w.roll(ctx)
+		return c.roll(ctx)
 	case fault.Kind <= HangUpNode:
-		return w.signal(ctx, fault, w.nodes[fault.Target%len(w.nodes)])
+		return c.signal(ctx, fault, c.nodes[fault.Target%len(c.nodes)])
 	case fault.Kind <= StoreLinkSilence:
-		target := w.nodes[fault.Target%len(w.nodes)]
-		defer w.recordFault(fault.Kind, target)()
+		target := c.nodes[fault.Target%len(c.nodes)]
+		defer c.recordFault(fault.Kind, target)()
 		degradeLink(target.store, fault)
 	case fault.Kind <= ReplicaLinkSilence:
-		defer w.recordFault(fault.Kind, nil)()
-		degradeLink(w.linkOf(fault.Target), fault)
+		defer c.recordFault(fault.Kind, nil)()
+		degradeLink(c.linkOf(fault.Target), fault)
 	case fault.Kind <= ReplicaCrash:
-		return w.degradeReplica(fault, w.replica(fault.Target))
+		return c.degradeReplica(fault, c.replica(fault.Target))
 	case fault.Kind <= ServiceLost:
-		return w.degradeService(fault)
+		return c.degradeService(fault)
 	case fault.Kind <= StoreFreezeWatches:
-		defer w.recordFault(fault.Kind, nil)()
-		if err := w.deployment.Store.SetFaults(storeFaults[fault.Kind]); err != nil {
+		defer c.recordFault(fault.Kind, nil)()
+		if err := c.deployment.Store.SetFaults(storeFaults[fault.Kind]); err != nil {
 			return err
 		}
 		time.Sleep(fault.For)
-		return w.deployment.Store.SetFaults(kv.Faults{})
+		return c.deployment.Store.SetFaults(kv.Faults{})
 	case fault.Kind == Configure:
-		return w.configure(fault.Target)
+		return c.configure(fault.Target)
 	case fault.Kind == ConfigureSeries:
-		return w.configureSeries(fault.Target)
+		return c.configureSeries(fault.Target)
 	case fault.Kind == Evacuate:
-		return w.evacuate(zones[fault.Target%len(zones)])
+		return c.evacuate(zones[fault.Target%len(zones)])
 	case fault.Kind == ReplicaLinkSilenceOpen:
-		defer w.recordFault(fault.Kind, nil)()
-		w.linkOf(fault.Target).SilenceOpen()
+		defer c.recordFault(fault.Kind, nil)()
+		c.linkOf(fault.Target).SilenceOpen()
 	case fault.Kind == ServiceHang:
-		return w.degradeService(fault)
+		return c.degradeService(fault)
 	case fault.Kind == CrashingRequest:
-		w.sendCrashing(ctx, fault)
+		c.sendCrashing(ctx, fault)
 	case fault.Kind == StartWithoutStore:
-		return w.startWithoutStore(ctx, fault)
+		return c.startWithoutStore(ctx, fault)
 	case fault.Kind == StoreRestore:
-		return w.restoreStore(fault)
+		return c.restoreStore(fault)
 	case fault.Kind == PauseStop:
-		return w.pauseStop(ctx, fault, w.nodes[fault.Target%len(w.nodes)])
+		return c.pauseStop(ctx, fault, c.nodes[fault.Target%len(c.nodes)])
 	case fault.Kind == PauseDuringChange:
-		target := w.nodes[fault.Target%len(w.nodes)]
-		defer w.recordFault(fault.Kind, target)()
+		target := c.nodes[fault.Target%len(c.nodes)]
+		defer c.recordFault(fault.Kind, target)()
 		pause(target, fault.For)
 	default:
-		return w.removeReplica(fault, w.replica(fault.Target))
+		return c.removeReplica(fault, c.replica(fault.Target))
 	}
 	return nil
 }
@@ -78,15 +78,15 @@
 	link.Set(proxy.Pass)
 }
 
-func (w *cluster) linkOf(target int) *proxy.Proxy {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.links[target%len(w.links)]
+func (c *cluster) linkOf(target int) *proxy.Proxy {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.links[target%len(c.links)]
 }
 
 // signal sends a node the signal of a fault and restarts the node if it exits.
-func (w *cluster) signal(ctx context.Context, fault Fault, target *node) error {
-	defer w.recordFault(fault.Kind, target)()
+func (c *cluster) signal(ctx context.Context, fault Fault, target *node) error {
+	defer c.recordFault(fault.Kind, target)()
 	switch fault.Kind {
 	case HangUpNode:
 		_ = target.process.Signal(syscall.SIGHUP) // fails if another fault has just stopped the node
@@ -95,36 +95,36 @@
 		pause(target, fault.For)
 		return nil
 	case StopNode:
-		return w.restartAfter(ctx, target, syscall.SIGTERM)
+		return c.restartAfter(ctx, target, syscall.SIGTERM)
 	default:
-		return w.restartAfter(ctx, target, syscall.SIGKILL)
+		return c.restartAfter(ctx, target, syscall.SIGKILL)
 	}
 }
 
 // pause suspends a node for some time.
-func pause(target *node, lasting time.Duration) {
+func pause(target *node, duration time.Duration) {
 	if err := target.process.Signal(syscall.SIGSTOP); err != nil {
 		return // another fault has just stopped the node
 	}
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	_ = target.process.Signal(syscall.SIGCONT) // fails if the node was killed meanwhile
 }
 
-func (w *cluster) everySecond(first int) []*node {
+func (c *cluster) everySecond(first int) []*node {
 	var chosen []*node
-	for i := first % 2; i < len(w.nodes); i += 2 {
-		chosen = append(chosen, w.nodes[i])
+	for i := first % 2; i < len(c.nodes); i += 2 {
+		chosen = append(chosen, c.nodes[i])
 	}
 	return chosen
 }
 
 // kill kills nodes concurrently and restarts them.
-func (w *cluster) kill(ctx context.Context, targets []*node) error {
+func (c *cluster) kill(ctx context.Context, targets []*node) error {
 	var group errgroup.Group
 	for _, target := range targets {
 		group.Go(func() error {
-			defer w.recordFault(KillNode, target)()
-			return w.restartAfter(ctx, target, syscall.SIGKILL)
+			defer c.recordFault(KillNode, target)()
+			return c.restartAfter(ctx, target, syscall.SIGKILL)
 		})
 	}
 	return group.Wait()
@@ -132,16 +132,16 @@
 
 // startWithoutStore kills every second node during a store outage that lasts for
 // fault.For after their restart.
-func (w *cluster) startWithoutStore(ctx context.Context, fault Fault) error {
-	defer w.recordFault(fault.Kind, nil)()
-	if err := w.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
+func (c *cluster) startWithoutStore(ctx context.Context, fault Fault) error {
+	defer c.recordFault(fault.Kind, nil)()
+	if err := c.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
-	if err := w.kill(ctx, w.everySecond(fault.Target)); err != nil {
+	if err := c.kill(ctx, c.everySecond(fault.Target)); err != nil {
 		return err
 	}
 	time.Sleep(fault.For)
-	return w.deployment.Store.SetFaults(kv.Faults{})
+	return c.deployment.Store.SetFaults(kv.Faults{})
 }
 
 // rollGap is the time between two stops of a rolling restart. It is shorter than
@@ -152,17 +152,17 @@
 const maxRolled = 12
 
 // roll restarts nodes in quick succession.
-func (w *cluster) roll(ctx context.Context) error {
+func (c *cluster) roll(ctx context.Context) error {
 	var group errgroup.Group
-	for i, target := range w.nodes[:min(len(w.nodes), maxRolled)] {
+	for i, target := range c.nodes[:min(len(c.nodes), maxRolled)] {
 		group.Go(func() error {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-time.After(time.Duration(i) * rollGap):
 			}
-			defer w.recordFault(StopNode, target)()
-			return w.restartAfter(ctx, target, syscall.SIGTERM)
+			defer c.recordFault(StopNode, target)()
+			return c.restartAfter(ctx, target, syscall.SIGTERM)
 		})
 	}
 	return group.Wait()
@@ -170,15 +170,15 @@
 
 // restartAfter signals a process to exit and restarts it. Concurrent faults on
 // the same process are serialized.
-func (w *cluster) restartAfter(ctx context.Context, target *node, number syscall.Signal) error {
-	target.restarting.Lock()
-	defer target.restarting.Unlock()
+func (c *cluster) restartAfter(ctx context.Context, target *node, number syscall.Signal) error {
+	target.restartMu.Lock()
+	defer target.restartMu.Unlock()
 	_ = target.process.Signal(number) // an unexpected exit is already a finding
 	bounded, cancel := context.WithTimeout(ctx, 2*gracePeriod)
 	defer cancel()
 	if err := target.process.Wait(bounded); err != nil {
 		if ctx.Err() == nil {
-			w.addNote("node " + target.settings.Node + " did not end within twice its grace time")
+			c.addNote("node " + target.settings.Node + " did not end within twice its grace time")
 		}
 		target.process.Kill()
 	}
@@ -187,29 +187,29 @@
 }
 
 // evacuate evacuates a zone until the checks of its replicas are over.
-func (w *cluster) evacuate(zone string) error {
-	defer w.recordFault(Evacuate, nil)()
-	w.evacuating.Lock()
-	defer w.evacuating.Unlock()
-	if err := w.evacuateZone(zone); err != nil {
+func (c *cluster) evacuate(zone string) error {
+	defer c.recordFault(Evacuate, nil)()
+	c.evacuationMu.Lock()
+	defer c.evacuationMu.Unlock()
+	if err := c.setEvacuated(zone); err != nil {
 		return err
 	}
 	at := time.Now()
-	for _, replica := range w.replicas() {
+	for _, replica := range c.replicas() {
 		if replica.Zone() == zone {
-			w.recordChange(storeChange{at: at, replica: replica})
+			c.recordChange(storeChange{at: at, replica: replica})
 		}
 	}
 	time.Sleep(drainTime + checkWindow) // evacuation has the same deadline as draining
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return w.deployment.Readmit(zone)
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return c.deployment.Readmit(zone)
 }
 
-func (w *cluster) evacuateZone(zone string) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return w.deployment.Evacuate(zone)
+func (c *cluster) setEvacuated(zone string) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return c.deployment.Evacuate(zone)
 }
 
 // A series writes seriesLength configurations, one each seriesGap.
@@ -219,9 +219,9 @@
 )
 
 // configureSeries writes several configurations in quick succession.
-func (w *cluster) configureSeries(target int) error {
+func (c *cluster) configureSeries(target int) error {
 	for i := range seriesLength {
-		if err := w.configure(target + i); err != nil {
+		if err := c.configure(target + i); err != nil {
 			return err
 		}
 		time.Sleep(seriesGap)
@@ -230,16 +230,16 @@
 }
 
 // configure writes a configuration with a shard count chosen by target.
-func (w *cluster) configure(target int) error {
-	defer w.recordFault(Configure, nil)()
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
+func (c *cluster) configure(target int) error {
+	defer c.recordFault(Configure, nil)()
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
 	count := 2 + target%(shards-1)
-	w.allowShardCount(count)
-	if err := w.deployment.Configure(count); err != nil {
+	c.allowShardCount(count)
+	if err := c.deployment.Configure(count); err != nil {
 		return err
 	}
-	w.shards = count
-	w.recordChange(storeChange{at: time.Now(), shards: count})
+	c.shards = count
+	c.recordChange(storeChange{at: time.Now(), shards: count})
 	return nil
 }
--- a/internal/soak/budget.go
+++ b/internal/soak/budget.go
@@ -19,14 +19,14 @@
 
 // checkBudgets checks that in each window the repeated arrivals stay within the
 // nodes' retry ratio and slack.
-func (j *checker) checkBudgets() {
-	bounds := j.cluster.nodes[0].settings.Bounds
-	for name, load := range j.load() {
+func (c *checker) checkBudgets() {
+	bounds := c.cluster.nodes[0].settings.Bounds
+	for name, load := range c.load() {
 		for _, from := range load.repeats {
 			repeats, requests := within(load.repeats, from), load.maxRequests(from)
 			if allowed := bounds.RetryRatio*float64(requests) + bounds.RetrySlack; float64(repeats) > allowed {
-				j.addFinding("%s received %d arrivals past the first in the %v from %.2f s on, for %d requests; %.0f are allowed",
-					name, repeats, budgetWindow, from.Sub(j.cluster.began).Seconds(), requests, allowed)
+				c.addFinding("%s received %d arrivals past the first in the %v from %.2f s on, for %d requests; %.0f are allowed",
+					name, repeats, budgetWindow, from.Sub(c.cluster.began).Seconds(), requests, allowed)
 				break
 			}
 		}
@@ -50,7 +50,7 @@
 	return last - first
 }
 
-func (j *checker) load() map[string]*serviceLoad {
+func (c *checker) load() map[string]*serviceLoad {
 	loads := make(map[string]*serviceLoad)
 	of := func(name string) *serviceLoad {
 		if loads[name] == nil {
@@ -58,13 +58,13 @@
 		}
 		return loads[name]
 	}
-	for i := range j.seen {
-		one := &j.seen[i]
-		for _, service := range one.services() {
-			of(service).requests = append(of(service).requests, one.sent)
+	for i := range c.seen {
+		obs := &c.seen[i]
+		for _, service := range obs.services() {
+			of(service).requests = append(of(service).requests, obs.sent)
 		}
 	}
-	for service, arrivals := range j.arrivals() {
+	for service, arrivals := range c.arrivals() {
 		arrived := make(map[string]bool)
 		for _, arrival := range arrivals {
 			if arrived[arrival.ID] {
@@ -81,9 +81,9 @@
 
 // arrivals returns each service's arrivals sorted by time, including misdirected
 // ones.
-func (j *checker) arrivals() map[string][]standin.Arrival {
+func (c *checker) arrivals() map[string][]standin.Arrival {
 	arrivals := make(map[string][]standin.Arrival)
-	for _, replica := range j.cluster.replicas() {
+	for _, replica := range c.cluster.replicas() {
 		arrivals[replica.Service()] = append(arrivals[replica.Service()], replica.ArrivalLog()...)
 	}
 	for _, arrived := range arrivals {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -51,11 +51,11 @@
 	running sync.WaitGroup
 }
 
-func startCallers(w *cluster, checker *checker) *callers {
+func startCallers(c *cluster, checker *checker) *callers {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &callers{cancel: cancel}
 	for number := range callerCount {
-		started.running.Go(func() { call(ctx, w, checker, number) })
+		started.running.Go(func() { call(ctx, c, checker, number) })
 	}
 	return started
 }
@@ -70,22 +70,22 @@
 const freshEvery = 4
 
 // newClient returns the client of a caller, which prefers nodes of its zone.
-func newClient(w *cluster, number int) *standin.Client {
+func newClient(c *cluster, number int) *standin.Client {
 	fresh := number%freshEvery == 0
 	transport := &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: 1}
 	client := &standin.Client{
 		Zone: zones[number%len(zones)], HTTP: &http.Client{Transport: transport}, Method: http.MethodPost, Sticky: !fresh,
 	}
-	client.Region = w.nodes[number%len(w.nodes)].settings.Region
-	for i := range w.nodes {
-		near := w.nodes[(number+i*len(zones))%len(w.nodes)]
+	client.Region = c.nodes[number%len(c.nodes)].settings.Region
+	for i := range c.nodes {
+		near := c.nodes[(number+i*len(zones))%len(c.nodes)]
 		client.Directories = append(client.Directories, near.settings.Directory)
 	}
 	return client
 }
 
-func call(ctx context.Context, w *cluster, checker *checker, number int) {
-	client := newClient(w, number)
+func call(ctx context.Context, c *cluster, checker *checker, number int) {
+	client := newClient(c, number)
 	for serial := 0; ctx.Err() == nil; serial++ {
 		checker.record(request(client, fmt.Sprintf("c%d-%d", number, serial), choosePath()))
 		time.Sleep(time.Duration(rand.Int64N(int64(2 * thinkTime))))
--- a/internal/soak/world.go
+++ b/internal/soak/cluster.go
@@ -45,8 +45,8 @@
 	settings edge.Settings
 	path     string
 	log      *os.File
-	// restarting is held while the process is stopped and restarted.
-	restarting sync.Mutex
+	// restartMu is held while the process is stopped and restarted.
+	restartMu sync.Mutex
 }
 
 // cluster holds the nodes, the stand-in back ends and the recorded events.
@@ -57,13 +57,13 @@
 	stalls     stallDetector
 	began      time.Time
 
-	// returning counts the crashed replicas that are not yet replaced.
-	returning sync.WaitGroup
+	// replacing counts the crashed replicas that are not yet replaced.
+	replacing sync.WaitGroup
 
-	// fleet guards the deployment's replicas, configuring its configuration, and
-	// evacuating its evacuated zone.
-	fleet, configuring, evacuating sync.Mutex
-	// shards is the newest configuration's shard count, guarded by configuring.
+	// replicasMu guards the deployment's replicas, configMu its configuration, and
+	// evacuationMu its evacuated zone.
+	replicasMu, configMu, evacuationMu sync.Mutex
+	// shards is the newest configuration's shard count, guarded by configMu.
 	shards int
 
 	mu sync.Mutex
@@ -82,26 +82,26 @@
 type storeChange struct {
 	at      time.Time
 	shards  int
-	replica *standin.Replica // nil for a number of shards
+	replica *standin.Replica // nil for a new shard count
 }
 
-func (w *cluster) recordChange(one storeChange) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.changes = append(w.changes, one)
+func (c *cluster) recordChange(change storeChange) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.changes = append(c.changes, change)
 }
 
-func (w *cluster) allowShardCount(shardCount int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.allowed[shardCount] = true
+func (c *cluster) allowShardCount(shardCount int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.allowed[shardCount] = true
 }
 
 // addNote records a finding made outside the checker.
-func (w *cluster) addNote(finding string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.notes = append(w.notes, finding)
+func (c *cluster) addNote(finding string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.notes = append(c.notes, finding)
 }
 
 // event is an injected fault.
@@ -119,41 +119,41 @@
 }
 
 func newCluster(config Config) (*cluster, error) {
-	w := &cluster{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}, shards: shards}
+	c := &cluster{leaving: make(map[*standin.Replica]time.Time), allowed: map[int]bool{shards: true}, shards: shards}
 	var err error
-	w.deployment, err = standin.Start(standin.Options{Zones: zones, Shards: shards, ProcessingTime: processingTime, Advertise: w.link, OnCrash: w.replaceCrashed})
+	c.deployment, err = standin.Start(standin.Options{Zones: zones, Shards: shards, ProcessingTime: processingTime, Advertise: c.link, OnCrash: c.replaceCrashed})
 	if err != nil {
 		return nil, eris.Wrap(err, "start stand-in services")
 	}
 	for i := range config.Nodes {
-		started, err := w.startNode(config, i)
+		started, err := c.startNode(config, i)
 		if err != nil {
-			w.close()
+			c.close()
 			return nil, err
 		}
-		w.nodes = append(w.nodes, started)
+		c.nodes = append(c.nodes, started)
 	}
-	return w, nil
+	return c, nil
 }
 
 // link starts a proxy for a replica.
-func (w *cluster) link(listening netip.AddrPort) (netip.AddrPort, error) {
+func (c *cluster) link(listening netip.AddrPort) (netip.AddrPort, error) {
 	made, err := proxy.New(proxy.Config{Target: listening, Delay: linkLag})
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	w.mu.Lock()
-	w.links = append(w.links, made)
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.links = append(c.links, made)
+	c.mu.Unlock()
 	return made.Addr(), nil
 }
 
-func (w *cluster) startNode(config Config, number int) (*node, error) {
-	target, err := netip.ParseAddrPort(w.deployment.StoreURL()[len("http://"):])
+func (c *cluster) startNode(config Config, number int) (*node, error) {
+	target, err := netip.ParseAddrPort(c.deployment.StoreURL()[len("http://"):])
 	if err != nil {
 		return nil, eris.Wrap(err, "parse store address")
 	}
-	started := &node{settings: w.deployment.NodeSettings(fmt.Sprintf("n%d", number), zones[number%len(zones)])}
+	started := &node{settings: c.deployment.NodeSettings(fmt.Sprintf("n%d", number), zones[number%len(zones)])}
 	if started.store, err = proxy.New(proxy.Config{Target: target, Delay: linkLag}); err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 		&started.settings.Callers, &started.settings.Readiness, &started.settings.Directory,
 		&started.settings.Metrics, &started.settings.Peers, &started.settings.State,
 	} {
-		if *address, err = w.ports.freeAddress(); err != nil {
+		if *address, err = c.ports.freeAddress(); err != nil {
 			return nil, err
 		}
 	}
@@ -190,18 +190,18 @@
 	return eris.Wrap(os.WriteFile(n.path, content, settingsMode), "write settings")
 }
 
-func (w *cluster) close() {
-	for _, one := range w.nodes {
-		if one.process != nil {
-			_ = one.process.Signal(syscall.SIGCONT) // it may be paused
-			one.process.Kill()
+func (c *cluster) close() {
+	for _, n := range c.nodes {
+		if n.process != nil {
+			_ = n.process.Signal(syscall.SIGCONT) // it may be paused
+			n.process.Kill()
 		}
-		one.store.Close()
-		_ = one.log.Close()
+		n.store.Close()
+		_ = n.log.Close()
 	}
-	w.ports.close()
-	w.deployment.Close()
-	for _, link := range w.links {
+	c.ports.close()
+	c.deployment.Close()
+	for _, link := range c.links {
 		link.Close()
 	}
 }
@@ -209,12 +209,12 @@
 // readyWait bounds the start of all nodes.
 const readyWait = 30 * time.Second
 
-func (w *cluster) awaitReady(ctx context.Context) error {
+func (c *cluster) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyWait)
-	for _, one := range w.nodes {
-		for !one.ready() {
+	for _, n := range c.nodes {
+		for !n.ready() {
 			if ctx.Err() != nil || time.Now().After(deadline) {
-				return eris.Errorf("node %s was not ready in time", one.settings.Node)
+				return eris.Errorf("node %s was not ready in time", n.settings.Node)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -232,16 +232,16 @@
 }
 
 // startClock sets the time to which the plan's offsets refer.
-func (w *cluster) startClock() { w.began = time.Now() }
+func (c *cluster) startClock() { c.began = time.Now() }
 
 // runPlan injects the faults of a plan and waits until all are over.
-func (w *cluster) runPlan(ctx context.Context, plan []Fault, out io.Writer) error {
+func (c *cluster) runPlan(ctx context.Context, plan []Fault, out io.Writer) error {
 	var running sync.WaitGroup
 	defer running.Wait()
 	failures := make(chan error, len(plan))
 	for _, fault := range plan {
 		running.Go(func() {
-			timer := time.NewTimer(time.Until(w.began.Add(fault.At)))
+			timer := time.NewTimer(time.Until(c.began.Add(fault.At)))
 			defer timer.Stop()
 			select {
 			case <-ctx.Done():
@@ -251,7 +251,7 @@
 			if out != nil {
 				_, _ = fmt.Fprintf(out, "%7.2f s %s %d for %v\n", fault.At.Seconds(), fault.Kind, fault.Target, fault.For.Round(time.Millisecond))
 			}
-			if err := w.apply(ctx, fault); err != nil {
+			if err := c.apply(ctx, fault); err != nil {
 				failures <- err
 			}
 		})
@@ -267,25 +267,25 @@
 
 // recordFault records the start of a fault and returns a function that records
 // its end.
-func (w *cluster) recordFault(kind Kind, target *node) (end func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at := len(w.events)
-	w.events = append(w.events, event{kind: kind, node: target, from: time.Now()})
+func (c *cluster) recordFault(kind Kind, target *node) (end func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at := len(c.events)
+	c.events = append(c.events, event{kind: kind, node: target, from: time.Now()})
 	return func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.events[at].until = time.Now()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.events[at].until = time.Now()
 	}
 }
 
 // overlapsFault reports whether a matching fault overlapped a time span.
-func (w *cluster) overlapsFault(from, until time.Time, matters func(event) bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, one := range w.events {
-		over := !one.until.IsZero() && one.until.Before(from)
-		if !over && !one.from.After(until) && matters(one) {
+func (c *cluster) overlapsFault(from, until time.Time, matters func(event) bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range c.events {
+		over := !e.until.IsZero() && e.until.Before(from)
+		if !over && !e.from.After(until) && matters(e) {
 			return true
 		}
 	}
@@ -299,7 +299,7 @@
 const settleTime = 8 * time.Second
 
 // awaitRecovery waits for the end of the fault-free phase and returns its start.
-func (w *cluster) awaitRecovery(ctx context.Context) time.Time {
+func (c *cluster) awaitRecovery(ctx context.Context) time.Time {
 	settled := time.Now().Add(settleTime)
 	select {
 	case <-ctx.Done():
--- a/internal/soak/ending.go
+++ b/internal/soak/crash.go
@@ -33,42 +33,42 @@
 
 // sendCrashing sends a crashing request repeatedly and waits until all crashed
 // replicas are replaced.
-func (w *cluster) sendCrashing(ctx context.Context, fault Fault) {
-	defer w.recordFault(fault.Kind, nil)()
+func (c *cluster) sendCrashing(ctx context.Context, fault Fault) {
+	defer c.recordFault(fault.Kind, nil)()
 	path := fmt.Sprintf("%s%s%d%s", standin.ScatteredPath, crashPrefix, fault.Target, standin.CrashSuffix)
 	for try := range crashAttempts {
 		client := &standin.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Method: http.MethodPost}
-		client.Pin(w.nodes[rand.IntN(len(w.nodes))].settings.Callers)
+		client.Pin(c.nodes[rand.IntN(len(c.nodes))].settings.Callers)
 		bounded, cancel := context.WithTimeout(ctx, callerWait)
 		_, _ = client.Send(bounded, fmt.Sprintf("%s%d-%d", crashPrefix, fault.Target, try), path, callerWait) // the outcome does not matter
 		cancel()
 		time.Sleep(crashInterval)
 	}
-	w.checkQuarantine(ctx)
-	w.returning.Wait()
+	c.checkQuarantine(ctx)
+	c.replacing.Wait()
 }
 
 // replaceCrashed closes the link of a crashed replica and starts a successor.
-func (w *cluster) replaceCrashed(ended *standin.Replica) {
-	w.markLeaving(ended)
-	w.closeLink(ended)
-	w.returning.Go(func() {
+func (c *cluster) replaceCrashed(crashed *standin.Replica) {
+	c.markLeaving(crashed)
+	c.closeLink(crashed)
+	c.replacing.Go(func() {
 		time.Sleep(crashDowntime)
-		if err := ended.Deregister(); err != nil {
-			w.addNote("an ended replica's entry: " + err.Error())
+		if err := crashed.Deregister(); err != nil {
+			c.addNote("an ended replica's entry: " + err.Error())
 			return
 		}
-		if err := w.startSuccessor(ended); err != nil {
-			w.addNote("an ended replica's successor: " + err.Error())
+		if err := c.startSuccessor(crashed); err != nil {
+			c.addNote("an ended replica's successor: " + err.Error())
 		}
 	})
 }
 
 // closeLink closes the proxy of a replica.
-func (w *cluster) closeLink(replica *standin.Replica) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, link := range w.links {
+func (c *cluster) closeLink(replica *standin.Replica) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, link := range c.links {
 		if link.Addr().String() == replica.Address() {
 			link.Close()
 		}
@@ -76,15 +76,15 @@
 }
 
 // checkQuarantine checks that nodes quarantine only requests that crash replicas.
-func (w *cluster) checkQuarantine(ctx context.Context) {
-	for _, one := range w.nodes {
-		known, err := readSystem(ctx, one.settings.State)
+func (c *cluster) checkQuarantine(ctx context.Context) {
+	for _, target := range c.nodes {
+		system, err := readSystem(ctx, target.settings.State)
 		if err != nil {
 			continue // the node may be down or paused
 		}
-		for _, request := range known.Quarantined {
+		for _, request := range system.Quarantined {
 			if request.Refusing > 0 && !strings.HasSuffix(request.Target, standin.CrashSuffix) {
-				w.addNote(fmt.Sprintf("%d nodes refuse %s, which ends no replica", request.Refusing, request.Target))
+				c.addNote(fmt.Sprintf("%d nodes refuse %s, which ends no replica", request.Refusing, request.Target))
 			}
 		}
 		return
@@ -92,19 +92,19 @@
 }
 
 func readSystem(ctx context.Context, address string) (inspect.System, error) {
-	var known inspect.System
+	var system inspect.System
 	bounded, cancel := context.WithTimeout(ctx, callerWait)
 	defer cancel()
 	request, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+address+"/v1/system", nil)
 	if err != nil {
-		return known, err
+		return system, err
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return known, err
+		return system, err
 	}
-	defer func() { _ = response.Body.Close() }() // the body was already decoded
-	return known, json.NewDecoder(response.Body).Decode(&known)
+	defer func() { _ = response.Body.Close() }() // a close error does not affect the decoded body
+	return system, json.NewDecoder(response.Body).Decode(&system)
 }
 
 // crashRun records what one crashing request did.
@@ -115,7 +115,7 @@
 }
 
 // crashRuns returns the runs by request number.
-func (j *checker) crashRuns() map[string]*crashRun {
+func (c *checker) crashRuns() map[string]*crashRun {
 	runs := make(map[string]*crashRun)
 	runOf := func(id string) *crashRun {
 		number, _, _ := strings.Cut(id, "-")
@@ -124,7 +124,7 @@
 		}
 		return runs[number]
 	}
-	for _, replica := range j.cluster.replicas() {
+	for _, replica := range c.cluster.replicas() {
 		if by, at := replica.CrashedBy(); by != "" {
 			runOf(by).crashes = append(runOf(by).crashes, at)
 		}
@@ -133,7 +133,7 @@
 				continue
 			}
 			firstArrivals := runOf(arrival.ID).firstArrivals
-			if first, known := firstArrivals[arrival.ID]; !known || arrival.At.Before(first) {
+			if first, exists := firstArrivals[arrival.ID]; !exists || arrival.At.Before(first) {
 				firstArrivals[arrival.ID] = arrival.At
 			}
 		}
@@ -158,15 +158,15 @@
 }
 
 // checkCrashRuns checks that crashing requests are soon quarantined.
-func (j *checker) checkCrashRuns() {
-	for number, run := range j.crashRuns() {
-		j.checkCrashRun(number, run)
+func (c *checker) checkCrashRuns() {
+	for number, run := range c.crashRuns() {
+		c.checkCrashRun(number, run)
 	}
 }
 
-func (j *checker) checkCrashRun(number string, run *crashRun) {
-	j.report.Crashed += len(run.crashes)
+func (c *checker) checkCrashRun(number string, run *crashRun) {
+	c.report.Crashed += len(run.crashes)
 	if lateAttempts := run.lateAttempts(); lateAttempts > maxLateAttempts {
-		j.addFinding("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.crashes), lateAttempts, quarantineDelay)
+		c.addFinding("%s ended %d replicas, and %d of its tries reached some later than %v after the third", number, len(run.crashes), lateAttempts, quarantineDelay)
 	}
 }
--- a/internal/soak/pausestop.go
+++ b/internal/soak/pause_stop.go
@@ -34,15 +34,15 @@
 // pauseStop stops a node gracefully while a service hangs, and pauses the node
 // late in its stop. Each held request must get a response, of any status, before
 // its connection closes.
-func (w *cluster) pauseStop(ctx context.Context, fault Fault, target *node) error {
-	defer w.recordFault(fault.Kind, target)()
-	held := w.serving(standin.PlainService)
+func (c *cluster) pauseStop(ctx context.Context, fault Fault, target *node) error {
+	defer c.recordFault(fault.Kind, target)()
+	held := c.serving(standin.PlainService)
 	for _, replica := range held {
 		replica.Hang(1)
 	}
 	var running sync.WaitGroup
 	for number := range heldRequests {
-		running.Go(func() { w.sendHeld(ctx, target, fmt.Sprintf("%s%d-%d", heldPrefix, fault.Target, number)) })
+		running.Go(func() { c.sendHeld(ctx, target, fmt.Sprintf("%s%d-%d", heldPrefix, fault.Target, number)) })
 	}
 	time.Sleep(heldBefore)
 	running.Go(func() {
@@ -50,7 +50,7 @@
 		time.Sleep(time.Duration(share * float64(gracePeriod)))
 		pause(target, fault.For)
 	})
-	err := w.restartAfter(ctx, target, syscall.SIGTERM)
+	err := c.restartAfter(ctx, target, syscall.SIGTERM)
 	running.Wait()
 	for _, replica := range held {
 		replica.Hang(0)
@@ -59,7 +59,7 @@
 }
 
 // sendHeld sends a request that a replica holds to a node about to stop.
-func (w *cluster) sendHeld(ctx context.Context, target *node, id string) {
+func (c *cluster) sendHeld(ctx context.Context, target *node, id string) {
 	client := &standin.Client{HTTP: &http.Client{Transport: &http.Transport{}}, Method: http.MethodPost}
 	client.Pin(target.settings.Callers)
 	bounded, cancel := context.WithTimeout(ctx, heldWait)
@@ -67,8 +67,8 @@
 	sent := time.Now()
 	_, err := client.Send(bounded, id, standin.PlainPath+id, heldWait)
 	gone := errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded)
-	if err == nil || gone || w.overlapsFault(sent.Add(-time.Second), time.Now(), endsConnections(target.settings.Callers)) {
+	if err == nil || gone || c.overlapsFault(sent.Add(-time.Second), time.Now(), breaksConnections(target.settings.Callers)) {
 		return
 	}
-	w.addNote(fmt.Sprintf("%s was held while its node stopped and stood still, and got no answer: %v", id, err))
+	c.addNote(fmt.Sprintf("%s was held while its node stopped and stood still, and got no answer: %v", id, err))
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -158,8 +158,8 @@
 		startClock := time.Duration(round) * roundLength
 		pause := func(kind Kind, from time.Duration) Fault {
 			at := from + time.Duration(random.Int64N(int64(faultsWithin)))
-			lasting := shortestPause + time.Duration(random.Int64N(int64(longestPause-shortestPause)))
-			return Fault{At: at, For: lasting, Kind: kind, Target: random.IntN(1 << 16)}
+			duration := shortestPause + time.Duration(random.Int64N(int64(longestPause-shortestPause)))
+			return Fault{At: at, For: duration, Kind: kind, Target: random.IntN(1 << 16)}
 		}
 		plan = append(plan, pause(PauseStop, startClock))
 		if round%updateCheckInterval == updateCheckInterval-1 {
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -9,21 +9,21 @@
 )
 
 // replica selects a replica that is not leaving.
-func (w *cluster) replica(target int) *standin.Replica {
-	all := w.replicas()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) replica(target int) *standin.Replica {
+	all := c.replicas()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for i := range all {
 		chosen := all[(target+i)%len(all)]
-		if _, leaving := w.leaving[chosen]; !leaving {
+		if _, leaving := c.leaving[chosen]; !leaving {
 			return chosen
 		}
 	}
 	return all[0]
 }
 
-func (w *cluster) degradeReplica(fault Fault, target *standin.Replica) error {
-	defer w.recordFault(fault.Kind, nil)()
+func (c *cluster) degradeReplica(fault Fault, target *standin.Replica) error {
+	defer c.recordFault(fault.Kind, nil)()
 	switch fault.Kind {
 	case ReplicaPause:
 		target.Pause()
@@ -42,13 +42,13 @@
 		time.Sleep(fault.For)
 		target.Reset(0)
 	default:
-		w.markLeaving(target)
+		c.markLeaving(target)
 		target.Close()
 		time.Sleep(fault.For)
 		if err := target.Deregister(); err != nil {
 			return err
 		}
-		return w.startSuccessor(target)
+		return c.startSuccessor(target)
 	}
 	return nil
 }
@@ -66,12 +66,12 @@
 const serviceFaultFactor = 2
 
 // degradeService injects a fault into all replicas of a service.
-func (w *cluster) degradeService(fault Fault) error {
-	defer w.recordFault(fault.Kind, nil)()
+func (c *cluster) degradeService(fault Fault) error {
+	defer c.recordFault(fault.Kind, nil)()
 	fault.For *= serviceFaultFactor
 	shard := fault.Target % shards
 	if fault.Kind == ServiceLost {
-		return w.loseService(fault.For, standin.ShardService(shard), standin.ShardService((shard+1)%shards))
+		return c.stopService(fault.For, standin.ShardService(shard), standin.ShardService((shard+1)%shards))
 	}
 	set, share := (*standin.Replica).Reset, failedShare
 	switch fault.Kind {
@@ -80,7 +80,7 @@
 	case ServiceHang:
 		set, share = (*standin.Replica).Hang, hungShare
 	}
-	degraded := w.serving(standin.ShardService(shard))
+	degraded := c.serving(standin.ShardService(shard))
 	for _, replica := range degraded {
 		set(replica, share)
 	}
@@ -92,12 +92,12 @@
 }
 
 // serving returns the replicas of a service that are not leaving.
-func (w *cluster) serving(service string) []*standin.Replica {
-	all := w.replicas()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) serving(service string) []*standin.Replica {
+	all := c.replicas()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return slices.DeleteFunc(all, func(replica *standin.Replica) bool {
-		_, leaving := w.leaving[replica]
+		_, leaving := c.leaving[replica]
 		return leaving || replica.Service() != service
 	})
 }
@@ -105,17 +105,17 @@
 // addressReuse is the time until the address of a stopped replica is reused.
 const addressReuse = 500 * time.Millisecond
 
-// loseService stops all replicas of a service without deregistering them. A
+// stopService stops all replicas of a service without deregistering them. A
 // replica of another service reuses one address; successors start at the end.
-func (w *cluster) loseService(length time.Duration, service, other string) error {
-	lost, others := w.serving(service), w.serving(other)
+func (c *cluster) stopService(length time.Duration, service, other string) error {
+	lost, others := c.serving(service), c.serving(other)
 	for _, replica := range lost {
-		w.markLeaving(replica)
+		c.markLeaving(replica)
 		replica.Close()
 	}
 	time.Sleep(addressReuse)
 	if len(lost) > 0 && len(others) > 0 {
-		if err := w.reuseAddress(lost[0], others[0]); err != nil {
+		if err := c.reuseAddress(lost[0], others[0]); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 		if err := replica.Deregister(); err != nil {
 			return err
 		}
-		if err := w.startSuccessor(replica); err != nil {
+		if err := c.startSuccessor(replica); err != nil {
 			return err
 		}
 	}
@@ -132,48 +132,48 @@
 }
 
 // reuseAddress starts a replica of like's service at the address of gone.
-func (w *cluster) reuseAddress(gone, like *standin.Replica) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	_, err := w.deployment.ReplaceAt(like, func(listening netip.AddrPort) (netip.AddrPort, error) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		link := w.links[slices.Index(w.deployment.Replicas, gone)]
+func (c *cluster) reuseAddress(gone, like *standin.Replica) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	_, err := c.deployment.ReplaceAt(like, func(listening netip.AddrPort) (netip.AddrPort, error) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		link := c.links[slices.Index(c.deployment.Replicas, gone)]
 		link.SetTarget(listening)
-		w.links = append(w.links, link) // in the replicas' order
+		c.links = append(c.links, link) // in the replicas' order
 		return link.Addr(), nil
 	})
 	return err
 }
 
 // replicas returns all current and former replicas.
-func (w *cluster) replicas() []*standin.Replica {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return slices.Clone(w.deployment.Replicas)
+func (c *cluster) replicas() []*standin.Replica {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return slices.Clone(c.deployment.Replicas)
 }
 
-func (w *cluster) markLeaving(target *standin.Replica) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaving[target] = time.Now()
+func (c *cluster) markLeaving(target *standin.Replica) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaving[target] = time.Now()
 }
 
-func (w *cluster) startSuccessor(gone *standin.Replica) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	_, err := w.deployment.Replace(gone)
+func (c *cluster) startSuccessor(gone *standin.Replica) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	_, err := c.deployment.Replace(gone)
 	return err
 }
 
 // removeReplica starts a successor, then drains or deregisters the replica,
 // which keeps serving.
-func (w *cluster) removeReplica(fault Fault, target *standin.Replica) error {
-	w.markLeaving(target)
-	if err := w.startSuccessor(target); err != nil {
+func (c *cluster) removeReplica(fault Fault, target *standin.Replica) error {
+	c.markLeaving(target)
+	if err := c.startSuccessor(target); err != nil {
 		return err
 	}
-	end := w.recordFault(fault.Kind, nil)
+	end := c.recordFault(fault.Kind, nil)
 	var err error
 	if fault.Kind == Drain {
 		err = target.Drain()
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	w.recordChange(storeChange{at: time.Now(), replica: target})
+	c.recordChange(storeChange{at: time.Now(), replica: target})
 	end()
 	time.Sleep(2 * drainTime)
 	if fault.Kind == Drain {
--- a/internal/soak/copy.go
+++ b/internal/soak/restore.go
@@ -21,42 +21,42 @@
 // restoreStore restores the store from a backup and checks that nodes do not
 // reread it in a loop. It records a configuration change to be checked once the
 // nodes are in contact with the store.
-func (w *cluster) restoreStore(fault Fault) error {
-	end := w.recordFault(fault.Kind, nil)
-	revision := w.deployment.Store.Memory.Revision()
+func (c *cluster) restoreStore(fault Fault) error {
+	end := c.recordFault(fault.Kind, nil)
+	revision := c.deployment.Store.Memory.Revision()
 	time.Sleep(backupAge)
-	before := w.deployment.Store.RangeCalls()
-	if err := w.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
+	before := c.deployment.Store.RangeCalls()
+	if err := c.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
 	time.Sleep(fault.For)
-	if err := w.restoreRevision(revision); err != nil {
+	if err := c.restoreRevision(revision); err != nil {
 		return err
 	}
 	end()
 	time.Sleep(contactTime)
-	if readings, most := w.deployment.Store.RangeCalls()-before, maxReads*len(w.nodes); readings > most {
-		w.addNote(fmt.Sprintf("the nodes read the store %d times, of %d allowed, when it was back from a copy", readings, most))
+	if readings, most := c.deployment.Store.RangeCalls()-before, maxReads*len(c.nodes); readings > most {
+		c.addNote(fmt.Sprintf("the nodes read the store %d times, of %d allowed, when it was back from a copy", readings, most))
 	}
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
-	w.recordChange(storeChange{at: time.Now(), shards: w.shards})
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
+	c.recordChange(storeChange{at: time.Now(), shards: c.shards})
 	return nil
 }
 
 // restoreRevision resets the store to a revision and publishes the later entries
 // again; no other writes happen in between.
-func (w *cluster) restoreRevision(revision int64) error {
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	if err := w.deployment.RestoreStore(revision); err != nil {
+func (c *cluster) restoreRevision(revision int64) error {
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	if err := c.deployment.RestoreStore(revision); err != nil {
 		return err
 	}
-	if err := w.deployment.Store.SetFaults(kv.Faults{}); err != nil {
+	if err := c.deployment.Store.SetFaults(kv.Faults{}); err != nil {
 		return err
 	}
 	time.Sleep(republishDelay)
-	return w.deployment.Republish()
+	return c.deployment.Republish()
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -85,30 +85,30 @@
 }
 
 func run(ctx context.Context, config Config) (Report, error) {
-	w, err := newCluster(config)
+	c, err := newCluster(config)
 	if err != nil {
 		return Report{}, err
 	}
-	defer w.close()
-	if err := w.awaitReady(ctx); err != nil {
+	defer c.close()
+	if err := c.awaitReady(ctx); err != nil {
 		return Report{}, err
 	}
 	plan := NewPlan(config.Seed, config.Length)
-	checker := newChecker(w)
+	checker := newChecker(c)
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go w.stalls.watch(watching)
-	callers := startCallers(w, checker)
-	w.startClock()
-	if err := w.runPlan(ctx, plan, config.Out); err != nil {
+	go c.stalls.watch(watching)
+	callers := startCallers(c, checker)
+	c.startClock()
+	if err := c.runPlan(ctx, plan, config.Out); err != nil {
 		callers.stop()
 		return Report{}, err
 	}
-	checker.expectHealthyFrom(w.awaitRecovery(ctx))
+	checker.expectHealthyFrom(c.awaitRecovery(ctx))
 	callers.stop()
 	report := checker.finish()
 	report.Seed, report.Faults = config.Seed, len(plan)
-	if report.Stalled > time.Duration(maxStalledShare*float64(time.Since(w.began))) {
+	if report.Stalled > time.Duration(maxStalledShare*float64(time.Since(c.began))) {
 		return report, eris.Errorf("run is invalid: the machine was stalled for %v", report.Stalled.Round(time.Second))
 	}
 	return report, nil
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -29,39 +29,39 @@
 }
 
 // watch probes until ctx ends.
-func (w *stallDetector) watch(ctx context.Context) {
+func (d *stallDetector) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		time.Sleep(stallProbe)
-		w.recordProbe(began, time.Now())
+		d.recordProbe(began, time.Now())
 	}
 }
 
-func (w *stallDetector) recordProbe(began, ended time.Time) {
+func (d *stallDetector) recordProbe(began, ended time.Time) {
 	if ended.Sub(began) < stallProbe+stallLength {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stalls = append(w.stalls, stall{began, ended})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stalls = append(d.stalls, stall{began, ended})
 }
 
 // overlaps reports whether a time span overlaps a stall or its after-effects.
-func (w *stallDetector) overlaps(from, until time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.stalls, func(s stall) bool {
+func (d *stallDetector) overlaps(from, until time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.ContainsFunc(d.stalls, func(s stall) bool {
 		return s.from.Before(until) && s.until.Add(stallEffect).After(from)
 	})
 }
 
 // affectedTime returns the total time of stalls and their after-effects.
-func (w *stallDetector) affectedTime() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (d *stallDetector) affectedTime() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var sum time.Duration
 	var covered time.Time
-	for _, s := range w.stalls {
+	for _, s := range d.stalls {
 		from, until := s.from, s.until.Add(stallEffect)
 		if from.Before(covered) {
 			from = covered
