--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -14,7 +14,6 @@
 // Mode is the fault that a Proxy injects.
 type Mode uint8
 
-// The modes.
 const (
 	// Pass forwards everything.
 	Pass Mode = iota
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -35,8 +35,8 @@
 	}
 	end()
 	time.Sleep(contactTime)
-	if readings, most := c.deployment.Store.RangeCalls()-before, maxReads*len(c.nodes); readings > most {
-		c.addNote(fmt.Sprintf("the nodes read the store %d times, of %d allowed, when it was back from a copy", readings, most))
+	if reads, limit := c.deployment.Store.RangeCalls()-before, maxReads*len(c.nodes); reads > limit {
+		c.addNote(fmt.Sprintf("the nodes read the store %d times, of %d allowed, when it was back from a copy", reads, limit))
 	}
 	c.configMu.Lock()
 	defer c.configMu.Unlock()
