--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -11,217 +11,217 @@
 	"github.com/doorpond/doorpond/internal/standin/kv"
 )
 
-// apply lets one fault come, and returns at its end.
-func (w *world) apply(ctx context.Context, fault Fault) error {
+// apply injects one fault and returns when it is over.
+func (c *cluster) apply(ctx context.Context, fault Fault) error {
 	switch {
 	case fault.Kind == KillHalf:
-		return w.kill(ctx, w.everySecond(fault.Target))
+		return c.kill(ctx, c.everySecond(fault.Target))
 	case fault.Kind == KillAllTwice:
-		if err := w.kill(ctx, w.nodes); err != nil {
+		if err := c.kill(ctx, c.nodes); err != nil {
 			return err
 		}
-		return w.kill(ctx, w.nodes)
+		return c.kill(ctx, c.nodes)
 	case fault.Kind == RollNodes:
-		return w.roll(ctx)
+		return c.roll(ctx)
 	case fault.Kind <= HangUpNode:
-		return w.signal(ctx, fault, w.nodes[fault.Target%len(w.nodes)])
+		return c.signal(ctx, fault, c.nodes[fault.Target%len(c.nodes)])
 	case fault.Kind <= StoreLinkSilence:
-		target := w.nodes[fault.Target%len(w.nodes)]
-		defer w.noted(fault.Kind, target)()
-		harm(target.store, fault)
+		target := c.nodes[fault.Target%len(c.nodes)]
+		defer c.recordFault(fault.Kind, target)()
+		degradeLink(target.store, fault)
 	case fault.Kind <= ReplicaLinkSilence:
-		defer w.noted(fault.Kind, nil)()
-		harm(w.linkOf(fault.Target), fault)
+		defer c.recordFault(fault.Kind, nil)()
+		degradeLink(c.linkOf(fault.Target), fault)
 	case fault.Kind <= ReplicaCrash:
-		return w.harmReplica(fault, w.replica(fault.Target))
+		return c.degradeReplica(fault, c.replica(fault.Target))
 	case fault.Kind <= ServiceLost:
-		return w.harmService(fault)
-	case fault.Kind <= StoreDeaf:
-		defer w.noted(fault.Kind, nil)()
-		if err := w.deployment.Store.SetFaults(storeFaults[fault.Kind]); err != nil {
+		return c.degradeService(fault)
+	case fault.Kind <= StoreFreezeWatches:
+		defer c.recordFault(fault.Kind, nil)()
+		if err := c.deployment.Store.SetFaults(storeFaults[fault.Kind]); err != nil {
 			return err
 		}
 		time.Sleep(fault.For)
-		return w.deployment.Store.SetFaults(kv.Faults{})
+		return c.deployment.Store.SetFaults(kv.Faults{})
 	case fault.Kind == Configure:
-		return w.configure(fault.Target)
+		return c.configure(fault.Target)
 	case fault.Kind == ConfigureSeries:
-		return w.configureSeries(fault.Target)
+		return c.configureSeries(fault.Target)
 	case fault.Kind == Evacuate:
-		return w.evacuate(zones[fault.Target%len(zones)])
-	case fault.Kind == ReplicaLinkDeaden:
-		defer w.noted(fault.Kind, nil)()
-		w.linkOf(fault.Target).Deaden()
+		return c.evacuate(zones[fault.Target%len(zones)])
+	case fault.Kind == ReplicaLinkSilenceOpen:
+		defer c.recordFault(fault.Kind, nil)()
+		c.linkOf(fault.Target).SilenceOpen()
 	case fault.Kind == ServiceHang:
-		return w.harmService(fault)
-	case fault.Kind == EndingRequest:
-		w.sendEnding(ctx, fault)
+		return c.degradeService(fault)
+	case fault.Kind == CrashingRequest:
+		c.sendCrashing(ctx, fault)
 	case fault.Kind == StartWithoutStore:
-		return w.startWithoutStore(ctx, fault)
-	case fault.Kind == StoreCopy:
-		return w.restoreStore(fault)
+		return c.startWithoutStore(ctx, fault)
+	case fault.Kind == StoreRestore:
+		return c.restoreStore(fault)
 	case fault.Kind == PauseStop:
-		return w.pauseStop(ctx, fault, w.nodes[fault.Target%len(w.nodes)])
-	case fault.Kind == PauseNews:
-		target := w.nodes[fault.Target%len(w.nodes)]
-		defer w.noted(fault.Kind, target)()
+		return c.pauseStop(ctx, fault, c.nodes[fault.Target%len(c.nodes)])
+	case fault.Kind == PauseDuringChange:
+		target := c.nodes[fault.Target%len(c.nodes)]
+		defer c.recordFault(fault.Kind, target)()
 		pause(target, fault.For)
 	default:
-		return w.leave(fault, w.replica(fault.Target))
+		return c.removeReplica(fault, c.replica(fault.Target))
 	}
 	return nil
 }
 
-func harm(link *proxy.Proxy, fault Fault) {
+func degradeLink(link *proxy.Proxy, fault Fault) {
 	link.Set(linkModes[fault.Kind])
 	time.Sleep(fault.For)
 	link.Set(proxy.Pass)
 }
 
-func (w *world) linkOf(target int) *proxy.Proxy {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.links[target%len(w.links)]
+func (c *cluster) linkOf(target int) *proxy.Proxy {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.links[target%len(c.links)]
 }
 
-// signal sends a node the signal of a fault, and starts it again if it ends.
-func (w *world) signal(ctx context.Context, fault Fault, target *node) error {
-	defer w.noted(fault.Kind, target)()
+// signal sends a node the signal of a fault and restarts the node if it exits.
+func (c *cluster) signal(ctx context.Context, fault Fault, target *node) error {
+	defer c.recordFault(fault.Kind, target)()
 	switch fault.Kind {
 	case HangUpNode:
-		_ = target.process.Signal(syscall.SIGHUP) // another fault may have just ended it
+		_ = target.process.Signal(syscall.SIGHUP) // fails if another fault has just stopped the node
 		return nil
 	case PauseNode:
 		pause(target, fault.For)
 		return nil
 	case StopNode:
-		return w.restartAfter(ctx, target, syscall.SIGTERM)
+		return c.restartAfter(ctx, target, syscall.SIGTERM)
 	default:
-		return w.restartAfter(ctx, target, syscall.SIGKILL)
+		return c.restartAfter(ctx, target, syscall.SIGKILL)
 	}
 }
 
-// pause lets a node stand still for some time.
-func pause(target *node, lasting time.Duration) {
+// pause suspends a node for some time.
+func pause(target *node, duration time.Duration) {
 	if err := target.process.Signal(syscall.SIGSTOP); err != nil {
-		return // another fault has just ended it
+		return // another fault has just stopped the node
 	}
-	time.Sleep(lasting)
-	_ = target.process.Signal(syscall.SIGCONT) // it may have been killed meanwhile
+	time.Sleep(duration)
+	_ = target.process.Signal(syscall.SIGCONT) // fails if the node was killed meanwhile
 }
 
-func (w *world) everySecond(first int) []*node {
+func (c *cluster) everySecond(first int) []*node {
 	var chosen []*node
-	for i := first % 2; i < len(w.nodes); i += 2 {
-		chosen = append(chosen, w.nodes[i])
+	for i := first % 2; i < len(c.nodes); i += 2 {
+		chosen = append(chosen, c.nodes[i])
 	}
 	return chosen
 }
 
-// kill kills some nodes at the same moment.
-func (w *world) kill(ctx context.Context, targets []*node) error {
+// kill kills nodes concurrently and restarts them.
+func (c *cluster) kill(ctx context.Context, targets []*node) error {
 	var group errgroup.Group
 	for _, target := range targets {
 		group.Go(func() error {
-			defer w.noted(KillNode, target)()
-			return w.restartAfter(ctx, target, syscall.SIGKILL)
+			defer c.recordFault(KillNode, target)()
+			return c.restartAfter(ctx, target, syscall.SIGKILL)
 		})
 	}
 	return group.Wait()
 }
 
-// startWithoutStore kills every second node while the store is out, which comes back once
-// they have run for the length of the fault.
-func (w *world) startWithoutStore(ctx context.Context, fault Fault) error {
-	defer w.noted(fault.Kind, nil)()
-	if err := w.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
+// startWithoutStore kills every second node during a store outage that lasts for
+// fault.For after their restart.
+func (c *cluster) startWithoutStore(ctx context.Context, fault Fault) error {
+	defer c.recordFault(fault.Kind, nil)()
+	if err := c.deployment.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
-	if err := w.kill(ctx, w.everySecond(fault.Target)); err != nil {
+	if err := c.kill(ctx, c.everySecond(fault.Target)); err != nil {
 		return err
 	}
 	time.Sleep(fault.For)
-	return w.deployment.Store.SetFaults(kv.Faults{})
+	return c.deployment.Store.SetFaults(kv.Faults{})
 }
 
-// rollGap is the time between the stops of two nodes of a roll: shorter than a stop
-// takes, so that some nodes stop while others start.
+// rollGap is the time between two stops of a rolling restart. It is shorter than
+// a stop, so that some nodes stop while others start.
 const rollGap = 700 * time.Millisecond
 
-// mostRolled bounds the nodes that a roll stops, as a round has its length.
-const mostRolled = 12
+// maxRolled bounds the nodes of a rolling restart, to fit into a round.
+const maxRolled = 12
 
-// roll stops nodes one soon after the other, and starts them again.
-func (w *world) roll(ctx context.Context) error {
+// roll restarts nodes in quick succession.
+func (c *cluster) roll(ctx context.Context) error {
 	var group errgroup.Group
-	for i, target := range w.nodes[:min(len(w.nodes), mostRolled)] {
+	for i, target := range c.nodes[:min(len(c.nodes), maxRolled)] {
 		group.Go(func() error {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-time.After(time.Duration(i) * rollGap):
 			}
-			defer w.noted(StopNode, target)()
-			return w.restartAfter(ctx, target, syscall.SIGTERM)
+			defer c.recordFault(StopNode, target)()
+			return c.restartAfter(ctx, target, syscall.SIGTERM)
 		})
 	}
 	return group.Wait()
 }
 
-// restartAfter ends a process and starts it again. Of two faults that end the
-// same process, one restarts it.
-func (w *world) restartAfter(ctx context.Context, target *node, number syscall.Signal) error {
-	target.restarting.Lock()
-	defer target.restarting.Unlock()
-	_ = target.process.Signal(number) // one that has ended by itself is a finding already
-	bounded, cancel := context.WithTimeout(ctx, 2*grace)
+// restartAfter signals a process to exit and restarts it. Concurrent faults on
+// the same process are serialized.
+func (c *cluster) restartAfter(ctx context.Context, target *node, number syscall.Signal) error {
+	target.restartMu.Lock()
+	defer target.restartMu.Unlock()
+	_ = target.process.Signal(number) // an unexpected exit is already a finding
+	bounded, cancel := context.WithTimeout(ctx, 2*gracePeriod)
 	defer cancel()
 	if err := target.process.Wait(bounded); err != nil {
 		if ctx.Err() == nil {
-			w.note("node " + target.settings.Node + " did not end within twice its grace time")
+			c.addNote("node " + target.settings.Node + " did not end within twice its grace time")
 		}
-		target.process.End()
+		target.process.Kill()
 	}
-	time.Sleep(restart)
+	time.Sleep(restartDelay)
 	return target.process.Start()
 }
 
-// evacuate keeps all work from a zone until its replicas have been looked at.
-func (w *world) evacuate(zone string) error {
-	defer w.noted(Evacuate, nil)()
-	w.evacuating.Lock()
-	defer w.evacuating.Unlock()
-	if err := w.evacuateZone(zone); err != nil {
+// evacuate evacuates a zone until the checks of its replicas are over.
+func (c *cluster) evacuate(zone string) error {
+	defer c.recordFault(Evacuate, nil)()
+	c.evacuationMu.Lock()
+	defer c.evacuationMu.Unlock()
+	if err := c.setEvacuated(zone); err != nil {
 		return err
 	}
 	at := time.Now()
-	for _, replica := range w.replicas() {
+	for _, replica := range c.replicas() {
 		if replica.Zone() == zone {
-			w.markNews(news{at: at, replica: replica})
+			c.recordChange(storeChange{at: at, replica: replica})
 		}
 	}
-	time.Sleep(drainTime + newsWindow) // the time to evacuate is that to drain
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return w.deployment.Readmit(zone)
+	time.Sleep(drainTime + checkWindow) // evacuation has the same deadline as draining
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return c.deployment.Readmit(zone)
 }
 
-func (w *world) evacuateZone(zone string) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return w.deployment.Evacuate(zone)
+func (c *cluster) setEvacuated(zone string) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return c.deployment.Evacuate(zone)
 }
 
-// The configurations of a series, one each seriesGap.
+// A series writes seriesLength configurations, one each seriesGap.
 const (
 	seriesLength = 5
 	seriesGap    = 400 * time.Millisecond
 )
 
-// configureSeries writes some configurations, one soon after the other.
-func (w *world) configureSeries(target int) error {
+// configureSeries writes several configurations in quick succession.
+func (c *cluster) configureSeries(target int) error {
 	for i := range seriesLength {
-		if err := w.configure(target + i); err != nil {
+		if err := c.configure(target + i); err != nil {
 			return err
 		}
 		time.Sleep(seriesGap)
@@ -229,17 +229,17 @@
 	return nil
 }
 
-// configure writes a configuration with a number of shards.
-func (w *world) configure(target int) error {
-	defer w.noted(Configure, nil)()
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
+// configure writes a configuration with a shard count chosen by target.
+func (c *cluster) configure(target int) error {
+	defer c.recordFault(Configure, nil)()
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
 	count := 2 + target%(shards-1)
-	w.allow(count)
-	if err := w.deployment.Configure(count); err != nil {
+	c.allowShardCount(count)
+	if err := c.deployment.Configure(count); err != nil {
 		return err
 	}
-	w.shards = count
-	w.markNews(news{at: time.Now(), shards: count})
+	c.shards = count
+	c.recordChange(storeChange{at: time.Now(), shards: count})
 	return nil
 }
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -8,28 +8,28 @@
 	"github.com/doorpond/doorpond/platform/standin"
 )
 
-// replica returns one that is not leaving.
-func (w *world) replica(target int) *standin.Replica {
-	all := w.replicas()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// replica selects a replica that is not leaving.
+func (c *cluster) replica(target int) *standin.Replica {
+	all := c.replicas()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for i := range all {
 		chosen := all[(target+i)%len(all)]
-		if _, leaving := w.leaving[chosen]; !leaving {
+		if _, leaving := c.leaving[chosen]; !leaving {
 			return chosen
 		}
 	}
 	return all[0]
 }
 
-func (w *world) harmReplica(fault Fault, target *standin.Replica) error {
-	defer w.noted(fault.Kind, nil)()
+func (c *cluster) degradeReplica(fault Fault, target *standin.Replica) error {
+	defer c.recordFault(fault.Kind, nil)()
 	switch fault.Kind {
 	case ReplicaPause:
 		target.Pause()
 		time.Sleep(fault.For)
 		target.Resume()
-	case ReplicaSpoil:
+	case ReplicaAbortResponses:
 		target.AbortResponses(true)
 		time.Sleep(fault.For)
 		target.AbortResponses(false)
@@ -38,84 +38,84 @@
 		time.Sleep(fault.For)
 		target.Refuse(false)
 	case ReplicaReset:
-		target.Reset(lostShare)
+		target.Reset(failedShare)
 		time.Sleep(fault.For)
 		target.Reset(0)
 	default:
-		w.markLeaving(target)
+		c.markLeaving(target)
 		target.Close()
 		time.Sleep(fault.For)
 		if err := target.Deregister(); err != nil {
 			return err
 		}
-		return w.succeed(target)
+		return c.startSuccessor(target)
 	}
 	return nil
 }
 
-// lostShare is the share of requests that a replica resets or rejects: more than the retry
-// budget could make good.
-const lostShare = 0.6
+// failedShare is the share of requests that a replica resets or rejects: more
+// than the retry budget can make up for.
+const failedShare = 0.6
 
-// hungShare is the share of requests that a replica holds: the slots of the others are left
-// to those that it serves.
+// hungShare is the share of requests that a replica hangs. The other requests
+// need the remaining slots.
 const hungShare = 0.3
 
-// serviceLengths is how many times longer the faults of a whole service are than others:
-// long enough for repeats outside the budget to exceed it at the callers' rate.
-const serviceLengths = 2
+// serviceFaultFactor prolongs faults of a whole service, so that retries outside
+// the budget would exceed it.
+const serviceFaultFactor = 2
 
-// harmService lets a fault befall all replicas of a service.
-func (w *world) harmService(fault Fault) error {
-	defer w.noted(fault.Kind, nil)()
-	fault.For *= serviceLengths
+// degradeService injects a fault into all replicas of a service.
+func (c *cluster) degradeService(fault Fault) error {
+	defer c.recordFault(fault.Kind, nil)()
+	fault.For *= serviceFaultFactor
 	shard := fault.Target % shards
 	if fault.Kind == ServiceLost {
-		return w.loseService(fault.For, standin.ShardService(shard), standin.ShardService((shard+1)%shards))
+		return c.stopService(fault.For, standin.ShardService(shard), standin.ShardService((shard+1)%shards))
 	}
-	set, share := (*standin.Replica).Reset, lostShare
+	set, share := (*standin.Replica).Reset, failedShare
 	switch fault.Kind {
 	case ServiceReject:
 		set = (*standin.Replica).Reject
 	case ServiceHang:
 		set, share = (*standin.Replica).Hang, hungShare
 	}
-	harmed := w.serving(standin.ShardService(shard))
-	for _, replica := range harmed {
+	degraded := c.serving(standin.ShardService(shard))
+	for _, replica := range degraded {
 		set(replica, share)
 	}
 	time.Sleep(fault.For)
-	for _, replica := range harmed {
+	for _, replica := range degraded {
 		set(replica, 0)
 	}
 	return nil
 }
 
 // serving returns the replicas of a service that are not leaving.
-func (w *world) serving(service string) []*standin.Replica {
-	all := w.replicas()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) serving(service string) []*standin.Replica {
+	all := c.replicas()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return slices.DeleteFunc(all, func(replica *standin.Replica) bool {
-		_, leaving := w.leaving[replica]
+		_, leaving := c.leaving[replica]
 		return leaving || replica.Service() != service
 	})
 }
 
-// addressReuse is how long the address of a replica that has ended is not used.
+// addressReuse is the time until the address of a stopped replica is reused.
 const addressReuse = 500 * time.Millisecond
 
-// loseService ends all replicas of a service, without a word to the store. A replica of
-// another service gets the address of one of them; successors come when the fault ends.
-func (w *world) loseService(length time.Duration, service, other string) error {
-	lost, others := w.serving(service), w.serving(other)
+// stopService stops all replicas of a service without deregistering them. A
+// replica of another service reuses one address; successors start at the end.
+func (c *cluster) stopService(length time.Duration, service, other string) error {
+	lost, others := c.serving(service), c.serving(other)
 	for _, replica := range lost {
-		w.markLeaving(replica)
+		c.markLeaving(replica)
 		replica.Close()
 	}
 	time.Sleep(addressReuse)
 	if len(lost) > 0 && len(others) > 0 {
-		if err := w.reuseAddress(lost[0], others[0]); err != nil {
+		if err := c.reuseAddress(lost[0], others[0]); err != nil {
 			return err
 		}
 	}
@@ -124,56 +124,56 @@
 		if err := replica.Deregister(); err != nil {
 			return err
 		}
-		if err := w.succeed(replica); err != nil {
+		if err := c.startSuccessor(replica); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reuseAddress starts a replica like another one at the address of one that has ended.
-func (w *world) reuseAddress(gone, like *standin.Replica) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	_, err := w.deployment.ReplaceAt(like, func(listening netip.AddrPort) (netip.AddrPort, error) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		link := w.links[slices.Index(w.deployment.Replicas, gone)]
+// reuseAddress starts a replica of like's service at the address of gone.
+func (c *cluster) reuseAddress(gone, like *standin.Replica) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	_, err := c.deployment.ReplaceAt(like, func(listening netip.AddrPort) (netip.AddrPort, error) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		link := c.links[slices.Index(c.deployment.Replicas, gone)]
 		link.SetTarget(listening)
-		w.links = append(w.links, link) // in the replicas' order
+		c.links = append(c.links, link) // in the replicas' order
 		return link.Addr(), nil
 	})
 	return err
 }
 
-// replicas returns all that there are and have been.
-func (w *world) replicas() []*standin.Replica {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	return slices.Clone(w.deployment.Replicas)
+// replicas returns all current and former replicas.
+func (c *cluster) replicas() []*standin.Replica {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	return slices.Clone(c.deployment.Replicas)
 }
 
-func (w *world) markLeaving(target *standin.Replica) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaving[target] = time.Now()
+func (c *cluster) markLeaving(target *standin.Replica) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaving[target] = time.Now()
 }
 
-func (w *world) succeed(gone *standin.Replica) error {
-	w.fleet.Lock()
-	defer w.fleet.Unlock()
-	_, err := w.deployment.Replace(gone)
+func (c *cluster) startSuccessor(gone *standin.Replica) error {
+	c.replicasMu.Lock()
+	defer c.replicasMu.Unlock()
+	_, err := c.deployment.Replace(gone)
 	return err
 }
 
-// leave lets a replica go: a successor comes first, and the replica serves on
-// for a while after the store has taken its word.
-func (w *world) leave(fault Fault, target *standin.Replica) error {
-	w.markLeaving(target)
-	if err := w.succeed(target); err != nil {
+// removeReplica starts a successor, then drains or deregisters the replica,
+// which keeps serving.
+func (c *cluster) removeReplica(fault Fault, target *standin.Replica) error {
+	c.markLeaving(target)
+	if err := c.startSuccessor(target); err != nil {
 		return err
 	}
-	end := w.noted(fault.Kind, nil)
+	end := c.recordFault(fault.Kind, nil)
 	var err error
 	if fault.Kind == Drain {
 		err = target.Drain()
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	w.markNews(news{at: time.Now(), replica: target})
+	c.recordChange(storeChange{at: time.Now(), replica: target})
 	end()
 	time.Sleep(2 * drainTime)
 	if fault.Kind == Drain {
--- a/internal/soak/stall_test.go
+++ b/internal/soak/stall_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestStalls(t *testing.T) {
-	var watch stallWatch
+func TestStallDetector(t *testing.T) {
+	var detector stallDetector
 	began := time.Now()
 	at := func(after time.Duration) time.Time { return began.Add(after) }
-	watch.probed(at(0), at(stallProbe+stallLength/2)) // in time
-	watch.probed(at(time.Second), at(2*time.Second))
-	watch.probed(at(3*time.Second), at(4*time.Second))
+	detector.recordProbe(at(0), at(stallProbe+stallLength/2)) // not a stall
+	detector.recordProbe(at(time.Second), at(2*time.Second))
+	detector.recordProbe(at(3*time.Second), at(4*time.Second))
 	for _, test := range []struct {
 		from, until time.Duration
 		want        bool
@@ -19,13 +19,13 @@
 		{0, time.Second, false},
 		{500 * time.Millisecond, 1500 * time.Millisecond, true},
 		{5 * time.Second, 5500 * time.Millisecond, true},
-		{4*time.Second + stallReach, 10 * time.Second, false},
+		{4*time.Second + stallEffect, 10 * time.Second, false},
 	} {
-		if got := watch.touches(at(test.from), at(test.until)); got != test.want {
-			t.Errorf("from %v to %v: %v", test.from, test.until, got)
+		if got := detector.overlaps(at(test.from), at(test.until)); got != test.want {
+			t.Errorf("overlaps(%v, %v) = %v", test.from, test.until, got)
 		}
 	}
-	if got, want := watch.reach(), 3*time.Second+stallReach; got != want {
-		t.Errorf("stalls reach over %v, want %v", got, want)
+	if got, want := detector.affectedTime(), 3*time.Second+stallEffect; got != want {
+		t.Errorf("affected time %v, want %v", got, want)
 	}
 }
