--- a/cmd/doorpond-lab/prove.go
+++ b/cmd/doorpond-lab/prove.go
@@ -92,12 +92,12 @@
 	switch promise {
 	case promisePlannedStop:
 		report, failure := proofs.PlannedStop(ctx, cluster, proofs.PlannedStopOptions{
-			Requests: command.Int64(flagRequests), Stops: command.Int(flagStops), Callers: 40, Pause: time.Millisecond,
+			Requests: command.Int64(flagRequests), Stops: command.Int(flagStops), Callers: 40, RequestInterval: time.Millisecond,
 		})
 		line, held, err = report, report.CutOff+report.Failed == 0, failure
 	case promiseAtMostOnce:
 		report, failure := proofs.AtMostOnce(ctx, cluster, proofs.AtMostOnceOptions{
-			Keys: command.Int(flagKeys), Rounds: command.Int(flagRounds), Seed: command.Uint64(flagSeed), Callers: 16, Attempts: 8,
+			Keys: command.Int(flagKeys), Rounds: command.Int(flagRounds), Seed: command.Uint64(flagSeed), Callers: 16, MaxAttempts: 8,
 		})
 		line, held, err = report, len(report.Violations) == 0, failure
 	case promiseTable:
--- a/internal/proofs/at_most_once.go
+++ b/internal/proofs/at_most_once.go
@@ -26,8 +26,8 @@
 	Keys int
 	// Callers are at work at the same time; two of them share each key.
 	Callers int
-	// Attempts is the greatest number of times that a caller sends a key.
-	Attempts int
+	// MaxAttempts is the greatest number of times that a caller sends a key.
+	MaxAttempts int
 	// Rounds is how often the whole list of faults comes.
 	Rounds int
 	// Seed chooses daemons and the moments of giving up.
@@ -48,8 +48,8 @@
 	Faults  int `json:"faults"`
 	// Executed is the number of keys that a back end ran; MostExecutions the
 	// greatest number of executions of one key.
-	Executed       int `json:"executed"`
-	MostExecutions int `json:"most_executions"`
+	Executed      int `json:"executed"`
+	MaxExecutions int `json:"most_executions"`
 	// Violations describe each broken promise.
 	Violations []string `json:"violations"`
 }
@@ -57,7 +57,7 @@
 // String is one line.
 func (r AtMostOnceReport) String() string {
 	return fmt.Sprintf("keys %d, attempts %d (results %d, of them remembered %d; not run %d; unknown %d), faults %d, keys executed %d, most executions of a key %d, violations %d",
-		r.Keys, r.Attempts, r.Results, r.Repeated, r.NotRun, r.Unknown, r.Faults, r.Executed, r.MostExecutions, len(r.Violations))
+		r.Keys, r.Attempts, r.Results, r.Repeated, r.NotRun, r.Unknown, r.Faults, r.Executed, r.MaxExecutions, len(r.Violations))
 }
 
 const (
@@ -140,7 +140,7 @@
 // that "not run" can be held against the back ends.
 func (r *callRun) repeat(ctx context.Context, through *http.Client, random *rand.Rand, number int) {
 	key := fmt.Sprintf("refund-%d", number)
-	attempts := r.options.Attempts
+	attempts := r.options.MaxAttempts
 	if number%2 == 1 {
 		attempts = 1
 	}
@@ -193,7 +193,7 @@
 	executions := r.cluster.Platform.Executions()
 	report := AtMostOnceReport{Keys: len(r.attempts), Executed: len(executions), Faults: r.faults, Violations: []string{}}
 	for key, count := range executions {
-		report.MostExecutions = max(report.MostExecutions, count)
+		report.MaxExecutions = max(report.MaxExecutions, count)
 		if count > 1 {
 			report.violate("%s ran %d times", key, count)
 		}
--- a/internal/proofs/cluster.go
+++ b/internal/proofs/cluster.go
@@ -83,7 +83,7 @@
 		SetPolicies:    []policy.Row{policy.DefaultRow(policyName)},
 		SetAssignments: []policy.Assignment{{Group: callerGroup, Shares: []policy.Share{{Policy: policyName, Weight: 1}}}},
 	}
-	result, err := c.API(0).Edit(ctx, edit, 0)
+	result, err := c.AdminClient(0).Edit(ctx, edit, 0)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 func (c *Cluster) awaitServing(ctx context.Context, revision uint64) error {
 	daemons := len(c.Alive())
 	return await(ctx, "all daemons to know each other and the table", func() (bool, error) {
-		status, err := c.API(0).Status(ctx)
+		status, err := c.AdminClient(0).Status(ctx)
 		if err != nil || len(status.Nodes) < daemons {
 			return false, nil // the daemons are still joining
 		}
@@ -152,9 +152,9 @@
 
 func (c *Cluster) oldestAlive() *Process { return c.Alive()[0] }
 
-// API returns a client of the administration port of the daemon at a position
+// AdminClient returns a client of the administration port of the daemon at a position
 // among those alive.
-func (c *Cluster) API(position int) *operator.AdminClient {
+func (c *Cluster) AdminClient(position int) *operator.AdminClient {
 	return apiOf(c.Alive()[position])
 }
 
--- a/internal/proofs/pauses.go
+++ b/internal/proofs/pauses.go
@@ -10,8 +10,8 @@
 type PausesOptions struct {
 	PlannedStopOptions
 	// Pauses is how often all daemons stand still together, each time for Lasting.
-	Pauses  int
-	Lasting time.Duration
+	Pauses        int
+	PauseDuration time.Duration
 }
 
 // Pauses lets all daemons stand still under load, again and again, and counts what became of
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			if err := pauseAll(ctx, cluster, options.Lasting); err != nil {
+			if err := pauseAll(ctx, cluster, options.PauseDuration); err != nil {
 				return err
 			}
 		}
--- a/internal/proofs/planned_stop.go
+++ b/internal/proofs/planned_stop.go
@@ -28,29 +28,29 @@
 	Requests int64
 	// Callers send at the same time, each on a kept-alive connection.
 	Callers int
-	// Pause is what a caller waits between two requests; each fourth caller
+	// RequestInterval is what a caller waits between two requests; each fourth caller
 	// waits sleepyFactor times as long, so that idle connections are used
 	// again during a stop. Each eighth caller sends slow operations that may
 	// not be repeated in place of queries.
-	Pause time.Duration
+	RequestInterval time.Duration
 	// Stops is the number of daemons to stop, one after the other; each is
 	// replaced once it has ended.
 	Stops int
 	// CallDeadline is the time allowed for an operation that may not be repeated; 0 leaves
 	// it to the daemons.
 	CallDeadline time.Duration
-	// Freeze is for how long each daemon stands still in its stop, FreezeAfter after the
+	// FreezeDuration is for how long each daemon stands still in its stop, FreezeDelay after the
 	// signal; 0 means not at all.
-	Freeze, FreezeAfter time.Duration
+	FreezeDuration, FreezeDelay time.Duration
 }
 
 // PlannedStopReport counts what became of the requests.
 type PlannedStopReport struct {
 	Requests int64 `json:"requests"`
 	Answered int64 `json:"answered"`
-	// Moved counts connections that were refused, after which the caller went
+	// ConnectionsRefused counts connections that were refused, after which the caller went
 	// to another daemon: nothing had been sent.
-	Moved int64 `json:"moved"`
+	ConnectionsRefused int64 `json:"moved"`
 	// Refused counts answers that say "not run".
 	Refused int64 `json:"refused"`
 	// Failed counts other error answers.
@@ -69,7 +69,7 @@
 // String is one line.
 func (r PlannedStopReport) String() string {
 	line := fmt.Sprintf("planned stops %d, requests %d, answered %d, refused as not run %d, failed %d, cut off %d (moved on refused connections %d)",
-		r.Stops, r.Requests, r.Answered, r.Refused, r.Failed, r.CutOff, r.Moved)
+		r.Stops, r.Requests, r.Answered, r.Refused, r.Failed, r.CutOff, r.ConnectionsRefused)
 	for _, first := range []string{r.FirstRefused, r.FirstFailed, r.FirstCutOff} {
 		if first != "" {
 			line += "; first: " + first
@@ -114,7 +114,7 @@
 		}
 		server.Replica.SetFaults(backend.Faults{ServiceFactor: slowFactor})
 	}
-	load := &steadyLoad{least: options.Requests, pause: options.Pause, callDeadline: options.CallDeadline}
+	load := &steadyLoad{least: options.Requests, pause: options.RequestInterval, callDeadline: options.CallDeadline}
 	for _, process := range cluster.Alive() {
 		load.add(process.callersURL())
 	}
@@ -171,14 +171,14 @@
 
 // freeze lets a daemon stand still for a while.
 func freeze(ctx context.Context, process *Process, options PlannedStopOptions) error {
-	if options.Freeze == 0 {
+	if options.FreezeDuration == 0 {
 		return nil
 	}
-	sleep(ctx, options.FreezeAfter)
+	sleep(ctx, options.FreezeDelay)
 	if err := process.Freeze(); err != nil {
 		return err
 	}
-	sleep(ctx, options.Freeze)
+	sleep(ctx, options.FreezeDuration)
 	return process.Resume()
 }
 
@@ -278,7 +278,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if refusedConnection(err) {
-		l.report.Moved++
+		l.report.ConnectionsRefused++
 		return true
 	}
 	l.report.Requests++
--- a/internal/proofs/proofs_test.go
+++ b/internal/proofs/proofs_test.go
@@ -55,7 +55,7 @@
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "300ms")
 	report, err := PlannedStop(ctx, cluster, PlannedStopOptions{
-		Requests: *requests, Callers: 40, Pause: time.Millisecond, Stops: *stops,
+		Requests: *requests, Callers: 40, RequestInterval: time.Millisecond, Stops: *stops,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "300ms", "--stop-timeout", "1s")
 	report, err := PlannedStop(ctx, cluster, PlannedStopOptions{
-		Requests: *requests, Callers: 40, Pause: time.Millisecond, Stops: *stops,
-		FreezeAfter: 500 * time.Millisecond, Freeze: 1500 * time.Millisecond,
+		Requests: *requests, Callers: 40, RequestInterval: time.Millisecond, Stops: *stops,
+		FreezeDelay: 500 * time.Millisecond, FreezeDuration: 1500 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 			ctx, cluster := startCluster(t)
 			report, err := Pauses(ctx, cluster, PausesOptions{
 				PlannedStopOptions: PlannedStopOptions{
-					Requests: *requests, Callers: 40, Pause: time.Millisecond, CallDeadline: test.callDeadline,
+					Requests: *requests, Callers: 40, RequestInterval: time.Millisecond, CallDeadline: test.callDeadline,
 				},
-				Pauses: 6, Lasting: test.lasting,
+				Pauses: 6, PauseDuration: test.lasting,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -125,7 +125,7 @@
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "100ms")
 	report, err := AtMostOnce(ctx, cluster, AtMostOnceOptions{
-		Keys: *keys, Callers: 16, Attempts: 8, Rounds: *rounds, Seed: 1,
+		Keys: *keys, Callers: 16, MaxAttempts: 8, Rounds: *rounds, Seed: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proofs/table.go
+++ b/internal/proofs/table.go
@@ -49,10 +49,10 @@
 	// StaleAnswers are queries that a resumed daemon answered from a table
 	// older than the one that was in force everywhere else when it resumed.
 	StaleAnswers int `json:"stale_answers"`
-	// SlowestInForce is the longest time from a change's acceptance until it
+	// MaxPropagation is the longest time from a change's acceptance until it
 	// was seen in force on all daemons, without faults.
-	SlowestInForce time.Duration `json:"slowest_in_force_ns"`
-	MedianInForce  time.Duration `json:"median_in_force_ns"`
+	MaxPropagation    time.Duration `json:"slowest_in_force_ns"`
+	MedianPropagation time.Duration `json:"median_in_force_ns"`
 	// Violations describe each broken promise.
 	Violations []string `json:"violations"`
 }
@@ -60,7 +60,7 @@
 // String is one line.
 func (r TableReport) String() string {
 	return fmt.Sprintf("changes accepted %d, conflicts %d, refused %d, repeated %d, faults %d; lost %d, reverts %d, stale answers %d; in force on all after %s (median), %s (slowest); violations %d",
-		r.Accepted, r.Conflicts, r.Refused, r.Repeated, r.Faults, r.Lost, r.Reverts, r.StaleAnswers, r.MedianInForce, r.SlowestInForce, len(r.Violations))
+		r.Accepted, r.Conflicts, r.Refused, r.Repeated, r.Faults, r.Lost, r.Reverts, r.StaleAnswers, r.MedianPropagation, r.MaxPropagation, len(r.Violations))
 }
 
 // freezeTime is longer than the pause that a daemon must notice.
--- a/internal/proofs/table_checks.go
+++ b/internal/proofs/table_checks.go
@@ -22,7 +22,7 @@
 	const samples, longest = 25, 30 * time.Second
 	var took []time.Duration
 	for turn := range samples {
-		result, err := r.cluster.API(0).Edit(ctx, r.measuredEdit(turn), longest)
+		result, err := r.cluster.AdminClient(0).Edit(ctx, r.measuredEdit(turn), longest)
 		if err != nil {
 			return eris.Wrap(err, "measure a change")
 		}
@@ -32,8 +32,8 @@
 		took = append(took, time.Duration(result.Propagation.ElapsedMilliseconds)*time.Millisecond)
 	}
 	slices.Sort(took)
-	r.report.SlowestInForce = took[len(took)-1]
-	r.report.MedianInForce = took[len(took)/2]
+	r.report.MaxPropagation = took[len(took)-1]
+	r.report.MedianPropagation = took[len(took)/2]
 	return nil
 }
 
@@ -50,7 +50,7 @@
 	older := store.Store.Revision()
 	const wait = 30 * time.Second
 	for turn := range 3 {
-		if _, err := r.cluster.API(0).Edit(ctx, r.measuredEdit(100+turn), wait); err != nil {
+		if _, err := r.cluster.AdminClient(0).Edit(ctx, r.measuredEdit(100+turn), wait); err != nil {
 			return eris.Wrap(err, "change the table before the store is restored")
 		}
 	}
@@ -61,31 +61,31 @@
 	if err := await(ctx, "the alarm of the restored store", func() (bool, error) { return r.alarmed(ctx), nil }); err != nil {
 		return err
 	}
-	_, err := r.cluster.API(0).Edit(ctx, r.measuredEdit(200), 0)
+	_, err := r.cluster.AdminClient(0).Edit(ctx, r.measuredEdit(200), 0)
 	var problem *client.Problem
 	if !errors.As(err, &problem) || problem.Kind != string(failure.StoreRegressed) {
 		return eris.Errorf("an edit of a restored store gave %v; want %s", err, failure.StoreRegressed)
 	}
-	result, err := r.cluster.API(0).Restore(ctx, author, wait)
+	result, err := r.cluster.AdminClient(0).Restore(ctx, author, wait)
 	if err != nil {
 		return eris.Wrap(err, "restore the table")
 	}
 	if !result.Propagation.Complete {
 		return eris.Errorf("the restored table is not in force everywhere: %+v", *result.Propagation)
 	}
-	_, err = r.cluster.API(0).Edit(ctx, r.measuredEdit(300), wait)
+	_, err = r.cluster.AdminClient(0).Edit(ctx, r.measuredEdit(300), wait)
 	return eris.Wrap(err, "change the table after it was restored")
 }
 
 func (r *tableRun) alarmed(ctx context.Context) bool {
-	status, err := r.cluster.API(0).Status(ctx)
+	status, err := r.cluster.AdminClient(0).Status(ctx)
 	return err == nil && slices.ContainsFunc(status.Nodes, regressed)
 }
 
 // checkHistory looks for every accepted change in the history, and for the
 // values of the last change of each row in the table.
 func (r *tableRun) checkHistory(ctx context.Context) error {
-	table, err := r.cluster.API(0).Table(ctx)
+	table, err := r.cluster.AdminClient(0).Table(ctx)
 	if err != nil {
 		return eris.Wrap(err, "read the table")
 	}
@@ -108,7 +108,7 @@
 
 func (r *tableRun) checkRemembered(ctx context.Context, revisions map[uint64]string) error {
 	const all = 100_000
-	history, err := r.cluster.API(0).History(ctx, all)
+	history, err := r.cluster.AdminClient(0).History(ctx, all)
 	if err != nil {
 		return eris.Wrap(err, "read the history")
 	}
