--- a/internal/proofs/at_most_once.go
+++ b/internal/proofs/at_most_once.go
@@ -20,65 +20,66 @@
 	"github.com/doorpond/doorpond/internal/standin/platform"
 )
 
-// AtMostOnceOptions say how many calls are made while faults come.
+// AtMostOnceOptions configures AtMostOnce.
 type AtMostOnceOptions struct {
 	// Keys is the number of operations.
 	Keys int
-	// Callers are at work at the same time; two of them share each key.
+	// Callers is the number of concurrent callers. Two callers share each
+	// even-numbered key.
 	Callers int
-	// MaxAttempts is the greatest number of times that a caller sends a key.
+	// MaxAttempts limits how often one caller sends a key.
 	MaxAttempts int
-	// Rounds is how often the whole list of faults comes.
+	// Rounds is the number of times that every fault is injected.
 	Rounds int
-	// Seed chooses daemons and the moments of giving up.
+	// Seed determines the daemons called and the call timeouts.
 	Seed uint64
 }
 
-// AtMostOnceReport counts what became of the operations.
+// AtMostOnceReport counts attempts by outcome and executions by key.
 type AtMostOnceReport struct {
 	Keys     int `json:"keys"`
 	Attempts int `json:"attempts"`
-	// Results are attempts that got the operation's result; Repeated are those
-	// of them that were told a remembered one.
+	// Results counts attempts that returned a result. Repeated counts those
+	// whose result was replayed from an earlier attempt.
 	Results  int `json:"results"`
 	Repeated int `json:"repeated"`
 	NotRun   int `json:"not_run"`
-	// Unknown are attempts whose outcome the caller was not told.
+	// Unknown counts attempts whose outcome was not reported to the caller.
 	Unknown int `json:"unknown"`
 	Faults  int `json:"faults"`
-	// Executed is the number of keys that a back end ran; MostExecutions the
-	// greatest number of executions of one key.
+	// Executed is the number of keys that a back end executed. MaxExecutions
+	// is the highest number of executions of one key.
 	Executed      int `json:"executed"`
 	MaxExecutions int `json:"most_executions"`
-	// Violations describe each broken promise.
+	// Violations describes each violated guarantee.
 	Violations []string `json:"violations"`
 }
 
-// String is one line.
+// String returns the report as a single line.
 func (r AtMostOnceReport) String() string {
-	return fmt.Sprintf("keys %d, attempts %d (results %d, of them remembered %d; not run %d; unknown %d), faults %d, keys executed %d, most executions of a key %d, violations %d",
+	return fmt.Sprintf("keys %d, attempts %d (results %d, replayed %d; not run %d; unknown %d), faults %d, keys executed %d, max executions per key %d, violations %d",
 		r.Keys, r.Attempts, r.Results, r.Repeated, r.NotRun, r.Unknown, r.Faults, r.Executed, r.MaxExecutions, len(r.Violations))
 }
 
 const (
-	// callDeadline is short, so that freezing a daemon for longer is quick.
+	// callDeadline is short so that a daemon can be frozen past it quickly.
 	callDeadline = 400 * time.Millisecond
-	// callerPatience is how long a caller waits for a frozen daemon.
-	callerPatience = 2 * callDeadline
-	// callersPerKey race for each key.
+	// callerTimeout is how long a caller waits for a response.
+	callerTimeout = 2 * callDeadline
+	// callersPerKey is the number of callers that contend for a key.
 	callersPerKey = 2
 )
 
 // AtMostOnce sends the same calls through several daemons while daemons are
-// killed and frozen, the store fails, and back ends lose their answers. It
-// stops all daemons before it counts, so that nothing is still on its way.
+// killed and frozen, the store fails, and back ends drop responses. It stops all
+// daemons before it counts executions, so that no call is still in flight.
 func AtMostOnce(ctx context.Context, cluster *Cluster, options AtMostOnceOptions) (AtMostOnceReport, error) {
-	run := &callRun{cluster: cluster, options: options, attempts: make(map[string][]attempt)}
+	run := &atMostOnceRun{cluster: cluster, options: options, attempts: make(map[string][]attempt)}
 	var group errgroup.Group
 	for number := range options.Callers {
-		group.Go(func() error { return run.caller(ctx, number) })
+		group.Go(func() error { return run.runCaller(ctx, number) })
 	}
-	err := run.sabotage(ctx)
+	err := run.injectFaults(ctx)
 	run.faultsDone.Store(true)
 	err = errors.Join(err, group.Wait())
 	if err != nil {
@@ -87,27 +88,27 @@
 	if err := cluster.StopAll(ctx); err != nil {
 		return AtMostOnceReport{}, err
 	}
-	return run.judge(), nil
+	return run.buildReport(), nil
 }
 
-// outcome is what a caller was told.
+// outcome is the result of an attempt as reported to the caller.
 type outcome int
 
 const (
 	outcomeUnknown outcome = iota
 	outcomeResult
-	outcomeRemembered
+	outcomeReplayed
 	outcomeNotRun
 )
 
-// attempt is one sending of a key.
+// attempt records one sending of a key.
 type attempt struct {
 	outcome outcome
-	// executions is what the back end said of the key, with a result.
+	// executions is the execution count that the back end returned with a result.
 	executions int
 }
 
-type callRun struct {
+type atMostOnceRun struct {
 	cluster    *Cluster
 	options    AtMostOnceOptions
 	next       atomic.Int64
@@ -118,105 +119,106 @@
 	attempts map[string][]attempt
 }
 
-// caller takes key after key until all keys were tried and all faults came.
-func (r *callRun) caller(ctx context.Context, number int) error {
+// runCaller sends keys until all keys have been tried and all faults injected.
+func (r *atMostOnceRun) runCaller(ctx context.Context, number int) error {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
-	through := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	defer through.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	defer httpClient.CloseIdleConnections()
 	for ctx.Err() == nil {
 		turn := int(r.next.Add(1) - 1)
 		if turn >= r.options.Keys*callersPerKey && r.faultsDone.Load() {
 			return nil
 		}
 		if key := turn / callersPerKey; key%2 == 0 || turn%callersPerKey == 0 {
-			r.repeat(ctx, through, random, key)
+			r.sendUntilResult(ctx, httpClient, random, key)
 		}
 	}
 	return eris.Wrap(ctx.Err(), "make calls")
 }
 
-// repeat sends a key again and again, each time through any daemon, until its
-// result is there. Every second key is sent once and by one caller alone, so
-// that "not run" can be held against the back ends.
-func (r *callRun) repeat(ctx context.Context, through *http.Client, random *rand.Rand, number int) {
+// sendUntilResult sends a key through random daemons until it gets a result or
+// exhausts its attempts. Odd-numbered keys are sent once by a single caller, so
+// that a "not run" response can be checked against the back ends.
+func (r *atMostOnceRun) sendUntilResult(ctx context.Context, httpClient *http.Client, random *rand.Rand, number int) {
 	key := fmt.Sprintf("refund-%d", number)
 	attempts := r.options.MaxAttempts
 	if number%2 == 1 {
 		attempts = 1
 	}
 	for range attempts {
-		made := r.send(ctx, through, random, key)
+		sent := r.send(ctx, httpClient, random, key)
 		r.mutex.Lock()
-		r.attempts[key] = append(r.attempts[key], made)
+		r.attempts[key] = append(r.attempts[key], sent)
 		r.mutex.Unlock()
-		if made.outcome == outcomeResult || made.outcome == outcomeRemembered {
+		if sent.outcome == outcomeResult || sent.outcome == outcomeReplayed {
 			return
 		}
 	}
 }
 
-func (r *callRun) send(ctx context.Context, through *http.Client, random *rand.Rand, key string) attempt {
-	patience := callerPatience
-	if random.IntN(4) == 0 { // give up at any moment of a usual call
-		patience = time.Duration(random.IntN(20)) * time.Millisecond
+func (r *atMostOnceRun) send(ctx context.Context, httpClient *http.Client, random *rand.Rand, key string) attempt {
+	timeout := callerTimeout
+	if random.IntN(4) == 0 { // time out at a random point of a typical call
+		timeout = time.Duration(random.IntN(20)) * time.Millisecond
 	}
-	bounded, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	url := r.cluster.randomURL(random)
-	result, err := client.New(url, through).Call(bounded, client.Call{
+	result, err := client.New(url, httpClient).Call(callCtx, client.Call{
 		Group: callerGroup, Key: key, Service: platform.RefundService, Operation: "credit",
 		DeadlineMilliseconds: callDeadline.Milliseconds(),
 	})
-	return judgeAttempt(result, err)
+	return classifyAttempt(result, err)
 }
 
-func judgeAttempt(result client.CallResult, err error) attempt {
+func classifyAttempt(result client.CallResult, err error) attempt {
 	var problem *client.Problem
 	switch {
 	case err == nil:
 		var ran backend.CallOutcome
-		_ = json.Unmarshal(result.Result, &ran) // a wrong result counts as no execution
+		_ = json.Unmarshal(result.Result, &ran) // an undecodable result counts as zero executions
 		made := attempt{outcome: outcomeResult, executions: ran.Executions}
 		if result.Repeated {
-			made.outcome = outcomeRemembered
+			made.outcome = outcomeReplayed
 		}
 		return made
-	case refusedConnection(err), errors.As(err, &problem) && problem.NotRun:
+	case isDialError(err), errors.As(err, &problem) && problem.NotRun:
 		return attempt{outcome: outcomeNotRun}
 	default:
 		return attempt{outcome: outcomeUnknown}
 	}
 }
 
-// judge compares what callers were told with what back ends did.
-func (r *callRun) judge() AtMostOnceReport {
+// buildReport compares the outcomes reported to callers with the executions
+// recorded by the back ends.
+func (r *atMostOnceRun) buildReport() AtMostOnceReport {
 	executions := r.cluster.Platform.Executions()
 	report := AtMostOnceReport{Keys: len(r.attempts), Executed: len(executions), Faults: r.faults, Violations: []string{}}
 	for key, count := range executions {
 		report.MaxExecutions = max(report.MaxExecutions, count)
 		if count > 1 {
-			report.violate("%s ran %d times", key, count)
+			report.addViolation("%s was executed %d times", key, count)
 		}
 	}
 	for key, attempts := range r.attempts {
-		report.judgeKey(key, attempts, executions[key])
+		report.checkKey(key, attempts, executions[key])
 	}
 	return report
 }
 
-func (r *AtMostOnceReport) judgeKey(key string, attempts []attempt, executions int) {
+func (r *AtMostOnceReport) checkKey(key string, attempts []attempt, executions int) {
 	allNotRun := true
-	for _, made := range attempts {
+	for _, sent := range attempts {
 		r.Attempts++
-		allNotRun = allNotRun && made.outcome == outcomeNotRun
-		switch made.outcome {
-		case outcomeResult, outcomeRemembered:
+		allNotRun = allNotRun && sent.outcome == outcomeNotRun
+		switch sent.outcome {
+		case outcomeResult, outcomeReplayed:
 			r.Results++
-			if made.outcome == outcomeRemembered {
+			if sent.outcome == outcomeReplayed {
 				r.Repeated++
 			}
-			if made.executions != 1 || executions == 0 {
-				r.violate("%s: a result says %d executions, the back ends %d", key, made.executions, executions)
+			if sent.executions != 1 || executions == 0 {
+				r.addViolation("%s: result reports %d executions, back ends recorded %d", key, sent.executions, executions)
 			}
 		case outcomeNotRun:
 			r.NotRun++
@@ -225,19 +227,19 @@
 		}
 	}
 	if allNotRun && executions > 0 {
-		r.violate("%s: every attempt was told not run, and it ran", key)
+		r.addViolation("%s: every attempt was reported as not run, but the operation was executed", key)
 	}
 }
 
-func (r *AtMostOnceReport) violate(format string, values ...any) {
+func (r *AtMostOnceReport) addViolation(format string, values ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, values...))
 }
 
-// sabotage brings each fault in turn, once enough calls were made since the
-// last.
-func (r *callRun) sabotage(ctx context.Context) error {
+// injectFaults injects each fault in turn, with a minimum number of calls
+// between two faults.
+func (r *atMostOnceRun) injectFaults(ctx context.Context) error {
 	faults := []func(context.Context) error{
-		r.loseAcknowledgements, r.freezeDaemon, r.loseAnswers, r.storeOutage, r.killDaemon, r.resetBackends, r.freezeDuringOutage,
+		r.loseAcknowledgements, r.freezeDaemon, r.resetAfterExecution, r.storeOutage, r.killDaemon, r.resetBeforeExecution, r.freezeDuringOutage,
 	}
 	for round := range r.options.Rounds {
 		for number, fault := range faults {
@@ -245,7 +247,7 @@
 				return err
 			}
 			if err := fault(ctx); err != nil {
-				return eris.Wrapf(err, "fault %d of round %d", number, round)
+				return eris.Wrapf(err, "inject fault %d of round %d", number, round)
 			}
 			r.faults++
 		}
@@ -253,23 +255,23 @@
 	return nil
 }
 
-func (r *callRun) callsPerFault() int64 {
+func (r *atMostOnceRun) callsPerFault() int64 {
 	const faultsInRound = 7
 	return int64(r.options.Keys*callersPerKey/(r.options.Rounds*faultsInRound) + 1)
 }
 
-// awaitCalls waits until callers have begun a number of further keys.
-func (r *callRun) awaitCalls(ctx context.Context, number int64) error {
+// awaitCalls waits until callers have started the given number of further keys.
+func (r *atMostOnceRun) awaitCalls(ctx context.Context, number int64) error {
 	target := r.next.Load() + number
 	return await(ctx, "calls to be made", func() (bool, error) { return r.next.Load() >= target, nil })
 }
 
-func (r *callRun) loseAcknowledgements(context.Context) error {
+func (r *atMostOnceRun) loseAcknowledgements(context.Context) error {
 	const lost = 10
 	return r.cluster.Platform.Store.SetFaults(kv.Faults{LoseAcknowledgements: lost})
 }
 
-func (r *callRun) storeOutage(ctx context.Context) error {
+func (r *atMostOnceRun) storeOutage(ctx context.Context) error {
 	if err := r.cluster.Platform.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
@@ -277,9 +279,9 @@
 	return errors.Join(err, r.cluster.Platform.Store.SetFaults(kv.Faults{}))
 }
 
-// freezeDaemon stops a daemon for longer than any deadline, then lets it run
-// on with the calls that it had.
-func (r *callRun) freezeDaemon(ctx context.Context) error {
+// freezeDaemon suspends a daemon past every call deadline, then resumes it with
+// its calls still in flight.
+func (r *atMostOnceRun) freezeDaemon(ctx context.Context) error {
 	frozen := r.cluster.oldestAlive()
 	if err := frozen.Freeze(); err != nil {
 		return err
@@ -288,7 +290,7 @@
 	return frozen.Resume()
 }
 
-func (r *callRun) freezeDuringOutage(ctx context.Context) error {
+func (r *atMostOnceRun) freezeDuringOutage(ctx context.Context) error {
 	frozen := r.cluster.oldestAlive()
 	if err := frozen.Freeze(); err != nil {
 		return err
@@ -298,25 +300,26 @@
 	return errors.Join(err, frozen.Resume())
 }
 
-// killDaemon ends a daemon at once and starts another.
-func (r *callRun) killDaemon(ctx context.Context) error {
+// killDaemon kills a daemon and starts a replacement.
+func (r *atMostOnceRun) killDaemon(ctx context.Context) error {
 	r.cluster.oldestAlive().Kill()
 	_, err := r.cluster.AddDaemon(ctx)
 	return err
 }
 
-// loseAnswers makes the back ends run some operations and cut the connection.
-func (r *callRun) loseAnswers(context.Context) error {
-	r.faultBackends(backend.Faults{Reply: backend.FaultResetAfter, ReplyCount: 3})
+// resetAfterExecution makes back ends execute some operations and then reset
+// the connection.
+func (r *atMostOnceRun) resetAfterExecution(context.Context) error {
+	r.setBackendFaults(backend.Faults{Reply: backend.FaultResetAfter, ReplyCount: 3})
 	return nil
 }
 
-func (r *callRun) resetBackends(context.Context) error {
-	r.faultBackends(backend.Faults{Reply: backend.FaultResetBefore, ReplyCount: 3})
+func (r *atMostOnceRun) resetBeforeExecution(context.Context) error {
+	r.setBackendFaults(backend.Faults{Reply: backend.FaultResetBefore, ReplyCount: 3})
 	return nil
 }
 
-func (r *callRun) faultBackends(faults backend.Faults) {
+func (r *atMostOnceRun) setBackendFaults(faults backend.Faults) {
 	for _, server := range r.cluster.Platform.Backends() {
 		if server.Replica.Options().Group == platform.RefundService {
 			server.Replica.SetFaults(faults)
--- a/internal/proofs/cluster.go
+++ b/internal/proofs/cluster.go
@@ -1,8 +1,8 @@
-// Package proofs runs doorpondd as real processes against the stand-in
-// platform, does them harm (SIGKILL, SIGSTOP, SIGTERM, outages of the store),
-// and counts at the back ends, the callers and the operators whether the
-// promises held. Each proof waits for conditions, never for a fixed time, so
-// that its verdict does not depend on the speed of the machine.
+// Package proofs runs doorpondd processes against the stand-in platform, injects
+// faults (SIGKILL, SIGSTOP, SIGTERM, store outages), and checks the documented
+// guarantees from the view of back ends, callers and operators. Progress is
+// awaited by polling conditions, so that verdicts do not depend on the speed of
+// the machine.
 package proofs
 
 import (
@@ -23,56 +23,56 @@
 	"github.com/doorpond/doorpond/testdata"
 )
 
-// places are where the daemons run, in turn.
+// places are assigned to daemons round-robin.
 var places = []topology.Place{
 	{Region: "accra", Zone: "accra-a"},
 	{Region: "kumasi", Zone: "kumasi-a"},
 	{Region: "takoradi", Zone: "takoradi-a"},
 }
 
-// The policy and the group of all requests of the proofs.
+// Policy, group and author used by all requests.
 const (
 	policyName  = "steady"
 	callerGroup = "gate"
 	author      = "ama"
 )
 
-// ClusterOptions say what is started.
+// ClusterOptions configures Start.
 type ClusterOptions struct {
-	// Program is the path of doorpondd; see Build.
+	// Program is the path of the doorpondd binary; see Build.
 	Program string
-	// Directory is for ready files.
+	// Directory holds the ready files.
 	Directory string
-	// Daemons is the number of processes to begin with.
+	// Daemons is the initial number of processes.
 	Daemons int
-	// Arguments are added to each daemon's.
+	// Arguments are appended to the command line of every daemon.
 	Arguments []string
 }
 
-// Cluster is a platform and the daemons that run against it.
+// Cluster is a stand-in platform and the daemons that run against it.
 type Cluster struct {
 	Platform *platform.Platform
 
 	options ClusterOptions
 	mutex   sync.Mutex
-	// daemons were ever started, in order; some may have ended.
+	// daemons holds every daemon started, in order, including exited ones.
 	daemons []*Process
 }
 
-// Start starts the platform and the daemons, and writes the first table.
+// Start starts the platform and the daemons, and writes the first policy table.
 func Start(ctx context.Context, options ClusterOptions) (*Cluster, error) {
 	running, err := platform.Start(context.WithoutCancel(ctx), platform.DefaultConfig(testdata.Corpus))
 	if err != nil {
 		return nil, err
 	}
 	cluster := &Cluster{Platform: running, options: options}
-	if err := cluster.begin(ctx); err != nil {
+	if err := cluster.bootstrap(ctx); err != nil {
 		return nil, errors.Join(err, cluster.Close())
 	}
 	return cluster, nil
 }
 
-func (c *Cluster) begin(ctx context.Context) error {
+func (c *Cluster) bootstrap(ctx context.Context) error {
 	for range c.options.Daemons {
 		if _, err := c.AddDaemon(ctx); err != nil {
 			return err
@@ -90,10 +90,11 @@
 	return c.awaitServing(ctx, result.Change.Revision)
 }
 
-// awaitServing waits until every daemon knows all others and the revision.
+// awaitServing waits until every daemon knows all members and has loaded the
+// catalogue and at least the given table revision.
 func (c *Cluster) awaitServing(ctx context.Context, revision uint64) error {
 	daemons := len(c.Alive())
-	return await(ctx, "all daemons to know each other and the table", func() (bool, error) {
+	return await(ctx, "all daemons to know all members and the table", func() (bool, error) {
 		status, err := c.AdminClient(0).Status(ctx)
 		if err != nil || len(status.Nodes) < daemons {
 			return false, nil // the daemons are still joining
@@ -107,7 +108,7 @@
 	})
 }
 
-// AddDaemon starts one more daemon and puts it on the machine list.
+// AddDaemon starts a daemon and registers it in the machine list.
 func (c *Cluster) AddDaemon(ctx context.Context) (*Process, error) {
 	c.mutex.Lock()
 	number := len(c.daemons)
@@ -137,7 +138,7 @@
 	return process, nil
 }
 
-// Alive returns the daemons that have not ended, the oldest first.
+// Alive returns the daemons that have not exited, oldest first.
 func (c *Cluster) Alive() []*Process {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -152,23 +153,23 @@
 
 func (c *Cluster) oldestAlive() *Process { return c.Alive()[0] }
 
-// AdminClient returns a client of the administration port of the daemon at a position
-// among those alive.
+// AdminClient returns a client of the administration port of the live daemon at
+// the given position.
 func (c *Cluster) AdminClient(position int) *operator.AdminClient {
-	return apiOf(c.Alive()[position])
+	return adminClient(c.Alive()[position])
 }
 
-func apiOf(process *Process) *operator.AdminClient {
+func adminClient(process *Process) *operator.AdminClient {
 	return operator.NewAdminClient(process.Addresses.Administration, "")
 }
 
-// randomURL is the callers' port of any daemon.
+// randomURL returns the callers URL of a random live daemon.
 func (c *Cluster) randomURL(random *rand.Rand) string {
 	alive := c.Alive()
 	return alive[random.IntN(len(alive))].callersURL()
 }
 
-// StopAll stops all daemons as planned and waits for their end.
+// StopAll sends SIGTERM to all daemons and waits for them to exit.
 func (c *Cluster) StopAll(ctx context.Context) error {
 	alive := c.Alive()
 	for _, process := range alive {
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// Close kills the daemons and ends the platform.
+// Close kills the daemons and closes the platform.
 func (c *Cluster) Close() error {
 	for _, process := range c.Alive() {
 		process.Kill()
--- a/internal/proofs/pauses.go
+++ b/internal/proofs/pauses.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// PausesOptions say how daemons stand still under load.
+// PausesOptions configures Pauses.
 type PausesOptions struct {
 	PlannedStopOptions
-	// Pauses is how often all daemons stand still together, each time for Lasting.
+	// Pauses is the number of times that all daemons are suspended together,
+	// each time for PauseDuration.
 	Pauses        int
 	PauseDuration time.Duration
 }
 
-// Pauses lets all daemons stand still under load, again and again, and counts what became of
-// the requests.
+// Pauses repeatedly suspends all daemons under load and counts request outcomes.
 func Pauses(ctx context.Context, cluster *Cluster, options PausesOptions) (PlannedStopReport, error) {
-	return underLoad(ctx, cluster, options.PlannedStopOptions, func(load *steadyLoad) error {
+	return runUnderLoad(ctx, cluster, options.PlannedStopOptions, func(load *loadGenerator) error {
 		for done := range options.Pauses {
 			target := options.Requests * int64(done+1) / int64(options.Pauses+1)
-			err := await(ctx, "enough requests", func() (bool, error) { return load.sent() >= target, nil })
+			err := await(ctx, "the request count that triggers the next pause", func() (bool, error) { return load.sent() >= target, nil })
 			if err != nil {
 				return err
 			}
@@ -32,14 +32,14 @@
 	})
 }
 
-// pauseAll lets all daemons stand still together.
-func pauseAll(ctx context.Context, cluster *Cluster, lasting time.Duration) error {
+// pauseAll suspends all daemons together.
+func pauseAll(ctx context.Context, cluster *Cluster, duration time.Duration) error {
 	alive := cluster.Alive()
 	var failures []error
 	for _, process := range alive {
 		failures = append(failures, process.Freeze())
 	}
-	sleep(ctx, lasting)
+	sleep(ctx, duration)
 	for _, process := range alive {
 		failures = append(failures, process.Resume())
 	}
--- a/internal/proofs/planned_stop.go
+++ b/internal/proofs/planned_stop.go
@@ -22,53 +22,55 @@
 	"github.com/doorpond/doorpond/internal/standin/platform"
 )
 
-// PlannedStopOptions say how much load there is while daemons are stopped.
+// PlannedStopOptions configures PlannedStop.
 type PlannedStopOptions struct {
-	// Requests is the least number of requests to send.
+	// Requests is the minimum number of requests to send.
 	Requests int64
-	// Callers send at the same time, each on a kept-alive connection.
+	// Callers is the number of concurrent callers, each on a keep-alive
+	// connection.
 	Callers int
-	// RequestInterval is what a caller waits between two requests; each fourth caller
-	// waits sleepyFactor times as long, so that idle connections are used
-	// again during a stop. Each eighth caller sends slow operations that may
-	// not be repeated in place of queries.
+	// RequestInterval is the delay between two requests of a caller. Every
+	// fourth caller waits idleFactor times as long, so that idle connections
+	// are reused during a stop. Every eighth caller sends slow non-repeatable
+	// operations instead of queries.
 	RequestInterval time.Duration
-	// Stops is the number of daemons to stop, one after the other; each is
-	// replaced once it has ended.
+	// Stops is the number of daemons to stop, one after the other. A
+	// replacement is started before each stop.
 	Stops int
-	// CallDeadline is the time allowed for an operation that may not be repeated; 0 leaves
-	// it to the daemons.
+	// CallDeadline bounds each non-repeatable operation; 0 selects the
+	// daemon's default.
 	CallDeadline time.Duration
-	// FreezeDuration is for how long each daemon stands still in its stop, FreezeDelay after the
-	// signal; 0 means not at all.
+	// FreezeDuration is how long each daemon is suspended during its stop,
+	// starting FreezeDelay after the signal; 0 disables it.
 	FreezeDuration, FreezeDelay time.Duration
 }
 
-// PlannedStopReport counts what became of the requests.
+// PlannedStopReport counts requests by outcome.
 type PlannedStopReport struct {
 	Requests int64 `json:"requests"`
 	Answered int64 `json:"answered"`
-	// ConnectionsRefused counts connections that were refused, after which the caller went
-	// to another daemon: nothing had been sent.
+	// ConnectionsRefused counts refused connections, after which the caller
+	// switched to another daemon without having sent a request.
 	ConnectionsRefused int64 `json:"moved"`
-	// Refused counts answers that say "not run".
+	// Refused counts "not run" responses.
 	Refused int64 `json:"refused"`
-	// Failed counts other error answers.
+	// Failed counts other error responses.
 	Failed int64 `json:"failed"`
-	// CutOff counts requests that were sent and got no whole answer.
+	// CutOff counts requests that were sent and got no complete response.
 	CutOff int64 `json:"cut_off"`
-	// Stops is the number of daemons that ended as planned.
+	// Stops is the number of daemons that shut down cleanly.
 	Stops int `json:"stops"`
-	// FirstCutOff describes the first.
+	// FirstCutOff is the error of the first request counted in CutOff.
 	FirstCutOff string `json:"first_cut_off,omitempty"`
-	// FirstRefused and FirstFailed describe the first of those answers.
+	// FirstRefused and FirstFailed are the first errors counted in Refused
+	// and Failed.
 	FirstRefused string `json:"first_refused,omitempty"`
 	FirstFailed  string `json:"first_failed,omitempty"`
 }
 
-// String is one line.
+// String returns the report as a single line.
 func (r PlannedStopReport) String() string {
-	line := fmt.Sprintf("planned stops %d, requests %d, answered %d, refused as not run %d, failed %d, cut off %d (moved on refused connections %d)",
+	line := fmt.Sprintf("planned stops %d, requests %d, answered %d, not run %d, failed %d, cut off %d (connections refused %d)",
 		r.Stops, r.Requests, r.Answered, r.Refused, r.Failed, r.CutOff, r.ConnectionsRefused)
 	for _, first := range []string{r.FirstRefused, r.FirstFailed, r.FirstCutOff} {
 		if first != "" {
@@ -79,60 +81,59 @@
 }
 
 const (
-	// slowFactor makes the replicas slow, so that queries are in flight at any
-	// moment.
-	slowFactor = 5
-	// slowCall is how long the operations that may not be repeated take:
-	// longer than the grace time of the daemons that are stopped.
-	slowCall = 700 * time.Millisecond
-	// sleepyFactor and the shares of callers below make several kinds of them.
-	sleepyFactor  = 100
-	oneSleepyOf   = 4
-	oneCallingOf  = 8
-	callingOffset = 1
+	// serviceTimeFactor slows the replicas so that queries are always in flight.
+	serviceTimeFactor = 5
+	// operationDuration is the service time of non-repeatable operations. It
+	// exceeds the stop grace period of the daemons.
+	operationDuration = 700 * time.Millisecond
+	// idleFactor multiplies RequestInterval for every idleCallerEvery-th caller.
+	idleFactor            = 100
+	idleCallerEvery       = 4
+	operationCallerEvery  = 8
+	operationCallerOffset = 1
 )
 
-// PlannedStop stops daemons under load and counts the requests cut off.
+// PlannedStop stops daemons under load and counts request outcomes.
 func PlannedStop(ctx context.Context, cluster *Cluster, options PlannedStopOptions) (PlannedStopReport, error) {
 	stops := 0
-	report, err := underLoad(ctx, cluster, options, func(load *steadyLoad) error {
+	report, err := runUnderLoad(ctx, cluster, options, func(load *loadGenerator) error {
 		var err error
-		stops, err = stopInTurn(ctx, cluster, load, options)
+		stops, err = stopSequentially(ctx, cluster, load, options)
 		return err
 	})
 	report.Stops = stops
 	return report, err
 }
 
-// underLoad slows the replicas down, and sends requests while some work is done, and until
-// there were enough.
-func underLoad(ctx context.Context, cluster *Cluster, options PlannedStopOptions, work func(*steadyLoad) error) (PlannedStopReport, error) {
+// runUnderLoad slows the replicas and sends requests until work has returned and
+// the minimum number of requests has been sent.
+func runUnderLoad(ctx context.Context, cluster *Cluster, options PlannedStopOptions, work func(*loadGenerator) error) (PlannedStopReport, error) {
 	for _, server := range cluster.Platform.Backends() {
 		if server.Replica.Options().Group == platform.RefundService {
-			server.Replica.SetTiming(backend.Timing{Base: slowCall})
+			server.Replica.SetTiming(backend.Timing{Base: operationDuration})
 			continue
 		}
-		server.Replica.SetFaults(backend.Faults{ServiceFactor: slowFactor})
+		server.Replica.SetFaults(backend.Faults{ServiceFactor: serviceTimeFactor})
 	}
-	load := &steadyLoad{least: options.Requests, pause: options.RequestInterval, callDeadline: options.CallDeadline}
+	load := &loadGenerator{minRequests: options.Requests, pause: options.RequestInterval, callDeadline: options.CallDeadline}
 	for _, process := range cluster.Alive() {
 		load.add(process.callersURL())
 	}
 	var group errgroup.Group
 	for number := range options.Callers {
-		group.Go(func() error { return load.call(ctx, number) })
+		group.Go(func() error { return load.runCaller(ctx, number) })
 	}
 	err := work(load)
-	load.stopsDone.Store(true)
+	load.workDone.Store(true)
 	err = errors.Join(err, group.Wait())
 	return load.report, err
 }
 
-// stopInTurn stops one daemon after another, spread over the requests.
-func stopInTurn(ctx context.Context, cluster *Cluster, load *steadyLoad, options PlannedStopOptions) (int, error) {
+// stopSequentially stops daemons one by one, spread evenly over the requests.
+func stopSequentially(ctx context.Context, cluster *Cluster, load *loadGenerator, options PlannedStopOptions) (int, error) {
 	for done := range options.Stops {
 		target := options.Requests * int64(done+1) / int64(options.Stops+1)
-		err := await(ctx, "enough requests", func() (bool, error) { return load.sent() >= target, nil })
+		err := await(ctx, "the request count that triggers the next stop", func() (bool, error) { return load.sent() >= target, nil })
 		if err != nil {
 			return done, err
 		}
@@ -143,14 +144,14 @@
 	return options.Stops, nil
 }
 
-// replaceDaemon starts another daemon, and stops the oldest as planned.
-func replaceDaemon(ctx context.Context, cluster *Cluster, load *steadyLoad, options PlannedStopOptions) error {
+// replaceDaemon starts a daemon, waits until it is ready, and stops the oldest.
+func replaceDaemon(ctx context.Context, cluster *Cluster, load *loadGenerator, options PlannedStopOptions) error {
 	stopping := cluster.oldestAlive()
 	added, err := cluster.AddDaemon(ctx)
 	if err != nil {
 		return err
 	}
-	err = await(ctx, "the new daemon to be ready", func() (bool, error) { return ready(ctx, added), nil })
+	err = await(ctx, "the new daemon to be ready", func() (bool, error) { return isReady(ctx, added), nil })
 	if err != nil {
 		return err
 	}
@@ -158,19 +159,19 @@
 	if err := stopping.Stop(); err != nil {
 		return err
 	}
-	if err := freeze(ctx, stopping, options); err != nil {
+	if err := freezeProcess(ctx, stopping, options); err != nil {
 		return err
 	}
 	if err := stopping.Wait(ctx); err != nil {
 		return err
 	}
-	// its port may be given to any other process from now on
+	// Another process may reuse the port once the daemon has exited.
 	load.remove(stopping.callersURL())
 	return nil
 }
 
-// freeze lets a daemon stand still for a while.
-func freeze(ctx context.Context, process *Process, options PlannedStopOptions) error {
+// freezeProcess suspends a stopping daemon for options.FreezeDuration.
+func freezeProcess(ctx context.Context, process *Process, options PlannedStopOptions) error {
 	if options.FreezeDuration == 0 {
 		return nil
 	}
@@ -182,8 +183,8 @@
 	return process.Resume()
 }
 
-// ready asks a daemon whether it should be sent requests.
-func ready(ctx context.Context, process *Process) bool {
+// isReady reports whether the readiness probe of a daemon succeeds.
+func isReady(ctx context.Context, process *Process) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process.Addresses.Administration+"/readyz", nil)
 	if err != nil {
 		return false
@@ -196,13 +197,12 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// steadyLoad sends queries over kept-alive connections until enough were sent
-// and all stops are done.
-type steadyLoad struct {
-	least     int64
-	pause     time.Duration
-	stopsDone atomic.Bool
-	// callDeadline is PlannedStopOptions'.
+// loadGenerator sends requests over keep-alive connections until the minimum has
+// been sent and the concurrent work is done.
+type loadGenerator struct {
+	minRequests  int64
+	pause        time.Duration
+	workDone     atomic.Bool
 	callDeadline time.Duration
 
 	mutex  sync.Mutex
@@ -210,43 +210,43 @@
 	report PlannedStopReport
 }
 
-func (l *steadyLoad) sent() int64 {
+func (l *loadGenerator) sent() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.report.Requests
 }
 
-func (l *steadyLoad) add(url string) {
+func (l *loadGenerator) add(url string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.urls = append(l.urls, url)
 }
 
-func (l *steadyLoad) remove(url string) {
+func (l *loadGenerator) remove(url string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.urls = slices.DeleteFunc(l.urls, func(one string) bool { return one == url })
 }
 
-func (l *steadyLoad) url(turn int) string {
+func (l *loadGenerator) url(turn int) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.urls[turn%len(l.urls)]
 }
 
-// call is one caller. It stays with a daemon while its connections are
-// accepted, and goes to the next when they are refused.
-func (l *steadyLoad) call(ctx context.Context, number int) error {
+// runCaller runs one caller. It stays with a daemon until a connection is refused
+// or cut off, or the daemon is draining, and then switches to the next.
+func (l *loadGenerator) runCaller(ctx context.Context, number int) error {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	through := &http.Client{Transport: transport}
+	httpClient := &http.Client{Transport: transport}
 	turn, pause := number, l.pause
-	if number%oneSleepyOf == 0 {
-		pause *= sleepyFactor
+	if number%idleCallerEvery == 0 {
+		pause *= idleFactor
 	}
-	for ctx.Err() == nil && (l.sent() < l.least || !l.stopsDone.Load()) {
-		err := l.request(ctx, client.New(l.url(turn), through), number)
-		if l.count(err) {
+	for ctx.Err() == nil && (l.sent() < l.minRequests || !l.workDone.Load()) {
+		err := l.request(ctx, client.New(l.url(turn), httpClient), number)
+		if l.record(err) {
 			turn++
 		}
 		sleep(ctx, pause)
@@ -254,10 +254,10 @@
 	return eris.Wrap(ctx.Err(), "send steady load")
 }
 
-// request sends a query, or for some callers a slow operation that may not be
-// repeated.
-func (l *steadyLoad) request(ctx context.Context, daemon *client.Client, number int) error {
-	if number%oneCallingOf != callingOffset {
+// request sends a query, or a slow non-repeatable operation for every
+// operationCallerEvery-th caller.
+func (l *loadGenerator) request(ctx context.Context, daemon *client.Client, number int) error {
+	if number%operationCallerEvery != operationCallerOffset {
 		_, err := daemon.Query(ctx, searchQuery(number))
 		return err
 	}
@@ -272,12 +272,11 @@
 	return client.Query{Group: callerGroup, Caller: fmt.Sprintf("console-%d", number), Corpus: corpus.Cues, Phrase: "good"}
 }
 
-// count files one outcome, and tells whether the caller should go to another
-// daemon.
-func (l *steadyLoad) count(err error) (move bool) {
+// record counts an outcome and reports whether the caller should switch daemons.
+func (l *loadGenerator) record(err error) (move bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if refusedConnection(err) {
+	if isDialError(err) {
 		l.report.ConnectionsRefused++
 		return true
 	}
@@ -288,27 +287,27 @@
 		l.report.Answered++
 	case errors.As(err, &problem) && problem.NotRun:
 		l.report.Refused++
-		keepFirst(&l.report.FirstRefused, err)
+		setFirst(&l.report.FirstRefused, err)
 		return problem.Kind == string(failure.Draining)
 	case errors.As(err, &problem):
 		l.report.Failed++
-		keepFirst(&l.report.FirstFailed, err)
+		setFirst(&l.report.FirstFailed, err)
 	default:
 		l.report.CutOff++
-		keepFirst(&l.report.FirstCutOff, err)
+		setFirst(&l.report.FirstCutOff, err)
 		return true
 	}
 	return false
 }
 
-func keepFirst(first *string, err error) {
+func setFirst(first *string, err error) {
 	if *first == "" {
 		*first = err.Error()
 	}
 }
 
-// refusedConnection tells an error that came before a connection was there.
-func refusedConnection(err error) bool {
+// isDialError reports whether err occurred while the connection was dialed.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
--- a/internal/proofs/process.go
+++ b/internal/proofs/process.go
@@ -18,8 +18,8 @@
 	"github.com/doorpond/doorpond/internal/daemon"
 )
 
-// Build compiles doorpondd into a directory and returns the program's path. It
-// runs the go command, which must be in the path, inside the module.
+// Build compiles doorpondd into directory and returns the path of the binary. The
+// go command must be in PATH, and the working directory inside the module.
 func Build(ctx context.Context, directory string) (string, error) {
 	program := filepath.Join(directory, "doorpondd")
 	command := exec.CommandContext(ctx, "go", "build", "-o", program, "github.com/doorpond/doorpond/cmd/doorpondd")
@@ -27,46 +27,45 @@
 	return program, eris.Wrapf(err, "build doorpondd: %s", output)
 }
 
-// Process is one doorpondd that runs as a process of its own.
+// Process is a running doorpondd process.
 type Process struct {
-	// Addresses are where it listens.
+	// Addresses are the listen addresses.
 	Addresses daemon.Addresses
 
 	command *exec.Cmd
-	log     *lineLog
+	log     *outputBuffer
 	exited  chan struct{}
 	failure error
 	once    sync.Once
 }
 
-// lineLog keeps what a process wrote to standard error.
-type lineLog struct {
+// outputBuffer collects the standard error of a process.
+type outputBuffer struct {
 	mutex   sync.Mutex
 	content bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lineLog) Write(content []byte) (int, error) {
+func (l *outputBuffer) Write(content []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.content.Write(content)
 }
 
-// String returns everything that was written.
-func (l *lineLog) String() string {
+func (l *outputBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.content.String()
 }
 
-// startProcess starts a daemon and waits until its ports are open.
+// startProcess starts a daemon and waits until it has written its ready file.
 func startProcess(ctx context.Context, program, readyFile string, arguments []string) (*Process, error) {
 	if err := os.Remove(readyFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, eris.Wrap(err, "remove an old ready file")
+		return nil, eris.Wrap(err, "remove stale ready file")
 	}
 	process := &Process{
 		command: exec.Command(program, append([]string{"--ready-file", readyFile}, arguments...)...),
-		log:     &lineLog{},
+		log:     &outputBuffer{},
 		exited:  make(chan struct{}),
 	}
 	process.command.Stderr = process.log
@@ -80,7 +79,7 @@
 	err := await(ctx, "the daemon's ports to open", func() (bool, error) {
 		select {
 		case <-process.exited:
-			return false, eris.Errorf("doorpondd ended at once: %s", process.log)
+			return false, eris.Errorf("doorpondd exited during startup: %s", process.log)
 		default:
 			return readAddresses(readyFile, &process.Addresses), nil
 		}
@@ -99,36 +98,36 @@
 
 func (p *Process) callersURL() string { return "http://" + p.Addresses.Callers }
 
-// Stop asks for the planned stop and does not wait for it.
+// Stop requests a graceful shutdown and does not wait for it.
 func (p *Process) Stop() error { return p.signal(syscall.SIGTERM) }
 
-// Freeze stops the process in its tracks until Resume.
+// Freeze suspends the process until Resume.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process run on.
+// Resume continues a frozen process.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
 func (p *Process) signal(number syscall.Signal) error {
 	return eris.Wrapf(p.command.Process.Signal(number), "send %s to doorpondd", number)
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
-	p.once.Do(func() { _ = p.command.Process.Kill() }) // it fails only for one that has ended
+	p.once.Do(func() { _ = p.command.Process.Kill() }) // fails only if the process has exited
 	<-p.exited
 }
 
-// Wait waits until the process has ended and returns why, nil for exit code 0.
+// Wait waits for the process to exit. It returns nil for exit code 0.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.exited:
 		return eris.Wrapf(p.failure, "doorpondd: %s", p.log)
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "wait for doorpondd to end")
+		return eris.Wrap(ctx.Err(), "wait for doorpondd to exit")
 	}
 }
 
-// alive tells whether the process has not ended.
+// alive reports whether the process has not exited.
 func (p *Process) alive() bool {
 	select {
 	case <-p.exited:
@@ -138,19 +137,18 @@
 	}
 }
 
-// Log returns what the process has written to standard error.
+// Log returns the standard error output of the process.
 func (p *Process) Log() string { return p.log.String() }
 
-// pollInterval is the pause between two looks at a condition.
+// pollInterval is the delay between two evaluations of a condition.
 const pollInterval = 5 * time.Millisecond
 
-// await looks at a condition again and again until it holds, fails or ctx
-// ends.
-func await(ctx context.Context, what string, holds func() (bool, error)) error {
+// await polls a condition until it holds, returns an error, or ctx is done.
+func await(ctx context.Context, what string, condition func() (bool, error)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		done, err := holds()
+		done, err := condition()
 		if err != nil {
 			return eris.Wrapf(err, "wait for %s", what)
 		}
--- a/internal/proofs/proofs_test.go
+++ b/internal/proofs/proofs_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The size of the proof of the planned stop; the measurement of 100,000 is
-// made by: go test ./internal/proofs -run PlannedStop -requests 100000 -stops 12
+// The defaults are small; a larger run is, for example:
+// go test ./internal/proofs -run PlannedStop -requests 100000 -stops 12
 var (
 	requests = flag.Int64("requests", 3000, "requests sent while daemons are stopped")
 	stops    = flag.Int("stops", 2, "daemons stopped under load")
@@ -18,7 +18,7 @@
 	limit    = flag.Duration("limit", 4*time.Minute, "longest time of one proof")
 )
 
-// program is the doorpondd that the tests run.
+// program is the path of the doorpondd binary under test.
 var program string
 
 func TestMain(m *testing.M) {
@@ -51,7 +51,7 @@
 	return ctx, cluster
 }
 
-func TestPlannedStopCutsOffNoRequest(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "300ms")
 	report, err := PlannedStop(ctx, cluster, PlannedStopOptions{
@@ -66,11 +66,9 @@
 	}
 }
 
-// TestAFrozenStopCutsOffNoRequest: a daemon that waits for what is in flight stands still past
-// the end of its stop's time. It came to that end as soon as it went on, and cut off calls
-// whose answers were there (EOF at their callers). The time of a stop is that in which the
-// daemon runs.
-func TestAFrozenStopCutsOffNoRequest(t *testing.T) {
+// TestFrozenStopCompletesRequests guards against counting the time that a daemon is
+// suspended towards its stop timeout, which cut off calls in flight on resumption.
+func TestFrozenStopCompletesRequests(t *testing.T) {
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "300ms", "--stop-timeout", "1s")
 	report, err := PlannedStop(ctx, cluster, PlannedStopOptions{
@@ -86,19 +84,17 @@
 	}
 }
 
-// TestAPauseFailsNoQuery: daemons stand still for longer than the policy's timeout (1 s), and the
-// answers of the replicas come meanwhile. The listed proof of planned stops saw 12 of 3,035
-// requests fail so (deadline_exceeded, none cut off). When a daemon goes on, its deadline and the
-// answers are there together; what is ready has to be delivered, also late.
-func TestAPauseFailsNoQuery(t *testing.T) {
+// TestPauseFailsNoRequest guards against discarding responses that are ready when a
+// daemon resumes after the deadline of the request.
+func TestPauseFailsNoRequest(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name                  string
 		lasting, callDeadline time.Duration
 	}{
-		{"beyond the time of queries", 1200 * time.Millisecond, 0},
-		// calls take 0.7 s; the rest of their time is for a machine that is busy
-		{"beyond the time of calls", 3 * time.Second, 3 * time.Second},
+		{"longer than query timeout", 1200 * time.Millisecond, 0},
+		// Calls take 0.7 s; the rest of the deadline allows for a busy machine.
+		{"reaching call deadline", 3 * time.Second, 3 * time.Second},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -121,7 +117,7 @@
 	}
 }
 
-func TestCallsRunAtMostOnce(t *testing.T) {
+func TestCallsExecuteAtMostOnce(t *testing.T) {
 	t.Parallel()
 	ctx, cluster := startCluster(t, "--stop-grace", "100ms")
 	report, err := AtMostOnce(ctx, cluster, AtMostOnceOptions{
@@ -139,7 +135,7 @@
 	}
 }
 
-func TestAcceptedChangesStayInForce(t *testing.T) {
+func TestTableKeepsAcceptedChanges(t *testing.T) {
 	t.Parallel()
 	ctx, cluster := startCluster(t)
 	report, err := Table(ctx, cluster, TableOptions{Operators: 4, Rounds: *rounds, Edits: 20})
--- a/internal/proofs/table.go
+++ b/internal/proofs/table.go
@@ -22,54 +22,54 @@
 	"github.com/doorpond/doorpond/internal/policytable"
 )
 
-// TableOptions say how many changes are made while faults come.
+// TableOptions configures Table.
 type TableOptions struct {
-	// Operators edit at the same time, each through another daemon.
+	// Operators is the number of concurrent editors, spread over the daemons.
 	Operators int
-	// Rounds is how often the whole list of faults comes.
+	// Rounds is the number of times that every fault is injected.
 	Rounds int
 	// Edits is the number of changes accepted between two faults.
 	Edits int64
 }
 
-// TableReport counts what became of the changes.
+// TableReport counts edits by outcome and the violations found.
 type TableReport struct {
 	Accepted  int `json:"accepted"`
 	Conflicts int `json:"conflicts"`
-	// Refused are edits that were not made, for the store.
+	// Refused counts edits that were rejected because of the store.
 	Refused int `json:"refused"`
-	// Repeated are edits of unknown outcome, sent again with the same ID.
+	// Repeated counts edits of unknown outcome that were resent with the same ID.
 	Repeated int `json:"repeated"`
 	Faults   int `json:"faults"`
-	// Lost are accepted changes that are not in the history, or whose value is
-	// not in the table though no later change touched it.
+	// Lost counts accepted changes that are missing from the history, or whose
+	// value is missing from the table although no later change replaced it.
 	Lost int `json:"lost"`
-	// Reverts are revisions seen on a daemon after a higher one.
+	// Reverts counts table revisions observed on a daemon after a higher one.
 	Reverts int `json:"reverts"`
-	// StaleAnswers are queries that a resumed daemon answered from a table
-	// older than the one that was in force everywhere else when it resumed.
+	// StaleAnswers counts queries that a resumed daemon answered from a table
+	// older than the one in force on the other daemons when it resumed.
 	StaleAnswers int `json:"stale_answers"`
-	// MaxPropagation is the longest time from a change's acceptance until it
-	// was seen in force on all daemons, without faults.
+	// MaxPropagation is the longest time from acceptance of a change until it
+	// was in force on all daemons, measured without faults.
 	MaxPropagation    time.Duration `json:"slowest_in_force_ns"`
 	MedianPropagation time.Duration `json:"median_in_force_ns"`
-	// Violations describe each broken promise.
+	// Violations describes each violated guarantee.
 	Violations []string `json:"violations"`
 }
 
-// String is one line.
+// String returns the report as a single line.
 func (r TableReport) String() string {
 	return fmt.Sprintf("changes accepted %d, conflicts %d, refused %d, repeated %d, faults %d; lost %d, reverts %d, stale answers %d; in force on all after %s (median), %s (slowest); violations %d",
 		r.Accepted, r.Conflicts, r.Refused, r.Repeated, r.Faults, r.Lost, r.Reverts, r.StaleAnswers, r.MedianPropagation, r.MaxPropagation, len(r.Violations))
 }
 
-// freezeTime is longer than the pause that a daemon must notice.
-const freezeTime = 2500 * time.Millisecond
+// freezeDuration exceeds the suspension that a daemon must detect.
+const freezeDuration = 2500 * time.Millisecond
 
-// Table has operators race their edits while the store fails and daemons are
-// frozen, started and cut off, and watches every daemon's table all the time.
+// Table runs concurrent edits while the store fails and daemons are frozen, started
+// and killed, and monitors the table revision of every daemon throughout.
 func Table(ctx context.Context, cluster *Cluster, options TableOptions) (TableReport, error) {
-	run := &tableRun{cluster: cluster, options: options, editing: make(map[*Process]int)}
+	run := &tableRun{cluster: cluster, options: options, editsInFlight: make(map[*Process]int)}
 	watching, stopWatching := context.WithCancel(ctx)
 	var watchers errgroup.Group
 	defer func() { stopWatching(); _ = watchers.Wait() }()
@@ -77,17 +77,17 @@
 		run.watch(watching, &watchers, process)
 	}
 	run.watchers, run.watching = &watchers, watching
-	steps := []func(context.Context) error{run.race, run.measure, run.restore}
+	steps := []func(context.Context) error{run.runOperators, run.measurePropagation, run.checkStoreRestore}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
-			return run.finished(), err
+			return run.snapshotReport(), err
 		}
 	}
 	err := run.checkHistory(ctx)
-	return run.finished(), err
+	return run.snapshotReport(), err
 }
 
-// acceptedChange is one change that an operator was told is accepted.
+// acceptedChange is a change whose acceptance was reported to an operator.
 type acceptedChange struct {
 	id       string
 	revision uint64
@@ -100,52 +100,53 @@
 	watchers *errgroup.Group
 	watching context.Context
 
-	accepted atomic.Int64
-	values   atomic.Int64
-	// editing counts the edits in flight, by the daemon that was sent them first.
-	editing map[*Process]int
-	stop    atomic.Bool
-	mutex   sync.Mutex
-	changes []acceptedChange
-	report  TableReport
+	accepted    atomic.Int64
+	editCounter atomic.Int64
+	// editsInFlight counts edits in flight by the daemon that received the first
+	// attempt.
+	editsInFlight map[*Process]int
+	stop          atomic.Bool
+	mutex         sync.Mutex
+	changes       []acceptedChange
+	report        TableReport
 }
 
-func (r *tableRun) finished() TableReport {
+func (r *tableRun) snapshotReport() TableReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report.Accepted = len(r.changes)
 	return r.report
 }
 
-func (r *tableRun) violate(counter *int, format string, values ...any) {
+func (r *tableRun) addViolation(counter *int, format string, values ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	*counter++
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, values...))
 }
 
-// watch looks at one daemon's table again and again, through its operators'
-// port and through its answers; neither may ever go back.
+// watch polls the table revision of a daemon through its administration port and
+// its query responses. Neither may decrease.
 func (r *tableRun) watch(ctx context.Context, group *errgroup.Group, process *Process) {
-	api := apiOf(process)
+	api := adminClient(process)
 	callers := client.New(process.callersURL(), nil)
-	r.watchOne(ctx, group, process, func() (uint64, error) {
+	r.watchRevision(ctx, group, process, func() (uint64, error) {
 		table, err := api.Table(ctx)
 		return table.Revision, err
 	})
-	r.watchOne(ctx, group, process, func() (uint64, error) {
+	r.watchRevision(ctx, group, process, func() (uint64, error) {
 		answer, err := callers.Query(ctx, searchQuery(0))
 		return answer.TableRevision, err
 	})
 }
 
-func (r *tableRun) watchOne(ctx context.Context, group *errgroup.Group, process *Process, look func() (uint64, error)) {
+func (r *tableRun) watchRevision(ctx context.Context, group *errgroup.Group, process *Process, readRevision func() (uint64, error)) {
 	group.Go(func() error {
 		highest := uint64(0)
 		for ctx.Err() == nil {
-			if revision, err := look(); err == nil {
+			if revision, err := readRevision(); err == nil {
 				if revision < highest {
-					r.violate(&r.report.Reverts, "daemon at %s went from table revision %d to %d", process.Addresses.Peers, highest, revision)
+					r.addViolation(&r.report.Reverts, "daemon at %s reverted from table revision %d to %d", process.Addresses.Peers, highest, revision)
 				}
 				highest = max(highest, revision)
 			}
@@ -155,24 +156,24 @@
 	})
 }
 
-// race has the operators edit while the faults come.
-func (r *tableRun) race(ctx context.Context) error {
+// runOperators runs concurrent operators while faults are injected.
+func (r *tableRun) runOperators(ctx context.Context) error {
 	var group errgroup.Group
 	for number := range r.options.Operators {
-		group.Go(func() error { return r.operate(ctx, number) })
+		group.Go(func() error { return r.runOperator(ctx, number) })
 	}
-	err := r.sabotage(ctx)
+	err := r.injectFaults(ctx)
 	r.stop.Store(true)
 	return errors.Join(err, group.Wait())
 }
 
-// operate makes one change after the other: each operator has a row of its
-// own and fights with the others for a common one.
-func (r *tableRun) operate(ctx context.Context, number int) error {
+// runOperator makes changes one after the other, alternating between a row of its
+// own and one that all operators contend for.
+func (r *tableRun) runOperator(ctx context.Context, number int) error {
 	for turn := 0; ctx.Err() == nil && !r.stop.Load(); turn++ {
 		alive := r.cluster.Alive()
-		bounded, cancel := context.WithTimeout(ctx, 2*freezeTime)
-		err := r.edit(bounded, alive[number%len(alive)], ownRow(number, turn))
+		bounded, cancel := context.WithTimeout(ctx, 2*freezeDuration)
+		err := r.edit(bounded, alive[number%len(alive)], rowName(number, turn))
 		cancel()
 		if err != nil {
 			return err
@@ -181,23 +182,23 @@
 	return eris.Wrap(ctx.Err(), "edit the table")
 }
 
-func ownRow(number, turn int) string {
+func rowName(number, turn int) string {
 	if turn%2 == 0 {
 		return "common"
 	}
 	return fmt.Sprintf("own-%d", number)
 }
 
-// edit makes one change of one row as the command line does: read the table,
-// change the row, expect that nobody was faster; an unknown outcome is cleared
-// up by the same ID through any daemon.
+// edit changes one row as the command line does: it reads the table, changes the
+// row and expects the revision it read. An edit of unknown outcome is resent with
+// the same ID through the most recently started daemon.
 func (r *tableRun) edit(ctx context.Context, process *Process, name string) error {
-	api := apiOf(process)
+	api := adminClient(process)
 	table, err := api.Table(ctx)
 	if err != nil {
-		return nil // a daemon that is frozen or just starting
+		return nil // the daemon is frozen or starting
 	}
-	row := rowOf(table, name)
+	row := findRow(table, name)
 	row.Limits.Hits = r.nextHits()
 	edit := policytable.Edit{
 		ID: ulid.Make().String(), Author: author + "-" + name, ExpectedRevision: table.Revision, SetPolicies: []policy.Row{row},
@@ -208,48 +209,48 @@
 			r.accept(acceptedChange{id: edit.ID, revision: result.Change.Revision, hits: row.Limits.Hits})
 			return nil
 		}
-		known, err := r.file(err)
+		known, err := r.recordFailure(err)
 		if known || err != nil {
 			return err
 		}
-		// the outcome is not known, also where ctx ended on a frozen daemon
+		// The outcome is unknown, also if ctx expired on a frozen daemon.
 		ctx = context.WithoutCancel(ctx)
 		alive := r.cluster.Alive()
-		api = apiOf(alive[len(alive)-1])
+		api = adminClient(alive[len(alive)-1])
 		sleep(ctx, pollInterval)
 	}
 }
 
-// send makes one attempt of an edit, which counts as in flight at the daemon if it
-// is the first.
+// send makes one attempt at an edit. Only the first attempt counts as in flight at
+// the daemon.
 func (r *tableRun) send(ctx context.Context, api *operator.AdminClient, process *Process, edit policytable.Edit, first bool) (*admin.EditResult, error) {
 	if first {
-		r.countEditing(process, 1)
-		defer r.countEditing(process, -1)
+		r.addEditsInFlight(process, 1)
+		defer r.addEditsInFlight(process, -1)
 	}
 	return api.Edit(ctx, edit, 0)
 }
 
-func (r *tableRun) countEditing(process *Process, change int) {
+func (r *tableRun) addEditsInFlight(process *Process, change int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.editing[process] += change
+	r.editsInFlight[process] += change
 }
 
-// isEditing tells whether an edit is in flight at a daemon.
-func (r *tableRun) isEditing(process *Process) bool {
+// hasEditInFlight reports whether an edit is in flight at a daemon.
+func (r *tableRun) hasEditInFlight(process *Process) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.editing[process] > 0
+	return r.editsInFlight[process] > 0
 }
 
-// nextHits is a value that no other edit of late has set.
+// nextHits returns a value that no recent edit has set.
 func (r *tableRun) nextHits() int {
-	const mostHits = 9000
-	return int(r.values.Add(1)%mostHits) + 1
+	const maxHits = 9000
+	return int(r.editCounter.Add(1)%maxHits) + 1
 }
 
-func rowOf(table *policy.Table, name string) policy.Row {
+func findRow(table *policy.Table, name string) policy.Row {
 	at := slices.IndexFunc(table.Policies, func(row policy.Row) bool { return row.Name == name })
 	if at < 0 {
 		return policy.DefaultRow(name)
@@ -264,8 +265,8 @@
 	r.changes = append(r.changes, change)
 }
 
-// file counts a refusal, and tells whether the outcome is known.
-func (r *tableRun) file(err error) (known bool, unexpected error) {
+// recordFailure counts a failed edit and reports whether its outcome is known.
+func (r *tableRun) recordFailure(err error) (known bool, unexpected error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var problem *client.Problem
--- a/internal/proofs/table_faults.go
+++ b/internal/proofs/table_faults.go
@@ -11,11 +11,11 @@
 	"github.com/doorpond/doorpond/internal/standin/kv"
 )
 
-// sabotage brings each fault in turn, once enough changes were accepted since
-// the last.
-func (r *tableRun) sabotage(ctx context.Context) error {
+// injectFaults injects each fault in turn, with a minimum number of accepted
+// changes between two faults.
+func (r *tableRun) injectFaults(ctx context.Context) error {
 	faults := []func(context.Context) error{
-		r.loseAcknowledgements, r.freezeWatches, r.outageAndStart, r.freeze, r.killAndStart,
+		r.loseAcknowledgements, r.freezeWatches, r.startDuringOutage, r.freezeDaemon, r.killDuringEdit,
 	}
 	for round := range r.options.Rounds {
 		for number, fault := range faults {
@@ -23,7 +23,7 @@
 				return err
 			}
 			if err := fault(ctx); err != nil {
-				return eris.Wrapf(err, "fault %d of round %d", number, round)
+				return eris.Wrapf(err, "inject fault %d of round %d", number, round)
 			}
 			r.report.Faults++
 		}
@@ -41,7 +41,7 @@
 	return r.cluster.Platform.Store.SetFaults(kv.Faults{LoseAcknowledgements: lost})
 }
 
-// freezeWatches makes the watches lag while changes are accepted.
+// freezeWatches suspends store watches while changes are accepted.
 func (r *tableRun) freezeWatches(ctx context.Context) error {
 	if err := r.cluster.Platform.Store.SetFaults(kv.Faults{FreezeWatches: true}); err != nil {
 		return err
@@ -50,9 +50,9 @@
 	return errors.Join(err, r.cluster.Platform.Store.SetFaults(kv.Faults{}))
 }
 
-// outageAndStart starts a daemon while the store is out: it must get the table
-// from its peers.
-func (r *tableRun) outageAndStart(ctx context.Context) error {
+// startDuringOutage starts a daemon during a store outage, so that it must load
+// the table from its peers.
+func (r *tableRun) startDuringOutage(ctx context.Context) error {
 	if err := r.cluster.Platform.Store.SetFaults(kv.Faults{Outage: true}); err != nil {
 		return err
 	}
@@ -66,12 +66,12 @@
 		return err
 	}
 	r.watch(r.watching, r.watchers, added)
-	return await(ctx, "the new daemon to be ready", func() (bool, error) { return ready(ctx, added), nil })
+	return await(ctx, "the new daemon to be ready", func() (bool, error) { return isReady(ctx, added), nil })
 }
 
-// killAndStart kills a daemon while an edit is in flight at it, so that the edit's
-// outcome is not known.
-func (r *tableRun) killAndStart(ctx context.Context) error {
+// killDuringEdit kills a daemon while an edit is in flight at it, so that the
+// outcome of the edit is unknown.
+func (r *tableRun) killDuringEdit(ctx context.Context) error {
 	killed := r.cluster.oldestAlive()
 	if err := r.freezeWhileEditing(ctx, killed); err != nil {
 		return err
@@ -80,32 +80,30 @@
 	return r.startDaemon(ctx)
 }
 
-// answerTime is how long an answer that a daemon has sent before it was frozen may
-// take to arrive.
-const answerTime = 100 * time.Millisecond
+// responseDelay bounds the delivery of a response sent before a daemon was frozen.
+const responseDelay = 100 * time.Millisecond
 
-// freezeWhileEditing freezes a daemon that has been sent an edit and has not
-// answered it. Where the answer was already on its way, it is resumed and frozen
-// again.
+// freezeWhileEditing freezes a daemon with an unanswered edit. If the response
+// arrives after all, it resumes the daemon and tries again.
 func (r *tableRun) freezeWhileEditing(ctx context.Context, process *Process) error {
 	return await(ctx, "an edit in flight at a frozen daemon", func() (bool, error) {
-		if !r.isEditing(process) {
+		if !r.hasEditInFlight(process) {
 			return false, nil
 		}
 		if err := process.Freeze(); err != nil {
 			return false, err
 		}
-		sleep(ctx, answerTime)
-		if r.isEditing(process) {
+		sleep(ctx, responseDelay)
+		if r.hasEditInFlight(process) {
 			return true, nil
 		}
 		return false, process.Resume()
 	})
 }
 
-// freeze stops a daemon while changes come into force elsewhere; its first
-// answer after it is resumed must know them.
-func (r *tableRun) freeze(ctx context.Context) error {
+// freezeDaemon suspends a daemon while changes come into force on the others. Its
+// first response after it resumes must include them.
+func (r *tableRun) freezeDaemon(ctx context.Context) error {
 	alive := r.cluster.Alive()
 	frozen, other := alive[0], alive[len(alive)-1]
 	if err := frozen.Freeze(); err != nil {
@@ -114,23 +112,23 @@
 	if err := r.awaitEdits(ctx); err != nil {
 		return errors.Join(err, frozen.Resume())
 	}
-	sleep(ctx, freezeTime)
-	before, err := apiOf(other).Table(ctx)
+	sleep(ctx, freezeDuration)
+	before, err := adminClient(other).Table(ctx)
 	if err := errors.Join(err, frozen.Resume()); err != nil {
 		return err
 	}
-	return r.firstAnswer(ctx, frozen, before.Revision)
+	return r.checkFirstAnswer(ctx, frozen, before.Revision)
 }
 
-func (r *tableRun) firstAnswer(ctx context.Context, resumed *Process, least uint64) error {
+func (r *tableRun) checkFirstAnswer(ctx context.Context, resumed *Process, least uint64) error {
 	callers := client.New(resumed.callersURL(), nil)
 	return await(ctx, "an answer of the resumed daemon", func() (bool, error) {
 		answer, err := callers.Query(ctx, searchQuery(0))
 		if err != nil {
-			return false, nil // refused as stale
+			return false, nil // rejected as stale
 		}
 		if answer.TableRevision < least {
-			r.violate(&r.report.StaleAnswers, "a resumed daemon answered by table revision %d; %d was in force", answer.TableRevision, least)
+			r.addViolation(&r.report.StaleAnswers, "resumed daemon answered from table revision %d, revision %d was in force", answer.TableRevision, least)
 		}
 		return true, nil
 	})
