--- a/cmd/doorpond-lab/prove.go
+++ b/cmd/doorpond-lab/prove.go
@@ -92,12 +92,12 @@
 	switch promise {
 	case promisePlannedStop:
 		report, runErr := proofs.PlannedStop(ctx, cluster, proofs.PlannedStopOptions{
-			Requests: command.Int64(flagRequests), Stops: command.Int(flagStops), Callers: 40, Pause: time.Millisecond,
+			Requests: command.Int64(flagRequests), Stops: command.Int(flagStops), Callers: 40, RequestInterval: time.Millisecond,
 		})
 		summary, held, err = report, report.CutOff+report.Failed == 0, runErr
 	case promiseAtMostOnce:
 		report, runErr := proofs.AtMostOnce(ctx, cluster, proofs.AtMostOnceOptions{
-			Keys: command.Int(flagKeys), Rounds: command.Int(flagRounds), Seed: command.Uint64(flagSeed), Callers: 16, Attempts: 8,
+			Keys: command.Int(flagKeys), Rounds: command.Int(flagRounds), Seed: command.Uint64(flagSeed), Callers: 16, MaxAttempts: 8,
 		})
 		summary, held, err = report, len(report.Violations) == 0, runErr
 	case promiseTable:
