--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -171,7 +171,7 @@
 func (s *Service) selectionCriteria(route *routing.Route) replica.SelectionCriteria {
 	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
-		Baseline:  s.latencies.Of(route.Name),
+		Baseline:  s.baselines.Of(route.Name),
 		LateAfter: time.Duration(defaultLateFraction * float64(route.Objective)),
 		Regions:   route.Regions,
 	}
@@ -210,8 +210,8 @@
 	return forward
 }
 
-func (s *Service) shardPlans(route *routing.Route, groups []string, latency *replica.LatencyBaseline) []decision.ShardPlan {
-	expected := latency.NearestMedian()
+func (s *Service) shardPlans(route *routing.Route, groups []string, baseline *replica.LatencyBaseline) []decision.ShardPlan {
+	expected := baseline.NearestMedian()
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
--- a/internal/query/service.go
+++ b/internal/query/service.go
@@ -53,7 +53,7 @@
 type Service struct {
 	options     Options
 	metrics     serviceMetrics
-	latencies   replica.LatencyBaselines
+	baselines   replica.LatencyBaselines
 	controllers *admission.Controllers
 	splitter    routing.Splitter
 }
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -163,8 +163,8 @@
 }
 
 // markAddressReused records that another process answers at the replica's
-// address. Every process has its own incarnation, so the handle's process is
-// gone.
+// address. Every process has its own incarnation, so the handle's process has
+// terminated.
 func (p *Pool) markAddressReused(handle *Handle) {
 	if !handle.addressReused.Swap(true) && p.options.OnAddressReused != nil {
 		p.options.OnAddressReused(handle.replica)
