--- a/internal/edge/resolve.go
+++ b/internal/edge/resolve.go
@@ -50,11 +50,11 @@
 		if !known || ctx.Err() != nil {
 			return answer, known
 		}
-		gone := unreachable(ctx, nodes, answer.Addresses)
-		if len(gone) == 0 {
+		unreachableIDs := unreachable(ctx, nodes, answer.Addresses)
+		if len(unreachableIDs) == 0 {
 			return answer, known
 		}
-		nodes = nodes.WithUnready(gone)
+		nodes = nodes.WithUnready(unreachableIDs)
 	}
 }
 
--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -135,14 +135,14 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	target := s.controllers.ForTarget(groups[0])
-	ticket, err := target.Admit(row, row.Priority, started, deadline)
+	controller := s.controllers.ForTarget(groups[0])
+	ticket, err := controller.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
 	defer ticket.Release()
-	current := s.newForwardRun(request, groups, criteria, deadline, target.Overloaded(started), suspicion.Evidence)
+	current := s.newForwardRun(request, groups, criteria, deadline, controller.Overloaded(started), suspicion.Evidence)
 	current.execute(ctx, deadline)
 	current.reportOutcome()
 	answer, err := current.buildResult()
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -84,7 +84,7 @@
 	ReplicaCold
 	// ReplicaLeaving accepts no new requests. The state is final for the incarnation.
 	ReplicaLeaving
-	// ReplicaVanished is no longer listed but has not announced that it leaves. It is
+	// ReplicaVanished is no longer listed but has not announced that it is leaving. It is
 	// sent requests only if no other replica is left.
 	ReplicaVanished
 	// ReplicaEvacuated is in a zone that operators have evacuated. It is sent no
