--- a/internal/query/forward.go
+++ b/internal/query/forward.go
@@ -135,14 +135,14 @@
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
-	target := s.controllers.ForTarget(groups[0])
-	ticket, err := target.Admit(row, row.Priority, started, deadline)
+	controller := s.controllers.ForTarget(groups[0])
+	ticket, err := controller.Admit(row, row.Priority, started, deadline)
 	if err != nil {
 		s.metrics.observe(s.options.Now().Sub(started), err)
 		return ForwardResult{}, err
 	}
 	defer ticket.Release()
-	current := s.newForwardRun(request, groups, criteria, deadline, target.Overloaded(started), suspicion.Evidence)
+	current := s.newForwardRun(request, groups, criteria, deadline, controller.Overloaded(started), suspicion.Evidence)
 	current.execute(ctx, deadline)
 	current.reportOutcome()
 	answer, err := current.buildResult()
@@ -171,7 +171,7 @@
 func (s *Service) selectionCriteria(route *routing.Route) replica.SelectionCriteria {
 	return replica.SelectionCriteria{
 		Weights:   route.Policy.Replicas,
-		Baseline:  s.latencies.Of(route.Name),
+		Baseline:  s.baselines.Of(route.Name),
 		LateAfter: time.Duration(defaultLateFraction * float64(route.Objective)),
 		Regions:   route.Regions,
 	}
@@ -210,8 +210,8 @@
 	return forward
 }
 
-func (s *Service) shardPlans(route *routing.Route, groups []string, latency *replica.LatencyBaseline) []decision.ShardPlan {
-	expected := latency.NearestMedian()
+func (s *Service) shardPlans(route *routing.Route, groups []string, baseline *replica.LatencyBaseline) []decision.ShardPlan {
+	expected := baseline.NearestMedian()
 	shards := make([]decision.ShardPlan, len(groups))
 	for i, group := range groups {
 		shards[i] = decision.ShardPlan{
